--- a/crates/border/src/dialect.rs
+++ b/crates/border/src/dialect.rs
@@ -11,7 +11,7 @@
     fleet::replica::ReplicaFacts,
     prompt::Prompt,
     route::RouteTable,
-    team::{GivenKey, Identity},
+    team::{Identity, PresentedKey},
     time::Span,
     usage::Report,
 };
@@ -32,7 +32,7 @@
     /// The last event that the caller already has, of a stream that it resumes.
     pub last_event: Option<String>,
     /// Its key.
-    pub key: GivenKey,
+    pub key: PresentedKey,
 }
 
 /// What an endpoint is to do with a request.
--- a/crates/core/examples/choose.rs
+++ b/crates/core/examples/choose.rs
@@ -31,7 +31,7 @@
         if let Action::Send { choice, .. } = action {
             for c in &choice.candidates {
                 let name = dispatcher.endpoint(c.endpoint).map_or("", |row| row.name.as_str());
-                println!("{name}: whole answer in {:.2} s", c.prediction.whole);
+                println!("{name}: whole answer in {:.2} s", c.prediction.total);
             }
             println!("reason: {:?}", choice.reason);
         }
--- a/crates/core/examples/membership.rs
+++ b/crates/core/examples/membership.rs
@@ -14,19 +14,19 @@
     let listed = [contact("a"), contact("b")];
     let mut a = Members::new(MemberSettings::default(), contact("a"), 1, 1);
     let mut b = Members::new(MemberSettings::default(), contact("b"), 1, 2);
-    a.list(&listed);
-    b.list(&listed);
-    let Some(key) = a.probe(now) else { return };
-    a.answered(key, 1, b.refutation(), now);
+    a.set_listed(&listed);
+    b.set_listed(&listed);
+    let Some(key) = a.next_probe_target(now) else { return };
+    a.record_answer(key, 1, b.refutation(), now);
     println!("answered: {:?}", a.get(key).map(|m| m.health));
 
-    a.unreached(key, now);
+    a.record_unreached(key, now);
     println!("silent: {:?}", a.get(key).map(|m| m.health));
     let later = now + Span::millis(10_000);
-    let _ = a.probe(later);
+    let _ = a.next_probe_target(later);
     println!("still silent: {:?}", a.get(key).map(|m| m.health));
 
-    b.apply(&a.accusation(key).into_iter().collect::<Vec<_>>(), later);
-    a.answered(key, 1, b.refutation(), later);
+    b.apply(&a.update_to_refute(key).into_iter().collect::<Vec<_>>(), later);
+    a.record_answer(key, 1, b.refutation(), later);
     println!("it refuted: {:?}", a.get(key).map(|m| m.health));
 }
--- a/crates/core/src/bucket.rs
+++ b/crates/core/src/bucket.rs
@@ -4,29 +4,29 @@
 
 /// A bucket that refills at a steady rate.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled_at: Time,
+    updated_at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `burst` tokens that gains `rate` tokens a second.
     #[must_use]
     pub const fn new(rate: f64, burst: f64, now: Time) -> Self {
-        Self { rate, burst, tokens: burst, filled_at: now }
+        Self { rate, burst, tokens: burst, updated_at: now }
     }
 
     /// A bucket that was empty at a time.
     #[must_use]
     pub const fn empty(rate: f64, burst: f64, at: Time) -> Self {
-        Self { rate, burst, tokens: 0.0, filled_at: at }
+        Self { rate, burst, tokens: 0.0, updated_at: at }
     }
 
     /// Change the rate and burst, keeping what is in the bucket.
     pub fn resize(&mut self, rate: f64, burst: f64, now: Time) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
         self.burst = burst;
         self.tokens = self.tokens.min(burst);
@@ -34,7 +34,7 @@
 
     /// Take `n` tokens if they are there.
     pub fn take(&mut self, n: f64, now: Time) -> bool {
-        self.fill(now);
+        self.refill(now);
         let enough = self.tokens >= n;
         if enough {
             self.tokens -= n;
@@ -70,12 +70,12 @@
     /// What is there at a time.
     #[must_use]
     pub fn tokens_at(&self, now: Time) -> f64 {
-        let gained = now.since(self.filled_at).as_seconds() * self.rate;
+        let gained = now.since(self.updated_at).as_seconds() * self.rate;
         (self.tokens + gained).min(self.burst)
     }
 
-    fn fill(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         self.tokens = self.tokens_at(now);
-        self.filled_at = now;
+        self.updated_at = now;
     }
 }
--- a/crates/core/src/choose.rs
+++ b/crates/core/src/choose.rs
@@ -16,21 +16,21 @@
 };
 
 /// Pools up to this size are looked at whole.
-const WHOLE_POOL: usize = 16;
+const FULL_SCAN_LIMIT: usize = 16;
 /// Owners of the prefix among the candidates.
-const OWNERS: usize = 2;
+const PREFIX_OWNERS: usize = 2;
 /// Candidates drawn at random.
-const SAMPLES: usize = 4;
+const RANDOM_CANDIDATES: usize = 4;
 /// Predictions within this factor of the best count as equal.
-const NEAR: f64 = 1.1;
+const TIE_FACTOR: f64 = 1.1;
 /// And within these seconds.
-const NEAR_SECONDS: f64 = 0.002;
+const TIE_SECONDS: f64 = 0.002;
 /// Seconds of prompts that may wait at an engine for other kinds than urgent ones.
-const BACKLOG: f64 = 1.5;
+const MAX_BACKLOG_SECONDS: f64 = 1.5;
 /// Part of the harm to others that counts in the choice.
-const HARM: f64 = 0.1;
+const INTERFERENCE_WEIGHT: f64 = 0.1;
 /// Places in a window that only urgent kinds use.
-const HEADROOM: f64 = 1.0;
+const URGENT_HEADROOM: f64 = 1.0;
 
 /// The endpoints of one pool, in the orders that choosing needs.
 #[derive(Clone, Debug, Default)]
@@ -57,13 +57,13 @@
     }
 
     /// Endpoints that can finish a request.
-    pub fn serving(&self) -> impl Iterator<Item = EndpointKey> + '_ {
+    pub fn serving_endpoints(&self) -> impl Iterator<Item = EndpointKey> + '_ {
         self.ring.iter().map(|(_, key)| *key)
     }
 
     /// Endpoints that only process prompts.
     #[must_use]
-    pub fn prefilling(&self) -> &[EndpointKey] {
+    pub fn prefill_endpoints(&self) -> &[EndpointKey] {
         &self.prefill
     }
 
@@ -80,12 +80,12 @@
     }
 
     fn candidates(&self, prefix: u64, rng: &mut impl Rng) -> Vec<EndpointKey> {
-        if self.ring.len() <= WHOLE_POOL {
-            return self.serving().collect();
+        if self.ring.len() <= FULL_SCAN_LIMIT {
+            return self.serving_endpoints().collect();
         }
         let at = self.ring.partition_point(|(h, _)| *h < prefix);
-        let mut out: Vec<_> = (0..OWNERS).map(|i| self.ring[(at + i) % self.ring.len()].1).collect();
-        for _ in 0..SAMPLES {
+        let mut out: Vec<_> = (0..PREFIX_OWNERS).map(|i| self.ring[(at + i) % self.ring.len()].1).collect();
+        for _ in 0..RANDOM_CANDIDATES {
             let key = self.ring[rng.random_range(0..self.ring.len())].1;
             if !out.contains(&key) {
                 out.push(key);
@@ -95,10 +95,10 @@
     }
 
     fn prefill_sample(&self, rng: &mut impl Rng) -> Vec<EndpointKey> {
-        if self.prefill.len() <= WHOLE_POOL {
+        if self.prefill.len() <= FULL_SCAN_LIMIT {
             return self.prefill.clone();
         }
-        (0..SAMPLES).map(|_| self.prefill[rng.random_range(0..self.prefill.len())]).collect()
+        (0..RANDOM_CANDIDATES).map(|_| self.prefill[rng.random_range(0..self.prefill.len())]).collect()
     }
 }
 
@@ -158,7 +158,7 @@
 }
 
 /// Look-up of an endpoint's row.
-pub trait Rows {
+pub trait EndpointRows {
     /// The row under `key`.
     fn row(&self, key: EndpointKey) -> &Endpoint;
 }
@@ -168,7 +168,7 @@
 /// # Errors
 /// All candidates, when none of them can take it now.
 pub fn choose(
-    rows: &impl Rows,
+    rows: &impl EndpointRows,
     index: &PoolIndex,
     request: &Request,
     now: Time,
@@ -178,25 +178,25 @@
     let candidates: Vec<_> = index
         .candidates(request.spec.prefix, rng)
         .into_iter()
-        .map(|key| judge(rows, key, prefill, request, now))
+        .map(|key| evaluate(rows, key, prefill, request, now))
         .collect();
     let open: Vec<_> = candidates.iter().filter(|c| c.skipped.is_none()).collect();
     let Some(best) = open.iter().map(|c| c.score).reduce(f64::min) else {
         return Err(candidates);
     };
-    let bound = (best * NEAR).max(best + NEAR_SECONDS);
-    let near: Vec<_> = open.iter().filter(|c| c.score <= bound).collect();
-    let reason = match (open.len(), near.len()) {
+    let bound = (best * TIE_FACTOR).max(best + TIE_SECONDS);
+    let tied: Vec<_> = open.iter().filter(|c| c.score <= bound).collect();
+    let reason = match (open.len(), tied.len()) {
         (1, _) => Reason::OnlyOne,
         (_, 1) => Reason::Fastest,
         _ => Reason::DrawnAmongEqual,
     };
-    let chosen = **near[rng.random_range(0..near.len())];
+    let chosen = **tied[rng.random_range(0..tied.len())];
     Ok(Choice { chosen, reason, candidates })
 }
 
 fn best_prefill(
-    rows: &impl Rows,
+    rows: &impl EndpointRows,
     index: &PoolIndex,
     request: &Request,
     now: Time,
@@ -209,25 +209,32 @@
     index
         .prefill_sample(rng)
         .into_iter()
-        .filter(|key| rows.row(*key).is_open(now) && !request.avoid.contains(key))
+        .filter(|key| rows.row(*key).is_open(now) && !request.avoided.contains(key))
         .filter(|key| rows.row(*key).window.has_room(0.0))
         .min_by(|a, b| seconds(*a).total_cmp(&seconds(*b)))
 }
 
-fn judge(rows: &impl Rows, key: EndpointKey, prefill: Option<EndpointKey>, request: &Request, now: Time) -> Candidate {
+fn evaluate(
+    rows: &impl EndpointRows,
+    key: EndpointKey,
+    prefill: Option<EndpointKey>,
+    request: &Request,
+    now: Time,
+) -> Candidate {
     let row = rows.row(key);
-    let predicted =
-        |first: Option<EndpointKey>| predict(row, first.map(|k| rows.row(k)), &request.spec, request.remaining(), now);
-    let alone = predicted(None);
+    let predicted = |first: Option<EndpointKey>| {
+        predict(row, first.map(|k| rows.row(k)), &request.spec, request.remaining_tokens(), now)
+    };
+    let unsplit = predicted(None);
     let split = prefill.map(|k| (k, predicted(Some(k))));
     // A decode engine takes a prompt only when no prefill engine can.
-    let prefers_split = |p: Prediction| row.role == Role::Decode || p.whole < alone.whole;
+    let prefers_split = |p: Prediction| row.role == Role::Decode || p.total < unsplit.total;
     let (prefill, prediction) = match split {
         Some((k, p)) if row.role != Role::Plain && prefers_split(p) => (Some(k), p),
-        _ => (None, alone),
+        _ => (None, unsplit),
     };
-    let harm = if prefill.is_some() { 0.0 } else { crate::predict::harm(row, &request.spec) };
-    let score = HARM.mul_add(harm, prediction.whole);
+    let interference = if prefill.is_some() { 0.0 } else { crate::predict::interference(row, &request.spec) };
+    let score = INTERFERENCE_WEIGHT.mul_add(interference, prediction.total);
     Candidate { endpoint: key, prefill, prediction, score, skipped: skip(row, key, request, now) }
 }
 
@@ -235,17 +242,17 @@
 /// by its worth, what waits there cannot.
 fn is_backlogged(row: &Endpoint, request: &Request, now: Time) -> bool {
     let seconds = crate::predict::backlog(row, now) / row.rates.prefill;
-    row.role != Role::Plain && !request.spec.kind.is_urgent() && seconds > BACKLOG
+    row.role != Role::Plain && !request.spec.kind.is_urgent() && seconds > MAX_BACKLOG_SECONDS
 }
 
 fn skip(row: &Endpoint, key: EndpointKey, request: &Request, now: Time) -> Option<Skip> {
-    let headroom = if request.spec.kind.is_urgent() { 0.0 } else { HEADROOM };
+    let headroom = if request.spec.kind.is_urgent() { 0.0 } else { URGENT_HEADROOM };
     let adapter = request.spec.adapter;
-    if row.duty == crate::endpoint::Duty::Leaving {
+    if row.admin_state == crate::endpoint::AdminState::Draining {
         Some(Skip::Leaving)
-    } else if request.avoid.contains(&key) {
+    } else if request.avoided.contains(&key) {
         Some(Skip::FailedBefore)
-    } else if !row.health.allows(now) {
+    } else if !row.health.is_available(now) {
         Some(Skip::Ejected)
     } else if adapter != 0 && !row.adapters.contains(&adapter) {
         Some(Skip::NoAdapter)
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -18,12 +18,12 @@
     /// Hash of the request's content, so that a key is not used for two different ones.
     pub content: u64,
     /// What became of it, once that is known.
-    pub result: Option<Recorded>,
+    pub result: Option<RecordedResult>,
 }
 
 /// A recorded result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Recorded {
+pub struct RecordedResult {
     /// The outcome.
     pub outcome: Outcome,
     /// HTTP status of the answer.
@@ -36,9 +36,9 @@
 
 /// What a second request with the same key gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Second {
+pub enum Duplicate {
     /// The recorded result.
-    Recorded(Recorded),
+    Recorded(RecordedResult),
     /// It is still running at its owner; come back.
     InProgress,
     /// Its owner is over and recorded nothing.
@@ -51,13 +51,13 @@
 ///
 /// `owner_over` says whether the claim's owner is known to be over.
 #[must_use]
-pub fn second(claim: &Claim, content: u64, owner_over: bool) -> Second {
+pub fn check_duplicate(claim: &Claim, content: u64, owner_terminated: bool) -> Duplicate {
     if claim.content != content {
-        return Second::Mismatch;
+        return Duplicate::Mismatch;
     }
     match &claim.result {
-        Some(recorded) => Second::Recorded(recorded.clone()),
-        None if owner_over => Second::Unknown,
-        None => Second::InProgress,
+        Some(recorded) => Duplicate::Recorded(recorded.clone()),
+        None if owner_terminated => Duplicate::Unknown,
+        None => Duplicate::InProgress,
     }
 }
--- a/crates/core/src/custody.rs
+++ b/crates/core/src/custody.rs
@@ -101,7 +101,7 @@
     /// Whether the engine checks.
     pub fencing: Fencing,
     /// Whether the record's custodian is known to be over, its bytes in flight included.
-    pub custodian_over: bool,
+    pub custodian_terminated: bool,
     /// The engine's status, asked after the record was read.
     pub status: Option<&'a EngineStatus>,
     /// The order that is wanted.
@@ -111,7 +111,7 @@
 /// Why nothing can be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wait {
+pub enum WaitReason {
     /// This process has no authority.
     NoAuthority,
     /// The engine ignores fencing numbers and its former custodian may still be running.
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Do nothing for now.
-    Wait(Wait),
+    Wait(WaitReason),
     /// Write this record if the present one is unchanged, then look again.
     Write(EngineRecord),
     /// Send this order, whose intent is written, then look again.
@@ -137,14 +137,14 @@
 
 /// The one step to take for an engine.
 #[must_use]
-pub fn next(record: &EngineRecord, view: &View<'_>) -> Step {
+pub fn next_step(record: &EngineRecord, view: &View<'_>) -> Step {
     let Some(epoch) = view.epoch else {
-        return Step::Wait(Wait::NoAuthority);
+        return Step::Wait(WaitReason::NoAuthority);
     };
     // A process may pause between the check of its lease and this step, and wake with a number
     // that others have left behind.
     if epoch < record.epoch {
-        return Step::Wait(Wait::NoAuthority);
+        return Step::Wait(WaitReason::NoAuthority);
     }
     if record.custodian.as_ref() != Some(view.me) {
         return take_custody(record, view, epoch);
@@ -156,8 +156,8 @@
         return Step::Write(record);
     }
     match (&record.intent, view.wanted) {
-        (Some(intent), _) => settle(record, intent, view, epoch),
-        (None, Some(wanted)) => intend(record, wanted, view, epoch),
+        (Some(intent), _) => settle_intent(record, intent, view, epoch),
+        (None, Some(wanted)) => write_intent(record, wanted, view, epoch),
         (None, None) => Step::Done,
     }
 }
@@ -166,7 +166,7 @@
     let free = record.custodian.is_none();
     let fenced = view.fencing == Fencing::Checks && epoch > record.epoch;
     let mut record = record.clone();
-    if free || fenced || view.custodian_over {
+    if free || fenced || view.custodian_terminated {
         record.custodian = Some(view.me.clone());
         record.epoch = epoch;
         record.wanted_by = None;
@@ -176,15 +176,15 @@
         record.wanted_by = Some(view.me.clone());
         return Step::Write(record);
     }
-    Step::Wait(Wait::FormerCustodian)
+    Step::Wait(WaitReason::FormerCustodian)
 }
 
-fn settle(record: &EngineRecord, intent: &Order, view: &View<'_>, epoch: u64) -> Step {
+fn settle_intent(record: &EngineRecord, intent: &Order, view: &View<'_>, epoch: u64) -> Step {
     let Some(status) = view.status else {
-        return Step::Wait(Wait::NoStatus);
+        return Step::Wait(WaitReason::NoStatus);
     };
     if status.changing {
-        return Step::Wait(Wait::Changing);
+        return Step::Wait(WaitReason::Changing);
     }
     let taken = (status.epoch, status.sequence) == (intent.epoch, intent.sequence);
     if taken || status.boot != intent.boot {
@@ -216,14 +216,14 @@
     }
 }
 
-fn intend(record: &EngineRecord, wanted: &OrderKind, view: &View<'_>, epoch: u64) -> Step {
+fn write_intent(record: &EngineRecord, wanted: &OrderKind, view: &View<'_>, epoch: u64) -> Step {
     let Some(status) = view.status else {
-        return Step::Wait(Wait::NoStatus);
+        return Step::Wait(WaitReason::NoStatus);
     };
     if status.changing {
-        return Step::Wait(Wait::Changing);
+        return Step::Wait(WaitReason::Changing);
     }
-    if is_met(wanted, status) {
+    if is_satisfied(wanted, status) {
         return Step::Done;
     }
     let sequence = record.sequence + 1;
@@ -233,7 +233,7 @@
 
 /// Whether `status` shows what `wanted` asks for.
 #[must_use]
-pub fn is_met(wanted: &OrderKind, status: &EngineStatus) -> bool {
+pub fn is_satisfied(wanted: &OrderKind, status: &EngineStatus) -> bool {
     match wanted {
         OrderKind::Cordon => status.cordoned,
         OrderKind::Uncordon => !status.cordoned,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -12,14 +12,14 @@
 use slotmap::SlotMap;
 
 use crate::{
-    bucket::Bucket,
-    choose::{Candidate, Choice, PoolIndex, Rows, choose},
-    endpoint::{Duty, Endpoint, EndpointKey, LoadReport, PoolKey, Rates, Role},
+    bucket::TokenBucket,
+    choose::{Candidate, Choice, EndpointRows, PoolIndex, choose},
+    endpoint::{AdminState, Endpoint, EndpointKey, LoadReport, PoolKey, Rates, Role},
     limit::TeamLimits,
-    mix::Mix,
-    outcome::{AttemptEnd, Outcome, combine},
+    mix::DemandAverages,
+    outcome::{AttemptEnd, Outcome, combined_outcome},
     predict::{learn_plain, learn_prefill, learn_step, uncached},
-    queue::{Place, Queue},
+    queue::{Queue, QueueEntry},
     request::{Request, RequestKey, RequestSpec, Stage},
     time::{Span, Time},
 };
@@ -32,13 +32,13 @@
     /// Requests that wait in one pool at most.
     pub queue_limit: usize,
     /// Attempts at one request at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Retries allowed for each new request, on average.
     pub retry_ratio: f64,
     /// Factor on predicted times when an early refusal is weighed.
     pub refuse_margin: f64,
     /// Silence of an endpoint that fails an attempt.
-    pub stall: Span,
+    pub stall_timeout: Span,
 }
 
 impl Default for Policy {
@@ -46,10 +46,10 @@
         Self {
             admission: true,
             queue_limit: 1_024,
-            attempts: 4,
+            max_attempts: 4,
             retry_ratio: 0.2,
             refuse_margin: 1.0,
-            stall: Span::millis(5_000),
+            stall_timeout: Span::millis(5_000),
         }
     }
 }
@@ -57,9 +57,9 @@
 /// Retries that may be saved up.
 const RETRY_BURST: f64 = 50.0;
 /// Retries that come back a second when nothing else arrives.
-const RETRY_FLOOR: f64 = 1.0;
+const MIN_RETRY_RATE: f64 = 1.0;
 /// Least share of a pool that a daemon reckons with.
-const MIN_LANES: f64 = 0.1;
+const MIN_ENDPOINT_SHARE: f64 = 0.1;
 /// A refused caller is told to wait at least this long.
 const MIN_RETRY_AFTER: Span = Span::millis(200);
 
@@ -115,9 +115,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// The request is over, with this outcome.
-    Over(Outcome),
+    Finished(Outcome),
     /// It waits for another attempt.
-    Again,
+    Retry,
 }
 
 /// Which engine of an attempt an end speaks of.
@@ -131,19 +131,19 @@
 
 /// Where an attempt was.
 #[derive(Clone, Copy, Debug)]
-struct Visit {
+struct Placement {
     endpoint: EndpointKey,
     prefill: Option<EndpointKey>,
-    unanswered: bool,
+    awaiting_first_token: bool,
     sent: Time,
 }
 
-impl Visit {
+impl Placement {
     const fn of(request: &Request, endpoint: EndpointKey, prefill: Option<EndpointKey>) -> Self {
-        Self { endpoint, prefill, unanswered: !request.first_seen, sent: request.sent }
+        Self { endpoint, prefill, awaiting_first_token: !request.first_token_seen, sent: request.sent_at }
     }
 
-    fn blamed(&self, at: Site) -> EndpointKey {
+    fn endpoint_at(&self, at: Site) -> EndpointKey {
         match at {
             Site::Prefill => self.prefill.unwrap_or(self.endpoint),
             Site::Serving => self.endpoint,
@@ -156,17 +156,17 @@
 struct Pool {
     rates: Rates,
     /// This daemon's share of the open endpoints, as of the last tick.
-    lanes: f64,
+    endpoint_share: f64,
     index: PoolIndex,
     queue: Queue,
-    mix: Mix,
+    mix: DemandAverages,
 }
 
 /// The endpoints' rows, apart so that they can be read while others change.
 #[derive(Debug, Default)]
 struct Endpoints(SlotMap<EndpointKey, Endpoint>);
 
-impl Rows for Endpoints {
+impl EndpointRows for Endpoints {
     fn row(&self, key: EndpointKey) -> &Endpoint {
         &self.0[key]
     }
@@ -180,9 +180,9 @@
     endpoints: Endpoints,
     requests: SlotMap<RequestKey, Request>,
     limits: TeamLimits,
-    retries: Bucket,
+    retries: TokenBucket,
     rng: SmallRng,
-    live: usize,
+    live_daemons: usize,
 }
 
 impl Dispatcher {
@@ -195,9 +195,9 @@
             endpoints: Endpoints::default(),
             requests: SlotMap::with_key(),
             limits: TeamLimits::default(),
-            retries: Bucket::new(RETRY_FLOOR, RETRY_BURST, now),
+            retries: TokenBucket::new(MIN_RETRY_RATE, RETRY_BURST, now),
             rng: SmallRng::seed_from_u64(seed),
-            live: 1,
+            live_daemons: 1,
         }
     }
 
@@ -215,11 +215,11 @@
 
     /// Add an endpoint to a pool.
     pub fn add_endpoint(&mut self, name: &str, pool: PoolKey, role: Role) -> EndpointKey {
-        let row = Endpoint::new(name, pool, role, self.pools[pool].rates, self.live);
+        let row = Endpoint::new(name, pool, role, self.pools[pool].rates, self.live_daemons);
         let hash = row.hash;
         let key = self.endpoints.0.insert(row);
         self.pools[pool].index.insert(key, hash, role);
-        self.count_lanes(pool, Time::default());
+        self.update_endpoint_share(pool, Time::default());
         key
     }
 
@@ -228,12 +228,12 @@
         let Some(row) = self.endpoints.0.get_mut(key) else {
             return Vec::new();
         };
-        row.duty = Duty::Leaving;
+        row.admin_state = AdminState::Draining;
         row.removed = true;
         let pool = row.pool;
         self.pools[pool].index.remove(key);
-        if self.requests.values().any(|r| uses(r, key)) {
-            return self.moves(key);
+        if self.requests.values().any(|r| is_placed_on(r, key)) {
+            return self.stop_movable(key);
         }
         self.endpoints.0.remove(key);
         Vec::new()
@@ -263,26 +263,26 @@
 
     /// Requests in the table.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Requests that wait, over all pools.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.pools.values().map(|pool| pool.queue.len()).sum()
     }
 
     /// The demand that arrived at this daemon for `pool`.
     #[must_use]
-    pub fn mix(&self, pool: PoolKey) -> Option<&Mix> {
+    pub fn demand(&self, pool: PoolKey) -> Option<&DemandAverages> {
         self.pools.get(pool).map(|p| &p.mix)
     }
 
     /// Set the teams' rates and the number of live daemons.
-    pub fn set_teams(&mut self, rates: HashMap<String, f64>, live: usize, now: Time) {
-        self.live = live.max(1);
-        self.limits.configure(rates, live, now);
+    pub fn set_team_rates(&mut self, rates: HashMap<String, f64>, live_daemons: usize, now: Time) {
+        self.live_daemons = live_daemons.max(1);
+        self.limits.configure(rates, live_daemons, now);
     }
 
     /// Change an endpoint's role.
@@ -299,25 +299,25 @@
     }
 
     /// Open an endpoint to new work, or close it; the returned actions move what can be moved.
-    pub fn set_duty(&mut self, key: EndpointKey, duty: Duty) -> Vec<Action> {
+    pub fn set_admin_state(&mut self, key: EndpointKey, duty: AdminState) -> Vec<Action> {
         let Some(row) = self.endpoints.0.get_mut(key) else {
             return Vec::new();
         };
-        if row.duty == duty {
+        if row.admin_state == duty {
             return Vec::new();
         }
-        row.duty = duty;
+        row.admin_state = duty;
         match duty {
-            Duty::Serving => Vec::new(),
-            Duty::Leaving => self.moves(key),
+            AdminState::Serving => Vec::new(),
+            AdminState::Draining => self.stop_movable(key),
         }
     }
 
     /// Protected and other attempts that are at `key`, in that order.
     #[must_use]
     pub fn in_flight(&self, key: EndpointKey) -> (usize, usize) {
-        let there = self.requests.values().filter(|r| uses(r, key));
-        let (protected, other): (Vec<_>, Vec<_>) = there.partition(|r| r.spec.kind.protected);
+        let placed = self.requests.values().filter(|r| is_placed_on(r, key));
+        let (protected, other): (Vec<_>, Vec<_>) = placed.partition(|r| r.spec.kind.protected);
         (protected.len(), other.len())
     }
 
@@ -344,18 +344,18 @@
         let key = self.requests.insert(Request {
             spec,
             stage: Stage::Waiting,
-            arrived: now,
-            sent: now,
+            arrived_at: now,
+            sent_at: now,
             delivered: 0,
-            last_token: now,
-            first_seen: false,
-            ends: Vec::new(),
-            avoid: Vec::new(),
-            predicted: 0.0,
+            last_token_at: now,
+            first_token_seen: false,
+            attempt_ends: Vec::new(),
+            avoided: Vec::new(),
+            predicted_first_token: 0.0,
         });
         let pool = &mut self.pools[spec.pool];
-        pool.queue.insert(place(key, &spec));
-        pool.mix.add(spec.prompt_tokens, spec.output_tokens, now);
+        pool.queue.insert(queue_entry(key, &spec));
+        pool.mix.add_request(spec.prompt_tokens, spec.output_tokens, now);
         let gain = self.policy.retry_ratio;
         self.retries.take(-gain, now);
         Ok(key)
@@ -373,10 +373,10 @@
 
     /// Run every system once: stalls, then each pool.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        let mut actions = self.stalled(now);
+        let mut actions = self.stop_stalled(now);
         let pools: Vec<_> = self.pools.keys().collect();
         for pool in pools {
-            self.count_lanes(pool, now);
+            self.update_endpoint_share(pool, now);
             actions.extend(self.pump(pool, now));
         }
         actions
@@ -386,22 +386,22 @@
     pub fn progress(&mut self, key: RequestKey, tokens: u32, now: Time) {
         let Some(request) = self.requests.get_mut(key) else { return };
         let Stage::Running { endpoint, prefill } = request.stage else { return };
-        let since = now.since(request.last_token).as_seconds();
-        request.last_token = now;
+        let since = now.since(request.last_token_at).as_seconds();
+        request.last_token_at = now;
         request.delivered += tokens;
         let configured = self.pools[request.spec.pool].rates;
-        if request.first_seen {
+        if request.first_token_seen {
             if let Some(row) = self.endpoints.0.get_mut(endpoint) {
                 learn_step(row, since, configured.step);
             }
             return;
         }
-        request.first_seen = true;
+        request.first_token_seen = true;
         let at = prefill.unwrap_or(endpoint);
-        let (spec, predicted) = (request.spec, request.predicted);
+        let (spec, predicted) = (request.spec, request.predicted_first_token);
         if let Some(row) = self.endpoints.0.get_mut(at) {
             release_prefill(row, &spec);
-            let work = crate::predict::backlog(row, request.sent) + f64::from(spec.prompt_tokens);
+            let work = crate::predict::backlog(row, request.sent_at) + f64::from(spec.prompt_tokens);
             learn_prefill(row, work, since, configured.prefill);
         }
         let timely = since <= (predicted * 2.0).max(0.25);
@@ -414,43 +414,43 @@
     /// there is nothing to end, and nothing changes.
     pub fn attempt_ended(&mut self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> Next {
         let Some(request) = self.requests.get_mut(key) else {
-            return Next::Over(Outcome::Unknown);
+            return Next::Finished(Outcome::Unknown);
         };
         let spec = request.spec;
         let Stage::Running { endpoint, prefill } = request.stage else {
-            return Next::Again;
+            return Next::Retry;
         };
-        let visit = Visit::of(request, endpoint, prefill);
+        let placement = Placement::of(request, endpoint, prefill);
         // Whoever delivered a token cannot vouch that nothing ran.
-        let end = if request.first_seen && end.surely_not_run() { AttemptEnd::Broken } else { end };
-        request.ends.push(end);
+        let end = if request.first_token_seen && end.is_certainly_not_run() { AttemptEnd::Broken } else { end };
+        request.attempt_ends.push(end);
         if end != AttemptEnd::Whole && end != AttemptEnd::Cancelled {
-            request.avoid.push(visit.blamed(at));
+            request.avoided.push(placement.endpoint_at(at));
         }
-        self.leave(&visit, &spec, end, at, now);
+        self.finish_placement(&placement, &spec, end, at, now);
         let request = &self.requests[key];
-        let outcome = combine(&request.ends);
+        let outcome = combined_outcome(&request.attempt_ends);
         let may_repeat = spec.kind.repeatable || outcome == Outcome::NotRun;
         let over = matches!(end, AttemptEnd::Whole | AttemptEnd::Rejected)
             || !may_repeat
             || spec.deadline.is_past(now)
-            || request.attempt() >= self.policy.attempts;
+            || request.attempt_number() >= self.policy.max_attempts;
         if over || !self.may_retry(end, now) {
             self.requests.remove(key);
-            return Next::Over(outcome);
+            return Next::Finished(outcome);
         }
         self.requeue(key);
-        Next::Again
+        Next::Retry
     }
 
     /// The caller went away, or the driver gives the request up: forget it.
-    pub fn abandon(&mut self, key: RequestKey, now: Time) {
+    pub fn cancel(&mut self, key: RequestKey, now: Time) {
         let Some(request) = self.requests.remove(key) else { return };
         match request.stage {
-            Stage::Waiting => self.pools[request.spec.pool].queue.remove(&place(key, &request.spec)),
+            Stage::Waiting => self.pools[request.spec.pool].queue.remove(&queue_entry(key, &request.spec)),
             Stage::Running { endpoint, prefill } => {
-                let visit = Visit::of(&request, endpoint, prefill);
-                self.leave(&visit, &request.spec, AttemptEnd::Cancelled, Site::Serving, now);
+                let placement = Placement::of(&request, endpoint, prefill);
+                self.finish_placement(&placement, &request.spec, AttemptEnd::Cancelled, Site::Serving, now);
             }
         }
     }
@@ -464,36 +464,36 @@
     fn requeue(&mut self, key: RequestKey) {
         let request = &mut self.requests[key];
         request.stage = Stage::Waiting;
-        request.first_seen = false;
+        request.first_token_seen = false;
         let spec = request.spec;
-        let others = self.pools[spec.pool].index.serving().any(|k| !request.avoid.contains(&k));
+        let others = self.pools[spec.pool].index.serving_endpoints().any(|k| !request.avoided.contains(&k));
         if !others {
-            request.avoid.clear();
+            request.avoided.clear();
         }
-        self.pools[spec.pool].queue.insert(place(key, &spec));
+        self.pools[spec.pool].queue.insert(queue_entry(key, &spec));
     }
 
-    fn leave(&mut self, visit: &Visit, spec: &RequestSpec, end: AttemptEnd, at: Site, now: Time) {
-        let worker = visit.prefill.unwrap_or(visit.endpoint);
-        if visit.unanswered
-            && let Some(row) = self.endpoints.0.get_mut(worker)
+    fn finish_placement(&mut self, placement: &Placement, spec: &RequestSpec, end: AttemptEnd, at: Site, now: Time) {
+        let prefiller = placement.prefill.unwrap_or(placement.endpoint);
+        if placement.awaiting_first_token
+            && let Some(row) = self.endpoints.0.get_mut(prefiller)
         {
             release_prefill(row, spec);
         }
-        let blamed = visit.blamed(at);
-        for key in visit.prefill.into_iter().chain([visit.endpoint]) {
+        let faulty = placement.endpoint_at(at);
+        for key in placement.prefill.into_iter().chain([placement.endpoint]) {
             let Some(row) = self.endpoints.0.get_mut(key) else { continue };
-            row.window.ended();
+            row.window.record_end();
             match end {
                 AttemptEnd::Whole => {
-                    row.health.success();
-                    learn_plain(row, now.since(visit.sent));
+                    row.health.record_success();
+                    learn_plain(row, now.since(placement.sent));
                 }
-                end if end.is_fault() && key == blamed => {
-                    row.health.fault(now);
+                end if end.is_fault() && key == faulty => {
+                    row.health.record_fault(now);
                     row.window.adapt(false);
                 }
-                _ => row.health.probe_ended(),
+                _ => row.health.end_probe(),
             }
             self.forget_if_removed(key);
         }
@@ -519,7 +519,7 @@
                 }
                 // Others behind it may still differ in adapter or urgency; one miss of a
                 // common kind means that the pool is full.
-                Err(_) if urgent || request.spec.adapter != 0 || !request.avoid.is_empty() => {}
+                Err(_) if urgent || request.spec.adapter != 0 || !request.avoided.is_empty() => {}
                 Err(_) => break,
             }
         }
@@ -528,7 +528,7 @@
     fn send_or_refuse(&mut self, key: RequestKey, choice: Choice, now: Time, actions: &mut Vec<Action>) {
         let request = &self.requests[key];
         let left = request.spec.deadline.since(now).as_seconds();
-        let late = choice.chosen.prediction.whole * self.policy.refuse_margin > left;
+        let late = choice.chosen.prediction.total * self.policy.refuse_margin > left;
         if self.policy.admission && late && request.delivered == 0 {
             self.refuse(key, Refusal::TooLate, choice.candidates, now, actions);
             return;
@@ -540,20 +540,20 @@
         let Candidate { endpoint, prefill, prediction, .. } = choice.chosen;
         let request = &mut self.requests[key];
         request.stage = Stage::Running { endpoint, prefill };
-        request.sent = now;
-        request.last_token = now;
-        request.predicted = prediction.first;
+        request.sent_at = now;
+        request.last_token_at = now;
+        request.predicted_first_token = prediction.first_token;
         let spec = request.spec;
-        let attempt = request.attempt();
-        self.pools[spec.pool].queue.remove(&place(key, &spec));
+        let attempt = request.attempt_number();
+        self.pools[spec.pool].queue.remove(&queue_entry(key, &spec));
         let at = &mut self.endpoints.0[prefill.unwrap_or(endpoint)];
         let tokens = uncached(at, &spec);
-        at.own_prefill += tokens;
-        at.own_since += tokens;
-        at.remember(spec.prefix, now);
+        at.own_prefill_tokens += tokens;
+        at.own_tokens_since_report += tokens;
+        at.add_prefix(spec.prefix, now);
         for row in prefill.into_iter().chain([endpoint]) {
-            self.endpoints.0[row].window.sent();
-            self.endpoints.0[row].health.sent();
+            self.endpoints.0[row].window.record_sent();
+            self.endpoints.0[row].health.record_sent();
         }
         actions.push(Action::Send { request: key, attempt, choice });
     }
@@ -568,39 +568,39 @@
     ) {
         let Some(request) = self.requests.remove(key) else { return };
         let pool = &mut self.pools[request.spec.pool];
-        pool.queue.remove(&place(key, &request.spec));
-        let lanes = self.pools[request.spec.pool].lanes;
-        let ahead = self.queued_cost(request.spec.pool) / lanes;
+        pool.queue.remove(&queue_entry(key, &request.spec));
+        let endpoint_share = self.pools[request.spec.pool].endpoint_share;
+        let ahead = self.queued_cost(request.spec.pool) / endpoint_share;
         actions.push(Action::Refuse {
             request: key,
-            outcome: combine(&request.ends),
+            outcome: combined_outcome(&request.attempt_ends),
             reason,
             retry_at: now + Span::seconds(ahead).max(MIN_RETRY_AFTER),
             candidates,
         });
     }
 
-    fn stalled(&self, now: Time) -> Vec<Action> {
-        let limit = |r: &Request| self.policy.stall.max(Span::seconds(r.predicted * 3.0));
+    fn stop_stalled(&self, now: Time) -> Vec<Action> {
+        let limit = |r: &Request| self.policy.stall_timeout.max(Span::seconds(r.predicted_first_token * 3.0));
         self.requests
             .iter()
             .filter(|(_, r)| matches!(r.stage, Stage::Running { .. }))
-            .filter(|(_, r)| (r.last_token + limit(r)).is_past(now))
+            .filter(|(_, r)| (r.last_token_at + limit(r)).is_past(now))
             .map(|(request, _)| Action::Stop { request, end: AttemptEnd::Stalled })
             .collect()
     }
 
     /// Stop what may be moved away from `key`: repeatable and not protected.
-    fn moves(&self, key: EndpointKey) -> Vec<Action> {
+    fn stop_movable(&self, key: EndpointKey) -> Vec<Action> {
         self.requests
             .iter()
-            .filter(|(_, r)| uses(r, key) && r.spec.kind.repeatable && !r.spec.kind.protected)
+            .filter(|(_, r)| is_placed_on(r, key) && r.spec.kind.repeatable && !r.spec.kind.protected)
             .map(|(request, _)| Action::Stop { request, end: AttemptEnd::Cancelled })
             .collect()
     }
 }
 
-fn uses(request: &Request, key: EndpointKey) -> bool {
+fn is_placed_on(request: &Request, key: EndpointKey) -> bool {
     match request.stage {
         Stage::Running { endpoint, prefill } => endpoint == key || prefill == Some(key),
         Stage::Waiting => false,
@@ -609,10 +609,10 @@
 
 fn release_prefill(row: &mut Endpoint, spec: &RequestSpec) {
     let tokens = f64::from(spec.prompt_tokens);
-    row.own_prefill = (row.own_prefill - tokens).max(0.0);
+    row.own_prefill_tokens = (row.own_prefill_tokens - tokens).max(0.0);
 }
 
-fn place(key: RequestKey, spec: &RequestSpec) -> Place {
+fn queue_entry(key: RequestKey, spec: &RequestSpec) -> QueueEntry {
     let urgent = spec.kind.is_urgent().then_some(spec.kind.priority);
-    Place::new(urgent, spec.deadline, key)
+    QueueEntry::new(urgent, spec.deadline, key)
 }
--- a/crates/core/src/dispatch/shed.rs
+++ b/crates/core/src/dispatch/shed.rs
@@ -1,9 +1,9 @@
 //! What the waiting work costs, and what is given up of it.
 
-use super::{Action, Dispatcher, MIN_LANES, Refusal};
+use super::{Action, Dispatcher, MIN_ENDPOINT_SHARE, Refusal};
 use crate::{
     endpoint::PoolKey,
-    queue::{Job, hopeless},
+    queue::{Job, jobs_to_drop},
     request::{Request, RequestKey},
     time::Time,
 };
@@ -15,7 +15,7 @@
             return;
         }
         let jobs: Vec<_> = self.pools[pool].queue.iter().map(|key| self.job(key, now)).collect();
-        for key in hopeless(&jobs, self.pools[pool].lanes) {
+        for key in jobs_to_drop(&jobs, self.pools[pool].endpoint_share) {
             self.refuse(key, Refusal::TooLate, Vec::new(), now, actions);
         }
     }
@@ -25,11 +25,11 @@
         let spec = &request.spec;
         let rates = self.pools[spec.pool].rates;
         let alone = f64::from(spec.prompt_tokens) / rates.prefill
-            + f64::from(request.remaining()) * (rates.step + rates.step_per_seq);
+            + f64::from(request.remaining_tokens()) * (rates.step + rates.step_per_seq);
         Job {
             key,
             cost: self.cost(request),
-            due: spec.deadline.since(now).as_seconds() - alone,
+            start_by: spec.deadline.since(now).as_seconds() - alone,
             weight: spec.kind.weight,
             can_drop: request.delivered == 0,
         }
@@ -40,17 +40,17 @@
         let rates = self.pools[request.spec.pool].rates;
         let slots = f64::from(rates.slots.max(1));
         let each = (rates.step + rates.step_per_seq * slots) / slots;
-        f64::from(request.spec.prompt_tokens) / rates.prefill + f64::from(request.remaining()) * each
+        f64::from(request.spec.prompt_tokens) / rates.prefill + f64::from(request.remaining_tokens()) * each
     }
 
     pub(super) fn queued_cost(&self, pool: PoolKey) -> f64 {
         self.pools[pool].queue.iter().map(|key| self.cost(&self.requests[key])).sum()
     }
 
-    pub(super) fn count_lanes(&mut self, pool: PoolKey, now: Time) {
+    pub(super) fn update_endpoint_share(&mut self, pool: PoolKey, now: Time) {
         let index = &self.pools[pool].index;
-        let all = index.serving().chain(index.prefilling().iter().copied());
+        let all = index.serving_endpoints().chain(index.prefill_endpoints().iter().copied());
         let open = all.filter(|key| self.endpoints.0[*key].is_open(now)).count();
-        self.pools[pool].lanes = (open as f64 / self.live as f64).max(MIN_LANES);
+        self.pools[pool].endpoint_share = (open as f64 / self.live_daemons as f64).max(MIN_ENDPOINT_SHARE);
     }
 }
--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -5,7 +5,7 @@
 /// Faults in a row that eject an endpoint.
 const FAULTS_TO_EJECT: u32 = 3;
 /// The first ejection's length.
-const FIRST_WAIT: Span = Span::millis(500);
+const BASE_EJECTION_TIME: Span = Span::millis(500);
 /// Doublings of the wait at most.
 const MAX_DOUBLINGS: u32 = 6;
 
@@ -14,21 +14,21 @@
 pub struct Health {
     faults: u32,
     ejections: u32,
-    out_until: Time,
+    ejected_until: Time,
     probing: bool,
 }
 
 impl Health {
     /// Note an attempt that ended well.
-    pub const fn success(&mut self) {
+    pub const fn record_success(&mut self) {
         self.faults = 0;
         self.ejections = 0;
         self.probing = false;
     }
 
     /// Note a fault; returns whether the endpoint is ejected by it.
-    pub fn fault(&mut self, now: Time) -> bool {
-        if !self.out_until.is_past(now) {
+    pub fn record_fault(&mut self, now: Time) -> bool {
+        if !self.ejected_until.is_past(now) {
             return false;
         }
         self.faults += 1;
@@ -43,8 +43,8 @@
     ///
     /// Returns whether this ejects it. Calls that were under way when it was ejected fail after
     /// that; they say nothing new.
-    pub fn unreachable(&mut self, now: Time) -> bool {
-        let ejects = self.out_until.is_past(now);
+    pub fn record_unreachable(&mut self, now: Time) -> bool {
+        let ejects = self.ejected_until.is_past(now);
         if ejects {
             self.eject(now);
         }
@@ -53,33 +53,33 @@
 
     /// Whether new work may go there at `now`; one probe at a time after an ejection.
     #[must_use]
-    pub const fn allows(&self, now: Time) -> bool {
-        self.out_until.is_past(now) && !self.probing
+    pub const fn is_available(&self, now: Time) -> bool {
+        self.ejected_until.is_past(now) && !self.probing
     }
 
     /// Note that an attempt is sent; after an ejection it counts as the probe.
-    pub const fn sent(&mut self) {
+    pub const fn record_sent(&mut self) {
         if self.ejections > 0 {
             self.probing = true;
         }
     }
 
     /// Note that the probe ended without a verdict.
-    pub const fn probe_ended(&mut self) {
+    pub const fn end_probe(&mut self) {
         self.probing = false;
     }
 
     /// When the ejection ends, if one is in force at `now`.
     #[must_use]
     pub fn ejected_until(&self, now: Time) -> Option<Time> {
-        (!self.out_until.is_past(now)).then_some(self.out_until)
+        (!self.ejected_until.is_past(now)).then_some(self.ejected_until)
     }
 
     fn eject(&mut self, now: Time) {
-        let wait = Span(FIRST_WAIT.0 << self.ejections.min(MAX_DOUBLINGS));
+        let wait = Span(BASE_EJECTION_TIME.0 << self.ejections.min(MAX_DOUBLINGS));
         self.ejections += 1;
         self.faults = 0;
         self.probing = false;
-        self.out_until = now + wait;
+        self.ejected_until = now + wait;
     }
 }
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -33,11 +33,11 @@
 
 /// Whether new work may go to an endpoint, apart from its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum AdminState {
     /// It serves.
     Serving,
     /// It is leaving or about to change; no new work.
-    Leaving,
+    Draining,
 }
 
 /// What an endpoint said of its load.
@@ -85,17 +85,17 @@
     /// Its role.
     pub role: Role,
     /// Whether new work may go there.
-    pub duty: Duty,
+    pub admin_state: AdminState,
     /// Its last report.
     pub report: LoadReport,
     /// When that report was true, by this daemon's clock.
     pub report_at: Time,
     /// Prompt tokens sent by this daemon that have not had a first token.
-    pub own_prefill: f64,
+    pub own_prefill_tokens: f64,
     /// Of `own_prefill`, what was sent after the report was true.
-    pub own_since: f64,
+    pub own_tokens_since_report: f64,
     /// What peers said they have in flight there: prompt tokens.
-    pub peer_prefill: f64,
+    pub peer_prefill_tokens: f64,
     /// Rates as learned.
     pub rates: Rates,
     /// The adaptive window.
@@ -125,12 +125,12 @@
             hash: crate::hash::bytes(name.as_bytes()),
             pool,
             role,
-            duty: Duty::Serving,
+            admin_state: AdminState::Serving,
             report: LoadReport::default(),
             report_at: Time::default(),
-            own_prefill: 0.0,
-            own_since: 0.0,
-            peer_prefill: 0.0,
+            own_prefill_tokens: 0.0,
+            own_tokens_since_report: 0.0,
+            peer_prefill_tokens: 0.0,
             rates,
             window: Window::new(start, start),
             health: Health::default(),
@@ -147,18 +147,18 @@
         }
         self.report = report;
         self.report_at = at;
-        self.own_since = 0.0;
+        self.own_tokens_since_report = 0.0;
         true
     }
 
     /// Whether new work may go there at `now`.
     #[must_use]
     pub fn is_open(&self, now: Time) -> bool {
-        self.duty == Duty::Serving && self.health.allows(now)
+        self.admin_state == AdminState::Serving && self.health.is_available(now)
     }
 
     /// Remember that `prefix` was sent there.
-    pub fn remember(&mut self, prefix: u64, now: Time) {
+    pub fn add_prefix(&mut self, prefix: u64, now: Time) {
         if self.prefixes.len() >= MAX_PREFIXES && !self.prefixes.contains_key(&prefix) {
             let oldest = self.prefixes.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key);
             if let Some(key) = oldest {
@@ -169,7 +169,7 @@
     }
 
     /// Correct the belief about `prefix` from a cache event.
-    pub fn evicted(&mut self, prefix: u64) {
+    pub fn remove_prefix(&mut self, prefix: u64) {
         self.prefixes.remove(&prefix);
     }
 }
--- a/crates/core/src/fleet/cache.rs
+++ b/crates/core/src/fleet/cache.rs
@@ -27,7 +27,7 @@
     /// Tokens at the beginning of `prompt` that need not be read again.
     #[must_use]
     pub fn held_tokens(&self, prompt: &Prompt) -> u32 {
-        let held = prompt.parts.iter().take_while(|part| self.parts.contains_key(&part.chain));
+        let held = prompt.parts.iter().take_while(|part| self.parts.contains_key(&part.prefix_hash));
         held.map(|part| part.tokens).sum()
     }
 
@@ -42,11 +42,11 @@
 
     fn touch(&mut self, part: Part) {
         self.uses += 1;
-        if let Some((tokens, at)) = self.parts.insert(part.chain, (part.tokens, self.uses)) {
+        if let Some((tokens, at)) = self.parts.insert(part.prefix_hash, (part.tokens, self.uses)) {
             self.by_use.remove(&at);
             self.held -= u64::from(tokens);
         }
-        self.by_use.insert(self.uses, part.chain);
+        self.by_use.insert(self.uses, part.prefix_hash);
         self.held += u64::from(part.tokens);
     }
 
--- a/crates/core/src/fleet/candidates.rs
+++ b/crates/core/src/fleet/candidates.rs
@@ -63,9 +63,9 @@
     /// Note that a replica reads these parts.
     pub(super) fn read(&mut self, key: ReplicaKey, parts: &[Part]) {
         for part in parts {
-            let holders = self.holders.entry(part.chain).or_default();
+            let holders = self.holders.entry(part.prefix_hash).or_default();
             if holders.is_empty() {
-                self.parts.push_back(part.chain);
+                self.parts.push_back(part.prefix_hash);
             }
             holders.retain(|other| *other != key);
             holders.push_back(key);
@@ -97,7 +97,7 @@
         sample.extend(drawn(&members.in_hall, SAMPLE_IN_HALL, draw));
         sample.extend(drawn(&members.all, SAMPLE_ANYWHERE, !draw));
         let parts = prompt.into_iter().flat_map(|prompt| &prompt.parts);
-        sample.extend(parts.filter_map(|part| self.holders.get(&part.chain)).flatten());
+        sample.extend(parts.filter_map(|part| self.holders.get(&part.prefix_hash)).flatten());
         sample.sort_unstable();
         sample.dedup();
         sample
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -112,7 +112,7 @@
         };
         let rows = candidates.into_iter().filter_map(|key| Some((key, self.replicas.get(key)?)));
         let is_available = |(key, replica): &(ReplicaKey, &Replica)| {
-            replica.is_open(now) && replica.health.allows(now) && !req.tried.contains(key)
+            replica.is_open(now) && replica.health.is_available(now) && !req.tried.contains(key)
         };
         rows.filter(is_available).collect()
     }
@@ -131,7 +131,7 @@
     /// Milliseconds of reading at once that do not hold up the streams beside it for too long.
     fn bearable_pause_ms(&self, service: &str, engine: &EngineModel) -> f64 {
         let pause = self.services.get(service).and_then(|state| state.pause);
-        let pause_ms = pause.map_or(self.policy.pause_ms, Span::in_millis);
+        let pause_ms = pause.map_or(self.policy.pause_ms, Span::as_millis_f64);
         let room = pause_ms - engine.pace.interval_ms();
         (room * self.policy.pause_share).max(SHORT_READ_MS)
     }
@@ -167,7 +167,7 @@
         };
         let read = self.read_of(prompt);
         let urgent = self.engines(&read).ok_or_else(|| self.no_plan())?;
-        let in_time_ms = self.req.objective_left.in_millis() * self.admit_share();
+        let in_time_ms = self.req.objective_left.as_millis_f64() * self.admit_share();
         if urgent.predicted_ms() - self.relief_ms(&urgent, prompt) <= in_time_ms {
             return Ok(urgent);
         }
@@ -181,7 +181,9 @@
     /// The reason why no replica can be chosen.
     fn no_plan(&self) -> NoPlan {
         match self.fleet.time_until_accepted(self.req, self.now) {
-            Some(wait) if wait > Span(0) => NoPlan::RateLimited { come_back: come_back(self.req, wait.in_millis()) },
+            Some(wait) if wait > Span(0) => {
+                NoPlan::RateLimited { come_back: come_back(self.req, wait.as_millis_f64()) }
+            }
             _ => NoPlan::NoReplica,
         }
     }
@@ -218,7 +220,7 @@
             engine: self.fleet.engine(self.req.service),
             holder: self.holder(prompt),
             late: false,
-            long: self.fleet.is_long(self.req.service, prompt.output),
+            long: self.fleet.is_long(self.req.service, prompt.max_output),
         }
     }
 
@@ -394,7 +396,7 @@
 /// The plan, or a refusal if it is predicted to take longer than `limit`.
 fn within(limit: Span, plan: Plan, req: &RouteRequest<'_>) -> Result<Plan, NoPlan> {
     let predicted_ms = plan.predicted_ms();
-    let over_ms = predicted_ms - limit.in_millis();
+    let over_ms = predicted_ms - limit.as_millis_f64();
     if req.may_refuse && over_ms > 0.0 {
         let come_back = come_back(req, over_ms);
         return Err(NoPlan::TooLate { plan: Box::new(plan), predicted_ms: predicted_ms as u64, come_back });
--- a/crates/core/src/fleet/distance.rs
+++ b/crates/core/src/fleet/distance.rs
@@ -44,7 +44,7 @@
     pub(super) fn learn(&mut self, key: HallKey, took: Span) {
         if let Some(hall) = self.halls.get_mut(key.0) {
             let longest = if hall.seen >= ENOUGH { hall.round_trip_ms.value() * LONGEST } else { f64::INFINITY };
-            hall.round_trip_ms.learn(took.in_millis().min(longest));
+            hall.round_trip_ms.learn(took.as_millis_f64().min(longest));
             hall.seen = hall.seen.saturating_add(1);
         }
     }
--- a/crates/core/src/fleet/engine/answer_pace.rs
+++ b/crates/core/src/fleet/engine/answer_pace.rs
@@ -86,8 +86,8 @@
     /// while that is not known.
     #[must_use]
     pub fn likely_events(&self, prompt: &Prompt, lengths_known: bool) -> Option<f64> {
-        let most = self.most_events(prompt.output, lengths_known)?;
-        let likely = prompt.guess.map(|guess| self.events_of(guess) * self.over_guess.value());
+        let most = self.most_events(prompt.max_output, lengths_known)?;
+        let likely = prompt.output_hint.map(|guess| self.events_of(guess) * self.over_guess.value());
         Some(likely.unwrap_or(most).min(most).max(1.0))
     }
 
@@ -110,13 +110,13 @@
     /// Milliseconds between two events on average at which few streams pause for longer than this.
     #[must_use]
     pub fn steady_ms(&self, pause: Span) -> f64 {
-        pause.in_millis() / self.pause_factor.value().max(1.0)
+        pause.as_millis_f64() / self.pause_factor.value().max(1.0)
     }
 
     /// Learn how long the longest interval of a whole stream was.
     pub fn learn_pause(&mut self, events: u64, interval: Span, longest: Span) {
         if events >= PAUSE_EVENTS && longest >= interval {
-            self.pause_factor.learn(longest.in_millis() / interval.in_millis().max(f64::MIN_POSITIVE));
+            self.pause_factor.learn(longest.as_millis_f64() / interval.as_millis_f64().max(f64::MIN_POSITIVE));
         }
     }
 
@@ -138,7 +138,7 @@
     pub fn learn(&mut self, interval: Span, answers: u32, slowness: f64) -> f64 {
         let terms = terms(f64::from(answers));
         let usual_ms = self.fit.expect(&terms).max(f64::MIN_POSITIVE);
-        let seen_ms = interval.in_millis();
+        let seen_ms = interval.as_millis_f64();
         let longest_ms = usual_ms * slowness * LONGEST;
         let counted_ms = if self.is_known() { seen_ms.min(longest_ms) } else { seen_ms };
         self.fit.learn(&terms, counted_ms / slowness);
--- a/crates/core/src/fleet/engine/event_pace.rs
+++ b/crates/core/src/fleet/engine/event_pace.rs
@@ -30,6 +30,6 @@
 
     /// Learn from the time between two events.
     pub fn learn(&mut self, interval: Span) {
-        self.interval_ms.learn(interval.in_millis().min(self.interval_ms() * LONGEST));
+        self.interval_ms.learn(interval.as_millis_f64().min(self.interval_ms() * LONGEST));
     }
 }
--- a/crates/core/src/fleet/engine/hand_over.rs
+++ b/crates/core/src/fleet/engine/hand_over.rs
@@ -53,7 +53,7 @@
 
     /// Learn from a hand-over.
     pub fn learn(&mut self, moved: Moved, took: Span) {
-        self.fit.learn(&moved.terms(), took.in_millis());
+        self.fit.learn(&moved.terms(), took.as_millis_f64());
     }
 
     /// Observations.
--- a/crates/core/src/fleet/engine/read_time.rs
+++ b/crates/core/src/fleet/engine/read_time.rs
@@ -69,7 +69,7 @@
 
     /// Learn from a reading by a prefill engine that had nothing else to read.
     pub fn learn(&mut self, reading: Reading, took: Span) {
-        self.fit.learn(&reading.terms(), took.in_millis());
+        self.fit.learn(&reading.terms(), took.as_millis_f64());
     }
 
     /// Learn from a reading by a decode engine that had nothing else to read.
@@ -79,7 +79,7 @@
             return;
         }
         let most = self.decode_factor() * 2.0;
-        self.decode_factor.learn((took.in_millis() / usual).clamp(DECODE_BOUNDS.0, most));
+        self.decode_factor.learn((took.as_millis_f64() / usual).clamp(DECODE_BOUNDS.0, most));
         self.decode_factor.clamp(DECODE_BOUNDS);
     }
 
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -284,7 +284,7 @@
         let state = self.service_mut(service);
         if plan.is_long() && !req.returned {
             let lengths_from = state.long.map_or(now + req.time_left, |long| long.lengths_from);
-            let tokens = req.prompt.map_or(0, |prompt| prompt.output);
+            let tokens = req.prompt.map_or(0, |prompt| prompt.max_output);
             state.long = Some(LongAnswers { limit: req.time_left, tokens, lengths_from });
         }
         if let Some(prompt) = req.prompt.filter(|_| !plan.is_long()) {
@@ -311,8 +311,8 @@
         }
         let alone = replica.own.reading_ms + replica.peers.reading_ms <= 0.0;
         let beside = replica.streams();
-        let output = prompt.map_or(0, |prompt| prompt.output);
-        let guess = prompt.and_then(|prompt| prompt.guess);
+        let output = prompt.map_or(0, |prompt| prompt.max_output);
+        let guess = prompt.and_then(|prompt| prompt.output_hint);
         let load = Load {
             reading_ms: step.work_ms,
             late_ms: if step.late { step.work_ms } else { 0.0 },
@@ -320,7 +320,7 @@
             streams: u32::from(step.long),
         };
         replica.own = replica.own.plus(load);
-        replica.health.sent();
+        replica.health.record_sent();
         self.reportable.insert(key);
         if let Some(prompt) = prompt {
             replica.cache.read(&prompt.parts);
@@ -357,10 +357,10 @@
             replica.own.late_ms = 0.0;
         }
         match end {
-            StepEnd::Done => replica.health.success(),
-            StepEnd::Failed => return replica.health.fault(now),
-            StepEnd::Silent => return replica.health.unreachable(now),
-            StepEnd::Rejected | StepEnd::Unknown => replica.health.probe_ended(),
+            StepEnd::Done => replica.health.record_success(),
+            StepEnd::Failed => return replica.health.record_fault(now),
+            StepEnd::Silent => return replica.health.record_unreachable(now),
+            StepEnd::Rejected | StepEnd::Unknown => replica.health.end_probe(),
         }
         false
     }
@@ -380,7 +380,7 @@
         self.reportable.extend(key);
         let replica = key.and_then(|key| self.replicas.get_mut(key));
         let replica = replica.filter(|replica| replica.facts.is_same_start(facts));
-        replica.is_some_and(|replica| replica.health.unreachable(now))
+        replica.is_some_and(|replica| replica.health.record_unreachable(now))
     }
 
     /// Apply the rate limit, or its absence, from an answer of this start of a replica to a request that was sent at
@@ -443,7 +443,7 @@
         replica.learn_slowness(sent.expected_ms, took, now);
         let service = Arc::clone(&replica.facts.service);
         let state = self.service_mut(&service);
-        state.plain_ms += LEARN_PLAIN * (took.in_millis() - state.plain_ms);
+        state.plain_ms += LEARN_PLAIN * (took.as_millis_f64() - state.plain_ms);
     }
 
     /// How to treat a request, by the replicas that ended under it.
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -64,7 +64,9 @@
         let lengths_known = state.long.is_some_and(|long| long.lengths_from.is_past(now));
         let likely = req.prompt.and_then(|prompt| pace.likely_events(prompt, lengths_known));
         let bearable_ms = match likely {
-            Some(events) => (req.time_left.in_millis() * self.policy.answer_share / events).min(Self::steady_ms(state)),
+            Some(events) => {
+                (req.time_left.as_millis_f64() * self.policy.answer_share / events).min(Self::steady_ms(state))
+            }
             // However long they are, they end soonest where they go on fastest.
             None => pace.interval_ms(0.0),
         };
@@ -83,7 +85,7 @@
         let pace = &state.engine.answers;
         let long = state.long.filter(|_| pace.is_known())?;
         let events = pace.most_events(long.tokens, long.lengths_from.is_past(now))?;
-        let in_time_ms = long.limit.in_millis() * self.policy.answer_share / events;
+        let in_time_ms = long.limit.as_millis_f64() * self.policy.answer_share / events;
         Some(pace.answers_within(in_time_ms.min(Self::steady_ms(state))))
     }
 
@@ -101,6 +103,6 @@
         let Some(events) = pace.most_events(long.tokens, long.lengths_from.is_past(now)) else {
             return true;
         };
-        replica.interval_ms(pace, replica.streams()) * events <= long.limit.in_millis() * self.policy.answer_share
+        replica.interval_ms(pace, replica.streams()) * events <= long.limit.as_millis_f64() * self.policy.answer_share
     }
 }
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -151,7 +151,7 @@
     /// A note of a prompt that is read at this start of a replica.
     #[must_use]
     pub fn new(start_id: u32, prompt: &Prompt) -> Self {
-        Self { replica: start_id, parts: prompt.parts.iter().map(|part| (part.chain, part.tokens)).collect() }
+        Self { replica: start_id, parts: prompt.parts.iter().map(|part| (part.prefix_hash, part.tokens)).collect() }
     }
 }
 
@@ -262,7 +262,7 @@
             let Some(key) = self.by_hash.get(&note.replica).copied() else { continue };
             if let Some(replica) = self.replicas.get_mut(key) {
                 let parts: Vec<Part> =
-                    note.parts.iter().map(|(chain, tokens)| Part { chain: *chain, tokens: *tokens }).collect();
+                    note.parts.iter().map(|(chain, tokens)| Part { prefix_hash: *chain, tokens: *tokens }).collect();
                 replica.cache.read(&parts);
                 self.candidates.read(key, &parts);
             }
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -263,7 +263,7 @@
 
     /// Learn from work that took `took` where `expected_ms` was predicted for a usual replica.
     pub fn learn_slowness(&mut self, expected_ms: f64, took: Span, now: Time) {
-        let seen = took.in_millis() / expected_ms.max(1.0);
+        let seen = took.as_millis_f64() / expected_ms.max(1.0);
         let before = self.slowness(now);
         let next = before + LEARN_SLOWNESS * (seen - before);
         self.slowness = next.clamp(SLOWNESS.0, SLOWNESS.1);
--- a/crates/core/src/frame.rs
+++ b/crates/core/src/frame.rs
@@ -35,14 +35,14 @@
 pub struct Assembly {
     request: String,
     attempt: u32,
-    next: u32,
+    next_position: u32,
 }
 
 impl Assembly {
     /// An assembly that expects position zero of attempt `attempt`.
     #[must_use]
     pub const fn new(request: String, attempt: u32) -> Self {
-        Self { request, attempt, next: 0 }
+        Self { request, attempt, next_position: 0 }
     }
 
     /// Go on with another attempt, from the tokens already delivered.
@@ -53,7 +53,7 @@
     /// How many tokens have been delivered.
     #[must_use]
     pub const fn delivered(&self) -> u32 {
-        self.next
+        self.next_position
     }
 
     /// Judge a frame that carries `tokens` tokens, and advance if it is the next.
@@ -61,19 +61,19 @@
         if id.request != self.request || id.attempt != self.attempt {
             return Verdict::Foreign;
         }
-        if id.position < self.next {
+        if id.position < self.next_position {
             return Verdict::Duplicate;
         }
-        if id.position > self.next {
+        if id.position > self.next_position {
             return Verdict::Gap;
         }
-        self.next += tokens;
+        self.next_position += tokens;
         Verdict::Deliver
     }
 
     /// Whether an end mark that names `total` tokens closes a whole answer.
     #[must_use]
     pub fn is_whole(&self, id: &FrameId) -> bool {
-        id.request == self.request && id.attempt == self.attempt && id.position == self.next
+        id.request == self.request && id.attempt == self.attempt && id.position == self.next_position
     }
 }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -41,7 +41,7 @@
 
     /// Of `listed` entry VMs, this one among them, `reachable` answer; the last answer to this
     /// daemon's own question was asked for at `contact_at`.
-    pub const fn count(&mut self, reachable: usize, listed: usize, contact_at: Time) {
+    pub const fn set_reachable(&mut self, reachable: usize, listed: usize, contact_at: Time) {
         self.reachable = reachable;
         self.listed = listed;
         self.contact_at = Some(contact_at);
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use crate::{bucket::Bucket, time::Time};
+use crate::{bucket::TokenBucket, time::Time};
 
 /// Seconds of a team's rate that may come at once.
 const BURST_SECONDS: f64 = 2.0;
@@ -15,23 +15,23 @@
 #[derive(Debug, Default)]
 pub struct TeamLimits {
     rates: HashMap<String, f64>,
-    buckets: HashMap<String, Bucket>,
-    live: usize,
+    buckets: HashMap<String, TokenBucket>,
+    live_daemons: usize,
 }
 
 impl TeamLimits {
     /// Set the teams' whole rates, in requests a second, and the number of live daemons.
-    pub fn configure(&mut self, rates: HashMap<String, f64>, live: usize, now: Time) {
-        self.live = live.max(1);
+    pub fn configure(&mut self, rates: HashMap<String, f64>, live_daemons: usize, now: Time) {
+        self.live_daemons = live_daemons.max(1);
         self.buckets.retain(|team, _| rates.contains_key(team));
         self.rates = rates;
         for (team, rate) in &self.rates {
-            let share = rate / self.live as f64;
+            let share = rate / self.live_daemons as f64;
             let burst = (share * BURST_SECONDS).max(1.0);
             self.buckets
                 .entry(team.clone())
                 .and_modify(|bucket| bucket.resize(share, burst, now))
-                .or_insert_with(|| Bucket::new(share, burst, now));
+                .or_insert_with(|| TokenBucket::new(share, burst, now));
         }
     }
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -77,11 +77,11 @@
         if self.refutation != refutation {
             return self.refutation > refutation;
         }
-        rank(self.health) > rank(health)
+        precedence(self.health) > precedence(health)
     }
 }
 
-const fn rank(health: Health) -> u8 {
+const fn precedence(health: Health) -> u8 {
     match health {
         Health::Listed => 0,
         Health::Alive => 1,
@@ -103,7 +103,7 @@
     /// What is believed of it.
     pub health: Health,
     /// When a suspect counts as dead; meaningless otherwise.
-    pub dead_at: Time,
+    pub expires_at: Time,
     /// When it last answered this daemon itself.
     pub heard_at: Option<Time>,
     /// Whether the platform lists it now.
@@ -114,18 +114,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MemberSettings {
     /// Time between two probes.
-    pub period: Span,
+    pub probe_period: Span,
     /// How long a suspect may refute.
-    pub suspicion: Span,
+    pub suspicion_timeout: Span,
     /// Others asked to probe one that did not answer.
-    pub helpers: usize,
+    pub indirect_probers: usize,
     /// News in one message at most.
-    pub news_per_message: usize,
+    pub updates_per_message: usize,
 }
 
 impl Default for MemberSettings {
     fn default() -> Self {
-        Self { period: Span::millis(500), suspicion: Span::millis(2_000), helpers: 3, news_per_message: 12 }
+        Self {
+            probe_period: Span::millis(500),
+            suspicion_timeout: Span::millis(2_000),
+            indirect_probers: 3,
+            updates_per_message: 12,
+        }
     }
 }
 
@@ -133,7 +138,7 @@
 const SENDS_PER_DOUBLING: u32 = 3;
 
 #[derive(Clone, Debug)]
-struct News {
+struct QueuedUpdate {
     update: Update,
     sends_left: u32,
 }
@@ -148,8 +153,8 @@
     leaving: bool,
     rows: SlotMap<MemberKey, Member>,
     by_vm: HashMap<String, MemberKey>,
-    news: Vec<News>,
-    round: Vec<MemberKey>,
+    queued_updates: Vec<QueuedUpdate>,
+    probe_queue: Vec<MemberKey>,
     next_probe: Time,
     rng: SmallRng,
 }
@@ -166,8 +171,8 @@
             leaving: false,
             rows: SlotMap::with_key(),
             by_vm: HashMap::new(),
-            news: Vec::new(),
-            round: Vec::new(),
+            queued_updates: Vec::new(),
+            probe_queue: Vec::new(),
             next_probe: Time::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -204,13 +209,13 @@
 
     /// Live daemons, this one among them.
     #[must_use]
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         1 + self.rows.values().filter(|m| is_live(m.health)).count()
     }
 
     /// Listed entry VMs and those of them that answer, this one in both.
     #[must_use]
-    pub fn reach(&self) -> (usize, usize) {
+    pub fn reachability(&self) -> (usize, usize) {
         let listed = self.rows.values().filter(|m| m.listed && m.health != Health::Left);
         let answering = listed.clone().filter(|m| m.health == Health::Alive).count();
         (answering + 1, listed.count() + 1)
@@ -219,7 +224,7 @@
     /// Whether a process is known to be over: it said so as its last act, a later one answers in
     /// its place, or the platform listed its VM and no longer does.
     #[must_use]
-    pub fn is_over(&self, process: &Incarnation) -> bool {
+    pub fn is_terminated(&self, process: &Incarnation) -> bool {
         if process.vm == self.me.vm {
             return process.start != self.start;
         }
@@ -232,13 +237,13 @@
     }
 
     /// Take in the platform's list of entry VMs.
-    pub fn list(&mut self, listed: &[Contact]) {
+    pub fn set_listed(&mut self, listed: &[Contact]) {
         for row in self.rows.values_mut() {
             row.listed = false;
         }
         let me = self.me.vm.clone();
         for contact in listed.iter().filter(|c| c.vm != me) {
-            let key = self.key_of(contact);
+            let key = self.key_or_insert(contact);
             self.rows[key].listed = true;
             // The platform knows best where its VMs are.
             self.rows[key].contact = contact.clone();
@@ -246,17 +251,17 @@
     }
 
     /// The member to probe now, if a probe is due.
-    pub fn probe(&mut self, now: Time) -> Option<MemberKey> {
+    pub fn next_probe_target(&mut self, now: Time) -> Option<MemberKey> {
         self.expire(now);
         if !self.next_probe.is_past(now) {
             return None;
         }
-        self.next_probe = now + self.settings.period;
-        if self.round.is_empty() {
-            self.round = self.rows.keys().collect();
-            self.round.shuffle(&mut self.rng);
+        self.next_probe = now + self.settings.probe_period;
+        if self.probe_queue.is_empty() {
+            self.probe_queue = self.rows.keys().collect();
+            self.probe_queue.shuffle(&mut self.rng);
         }
-        while let Some(key) = self.round.pop() {
+        while let Some(key) = self.probe_queue.pop() {
             if self.rows.get(key).is_some_and(|m| m.health != Health::Left || m.listed) {
                 return Some(key);
             }
@@ -265,16 +270,16 @@
     }
 
     /// Others to ask for an indirect probe of `key`.
-    pub fn helpers(&mut self, key: MemberKey) -> Vec<MemberKey> {
+    pub fn indirect_probers(&mut self, key: MemberKey) -> Vec<MemberKey> {
         let mut live: Vec<_> =
             self.rows.iter().filter(|(k, m)| *k != key && m.health == Health::Alive).map(|(k, _)| k).collect();
         live.shuffle(&mut self.rng);
-        live.truncate(self.settings.helpers);
+        live.truncate(self.settings.indirect_probers);
         live
     }
 
     /// Note that `key` answered this daemon as the run that began at `start`.
-    pub fn answered(&mut self, key: MemberKey, start: u64, refutation: u32, now: Time) {
+    pub fn record_answer(&mut self, key: MemberKey, start: u64, refutation: u32, now: Time) {
         let Some(row) = self.rows.get_mut(key) else { return };
         row.heard_at = Some(now);
         let update = Update { contact: row.contact.clone(), start, refutation, health: Health::Alive };
@@ -282,11 +287,11 @@
         if row.health == Health::Suspect && row.start == start {
             row.health = Health::Alive;
         }
-        self.apply_one(&update, now);
+        self.apply_update(&update, now);
     }
 
     /// Note that neither a direct nor an indirect probe reached `key`.
-    pub fn unreached(&mut self, key: MemberKey, now: Time) {
+    pub fn record_unreached(&mut self, key: MemberKey, now: Time) {
         let Some(row) = self.rows.get(key) else { return };
         if row.health != Health::Alive {
             return;
@@ -297,7 +302,7 @@
             refutation: row.refutation,
             health: Health::Suspect,
         };
-        self.apply_one(&update, now);
+        self.apply_update(&update, now);
     }
 
     /// Take in news from another.
@@ -306,7 +311,7 @@
             if update.contact.vm == self.me.vm {
                 self.refute(update);
             } else {
-                self.apply_one(update, now);
+                self.apply_update(update, now);
             }
         }
     }
@@ -314,7 +319,7 @@
     /// What a member must know to refute, if it is believed to be suspect or dead. It goes on
     /// every probe of that member, so that one who was cut off for long comes back.
     #[must_use]
-    pub fn accusation(&self, key: MemberKey) -> Option<Update> {
+    pub fn update_to_refute(&self, key: MemberKey) -> Option<Update> {
         let row = self.rows.get(key)?;
         let accused = matches!(row.health, Health::Suspect | Health::Dead);
         accused.then(|| Update {
@@ -326,19 +331,19 @@
     }
 
     /// News to put on a message, this daemon's own first.
-    pub fn take_news(&mut self) -> Vec<Update> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         let mut out = vec![self.own_update()];
-        self.news.sort_by_key(|n| std::cmp::Reverse(n.sends_left));
-        for news in self.news.iter_mut().take(self.settings.news_per_message) {
-            news.sends_left -= 1;
-            out.push(news.update.clone());
+        self.queued_updates.sort_by_key(|n| std::cmp::Reverse(n.sends_left));
+        for queued in self.queued_updates.iter_mut().take(self.settings.updates_per_message) {
+            queued.sends_left -= 1;
+            out.push(queued.update.clone());
         }
-        self.news.retain(|n| n.sends_left > 0);
+        self.queued_updates.retain(|n| n.sends_left > 0);
         out
     }
 
     /// From now on this daemon says that it leaves.
-    pub const fn leave(&mut self) {
+    pub const fn announce_leaving(&mut self) {
         self.leaving = true;
     }
 
@@ -349,7 +354,7 @@
     }
 
     /// A random live member, for an exchange beside the probes.
-    pub fn any_live(&mut self) -> Option<MemberKey> {
+    pub fn random_live(&mut self) -> Option<MemberKey> {
         let live: Vec<_> = self.rows.iter().filter(|(_, m)| is_live(m.health)).map(|(k, _)| k).collect();
         (!live.is_empty()).then(|| live[self.rng.random_range(0..live.len())])
     }
@@ -374,7 +379,7 @@
         let due: Vec<_> = self
             .rows
             .values()
-            .filter(|m| m.health == Health::Suspect && m.dead_at.is_past(now))
+            .filter(|m| m.health == Health::Suspect && m.expires_at.is_past(now))
             .map(|m| Update {
                 contact: m.contact.clone(),
                 start: m.start,
@@ -383,15 +388,15 @@
             })
             .collect();
         for update in due {
-            self.apply_one(&update, now);
+            self.apply_update(&update, now);
         }
-        self.rows.retain(|_, m| m.listed || is_live(m.health) || !m.dead_at.is_past(now));
+        self.rows.retain(|_, m| m.listed || is_live(m.health) || !m.expires_at.is_past(now));
         let rows = &self.rows;
         self.by_vm.retain(|_, key| rows.contains_key(*key));
     }
 
-    fn apply_one(&mut self, update: &Update, now: Time) {
-        let key = self.key_of(&update.contact);
+    fn apply_update(&mut self, update: &Update, now: Time) {
+        let key = self.key_or_insert(&update.contact);
         let row = &mut self.rows[key];
         if !update.overrides(row.start, row.refutation, row.health) {
             return;
@@ -402,18 +407,18 @@
         row.start = update.start;
         row.refutation = update.refutation;
         row.health = update.health;
-        row.dead_at = match update.health {
-            Health::Suspect => now + self.settings.suspicion,
+        row.expires_at = match update.health {
+            Health::Suspect => now + self.settings.suspicion_timeout,
             // An unlisted row is kept for a while, so that late news does not revive it and
             // the end of its process can be told.
-            _ => now + Span(self.settings.suspicion.0 * KEEP_DEAD),
+            _ => now + Span(self.settings.suspicion_timeout.0 * DEAD_RETENTION_FACTOR),
         };
         let sends_left = SENDS_PER_DOUBLING * (usize::BITS - self.rows.len().leading_zeros() + 1);
-        self.news.retain(|n| n.update.contact.vm != update.contact.vm);
-        self.news.push(News { update: update.clone(), sends_left });
+        self.queued_updates.retain(|n| n.update.contact.vm != update.contact.vm);
+        self.queued_updates.push(QueuedUpdate { update: update.clone(), sends_left });
     }
 
-    fn key_of(&mut self, contact: &Contact) -> MemberKey {
+    fn key_or_insert(&mut self, contact: &Contact) -> MemberKey {
         if let Some(key) = self.by_vm.get(&contact.vm) {
             return *key;
         }
@@ -422,7 +427,7 @@
             start: 0,
             refutation: 0,
             health: Health::Listed,
-            dead_at: Time::default(),
+            expires_at: Time::default(),
             heard_at: None,
             listed: false,
         });
@@ -432,7 +437,7 @@
 }
 
 /// Suspicion times for which a dead and unlisted row is kept.
-const KEEP_DEAD: u64 = 300;
+const DEAD_RETENTION_FACTOR: u64 = 300;
 
 const fn is_live(health: Health) -> bool {
     matches!(health, Health::Alive | Health::Suspect)
--- a/crates/core/src/mix.rs
+++ b/crates/core/src/mix.rs
@@ -5,9 +5,9 @@
 use crate::time::{Span, Time};
 
 /// Time constant of the short average.
-pub const SHORT: Span = Span::millis(10_000);
+pub const SHORT_TIME_CONSTANT: Span = Span::millis(10_000);
 /// Time constant of the long average.
-pub const LONG: Span = Span::millis(120_000);
+pub const LONG_TIME_CONSTANT: Span = Span::millis(120_000);
 
 /// Demand in tokens a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -32,40 +32,40 @@
 
 /// The two averages for one pool.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mix {
+pub struct DemandAverages {
     short: Demand,
     long: Demand,
-    at: Time,
+    updated_at: Time,
 }
 
-impl Mix {
+impl DemandAverages {
     /// Add a request's tokens at `now`.
-    pub fn add(&mut self, prefill: u32, decode: u32, now: Time) {
+    pub fn add_request(&mut self, prefill: u32, decode: u32, now: Time) {
         self.decay(now);
         let add = |avg: Demand, tau: Span| Demand {
             prefill: avg.prefill + f64::from(prefill) / tau.as_seconds(),
             decode: avg.decode + f64::from(decode) / tau.as_seconds(),
         };
-        self.short = add(self.short, SHORT);
-        self.long = add(self.long, LONG);
+        self.short = add(self.short, SHORT_TIME_CONSTANT);
+        self.long = add(self.long, LONG_TIME_CONSTANT);
     }
 
     /// The short average at `now`.
     #[must_use]
     pub fn short(&self, now: Time) -> Demand {
-        self.short.decayed(factor(now.since(self.at), SHORT))
+        self.short.decayed(factor(now.since(self.updated_at), SHORT_TIME_CONSTANT))
     }
 
     /// The long average at `now`.
     #[must_use]
     pub fn long(&self, now: Time) -> Demand {
-        self.long.decayed(factor(now.since(self.at), LONG))
+        self.long.decayed(factor(now.since(self.updated_at), LONG_TIME_CONSTANT))
     }
 
     fn decay(&mut self, now: Time) {
         self.short = self.short(now);
         self.long = self.long(now);
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -41,7 +41,7 @@
 impl AttemptEnd {
     /// Whether it is certain that the endpoint ran nothing.
     #[must_use]
-    pub const fn surely_not_run(self) -> bool {
+    pub const fn is_certainly_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::Refused)
     }
 
@@ -65,11 +65,11 @@
 
 /// The outcome of a request whose attempts ended so, in order.
 #[must_use]
-pub fn combine(ends: &[AttemptEnd]) -> Outcome {
+pub fn combined_outcome(ends: &[AttemptEnd]) -> Outcome {
     if ends.contains(&AttemptEnd::Whole) {
         return Outcome::Whole;
     }
-    if ends.iter().all(|end| end.surely_not_run()) {
+    if ends.iter().all(|end| end.is_certainly_not_run()) {
         return Outcome::NotRun;
     }
     if ends.iter().any(|end| end.outcome() == Outcome::Ran) {
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -55,7 +55,7 @@
 }
 
 /// Share that [`PlannerMode::Hysteresis`] asks for.
-const HYSTERESIS: f64 = 0.15;
+const HYSTERESIS_SHARE: f64 = 0.15;
 
 /// Engines of a pool by role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -78,7 +78,7 @@
         }
     }
 
-    fn moved(mut self, from: Role, to: Role) -> Self {
+    fn with_change(mut self, from: Role, to: Role) -> Self {
         for (role, up) in [(from, false), (to, true)] {
             let slot = match role {
                 Role::Prefill => &mut self.prefill,
@@ -112,7 +112,7 @@
 
 /// A role change that is worth making.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Change {
+pub struct RoleChange {
     /// The role an engine gives up.
     pub from: Role,
     /// The role it takes.
@@ -136,24 +136,24 @@
     // Mixed engines split their time freely, so three bounds hold: the sum, and each side with
     // all the mixed engines' help. A decode engine can process no prompts while others do.
     let all = (p + d + mixed) / (prefill_need + decode_need);
-    let prefill = bound(p + mixed, prefill_need);
-    let decode = bound(d + mixed, decode_need);
+    let prefill = capacity_ratio(p + mixed, prefill_need);
+    let decode = capacity_ratio(d + mixed, decode_need);
     all.min(prefill).min(decode)
 }
 
-fn bound(capacity: f64, need: f64) -> f64 {
+fn capacity_ratio(capacity: f64, need: f64) -> f64 {
     if need <= 0.0 { f64::INFINITY } else { capacity / need }
 }
 
 /// The planner's memory of one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Planner {
-    quiet_until: Time,
+    no_change_before: Time,
 }
 
 /// The demand as the planner weighs it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outlook {
+pub struct AverageDemand {
     /// The short average.
     pub short: Demand,
     /// The long average.
@@ -167,37 +167,37 @@
         settings: &PlannerSettings,
         rates: RoleRates,
         counts: RoleCounts,
-        outlook: Outlook,
+        averages: AverageDemand,
         in_flight: usize,
         now: Time,
-    ) -> Option<Change> {
-        if in_flight >= settings.changes_in_flight || !self.quiet_until.is_past(now) {
+    ) -> Option<RoleChange> {
+        if in_flight >= settings.changes_in_flight || !self.no_change_before.is_past(now) {
             return None;
         }
-        let best = all_changes(counts)
-            .map(|(from, to)| weigh(settings, rates, counts, outlook, from, to))
+        let best = possible_changes(counts)
+            .map(|(from, to)| evaluate(settings, rates, counts, averages, from, to))
             .max_by(|a, b| (a.gain - a.loss).total_cmp(&(b.gain - b.loss)))?;
-        let worth = match settings.mode {
+        let is_worthwhile = match settings.mode {
             PlannerMode::Never => false,
             PlannerMode::Greedy => best.gain > 0.0,
-            PlannerMode::Hysteresis => best.gain > HYSTERESIS * settings.horizon_seconds,
+            PlannerMode::Hysteresis => best.gain > HYSTERESIS_SHARE * settings.horizon_seconds,
             PlannerMode::Priced => best.gain > best.loss,
         };
-        if !worth {
+        if !is_worthwhile {
             return None;
         }
-        self.quiet_until = now + Span::seconds(settings.change_seconds);
+        self.no_change_before = now + Span::seconds(settings.change_seconds);
         Some(best)
     }
 }
 
-fn all_changes(counts: RoleCounts) -> impl Iterator<Item = (Role, Role)> {
+fn possible_changes(counts: RoleCounts) -> impl Iterator<Item = (Role, Role)> {
     const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
     ROLES
         .into_iter()
         .flat_map(|from| ROLES.into_iter().map(move |to| (from, to)))
         .filter(move |(from, to)| from != to && counts.get(*from) > 0)
-        .filter(move |(from, to)| can_finish(counts.moved(*from, *to)))
+        .filter(move |(from, to)| can_finish(counts.with_change(*from, *to)))
 }
 
 /// A pool must keep an engine that can finish requests.
@@ -205,18 +205,18 @@
     counts.decode + counts.mixed > 0
 }
 
-fn weigh(
+fn evaluate(
     settings: &PlannerSettings,
     rates: RoleRates,
     counts: RoleCounts,
-    outlook: Outlook,
+    averages: AverageDemand,
     from: Role,
     to: Role,
-) -> Change {
-    let after = counts.moved(from, to);
+) -> RoleChange {
+    let after = counts.with_change(from, to);
     let served = |counts, demand| served_work(counts, rates, demand);
-    let short = served(after, outlook.short) - served(counts, outlook.short);
-    let long = served(after, outlook.long) - served(counts, outlook.long);
+    let short = served(after, averages.short) - served(counts, averages.short);
+    let long = served(after, averages.long) - served(counts, averages.long);
     let gain_rate = match settings.mode {
         // A shift that the long average does not show yet may pass; one that it contradicts
         // costs as much as the short one gains.
@@ -224,7 +224,7 @@
         _ => short,
     };
     let useful = (settings.horizon_seconds - settings.change_seconds).max(0.0);
-    Change { from, to, gain: gain_rate * useful, loss: settings.change_seconds + settings.price }
+    RoleChange { from, to, gain: gain_rate * useful, loss: settings.change_seconds + settings.price }
 }
 
 /// Seconds of one engine's work that are served a second, out of `demand`.
--- a/crates/core/src/prompt.rs
+++ b/crates/core/src/prompt.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Identifier of this part together with all parts before it.
-    pub chain: u64,
+    pub prefix_hash: u64,
     /// Its tokens.
     pub tokens: u32,
 }
@@ -21,9 +21,9 @@
     /// Tokens of the whole prompt.
     pub tokens: u32,
     /// Tokens of the answer at most.
-    pub output: u32,
+    pub max_output: u32,
     /// Tokens of the answer as its caller guesses.
-    pub guess: Option<u32>,
+    pub output_hint: Option<u32>,
 }
 
 impl Prompt {
@@ -34,15 +34,15 @@
         hash.write(model.as_bytes());
         let chained = parts.map(|(id, tokens)| {
             hash.write_u64(id);
-            Part { chain: hash.finish(), tokens }
+            Part { prefix_hash: hash.finish(), tokens }
         });
-        Self { parts: chained.collect(), tokens, output, guess: None }
+        Self { parts: chained.collect(), tokens, max_output: output, output_hint: None }
     }
 
     /// The same with a guess of its answer's tokens.
     #[must_use]
-    pub const fn with_guess(mut self, guess: Option<u32>) -> Self {
-        self.guess = guess;
+    pub const fn with_output_hint(mut self, guess: Option<u32>) -> Self {
+        self.output_hint = guess;
         self
     }
 
--- a/crates/core/src/proof.rs
+++ b/crates/core/src/proof.rs
@@ -37,24 +37,24 @@
     /// When that or an older one was last proved to be the newest.
     proved_at: Option<Time>,
     /// A proof of one that is not in force here yet.
-    ahead: Option<Proof>,
+    pending: Option<Proof>,
 }
 
 impl Proofs {
     /// Take in a proof.
-    pub fn note(&mut self, proof: Proof) {
+    pub fn record(&mut self, proof: Proof) {
         if proof.revision <= self.revision {
             self.proved_at = self.proved_at.max(Some(proof.at));
-        } else if self.ahead.is_none_or(|ahead| (ahead.revision, ahead.at) < (proof.revision, proof.at)) {
-            self.ahead = Some(proof);
+        } else if self.pending.is_none_or(|pending| (pending.revision, pending.at) < (proof.revision, proof.at)) {
+            self.pending = Some(proof);
         }
     }
 
     /// A configuration is in force from now on.
-    pub fn in_force(&mut self, revision: i64) {
+    pub fn set_in_force(&mut self, revision: i64) {
         self.revision = self.revision.max(revision);
-        if let Some(ahead) = self.ahead.take_if(|ahead| ahead.revision <= revision) {
-            self.note(ahead);
+        if let Some(pending) = self.pending.take_if(|pending| pending.revision <= revision) {
+            self.record(pending);
         }
     }
 
@@ -73,7 +73,7 @@
     /// Whether the configuration in force here was the newest less than `bound` before a request that
     /// arrived at `arrived`.
     #[must_use]
-    pub fn holds(&self, bound: Span, arrived: Time) -> bool {
+    pub fn is_fresh(&self, bound: Span, arrived: Time) -> bool {
         let usable = Span(bound.0 - bound.0 / DRIFT_DIVISOR);
         self.age(arrived).is_some_and(|age| age < usable)
     }
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -11,13 +11,13 @@
 
 /// A place in the queue; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueueEntry {
     priority: Reverse<u8>,
     deadline: Time,
     key: RequestKey,
 }
 
-impl Place {
+impl QueueEntry {
     /// The place of a request: urgent kinds by priority, all others by deadline alone.
     #[must_use]
     pub const fn new(urgent: Option<u8>, deadline: Time, key: RequestKey) -> Self {
@@ -38,23 +38,23 @@
 /// The requests of one pool that wait.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    places: BTreeSet<Place>,
+    places: BTreeSet<QueueEntry>,
 }
 
 impl Queue {
     /// Add a request.
-    pub fn insert(&mut self, place: Place) {
+    pub fn insert(&mut self, place: QueueEntry) {
         self.places.insert(place);
     }
 
     /// Remove a request.
-    pub fn remove(&mut self, place: &Place) {
+    pub fn remove(&mut self, place: &QueueEntry) {
         self.places.remove(place);
     }
 
     /// The requests in the order in which they go.
     pub fn iter(&self) -> impl Iterator<Item = RequestKey> + '_ {
-        self.places.iter().map(Place::key)
+        self.places.iter().map(QueueEntry::key)
     }
 
     /// How many wait.
@@ -78,7 +78,7 @@
     /// Seconds of one endpoint's work.
     pub cost: f64,
     /// Seconds until it must have been sent.
-    pub due: f64,
+    pub start_by: f64,
     /// Worth of an answer in time.
     pub weight: f64,
     /// Whether it may be given up: nothing of it has been delivered.
@@ -87,19 +87,19 @@
 
 /// Which of `jobs`, in queue order, to give up when `lanes` endpoints work on them.
 #[must_use]
-pub fn hopeless(jobs: &[Job], lanes: f64) -> Vec<RequestKey> {
+pub fn jobs_to_drop(jobs: &[Job], endpoints: f64) -> Vec<RequestKey> {
     let mut kept: Vec<Job> = Vec::with_capacity(jobs.len());
     let mut dropped = Vec::new();
     let mut work = 0.0;
     for job in jobs {
         // The queue need only have begun this one by then, so its own cost does not count.
-        while work / lanes > job.due {
-            let Some(at) = least_worth(&kept, job) else { break };
-            let gone = kept.remove(at);
-            work -= gone.cost;
-            dropped.push(gone.key);
+        while work / endpoints > job.start_by {
+            let Some(at) = least_valuable(&kept, job) else { break };
+            let removed = kept.remove(at);
+            work -= removed.cost;
+            dropped.push(removed.key);
         }
-        if work / lanes > job.due && job.can_drop {
+        if work / endpoints > job.start_by && job.can_drop {
             dropped.push(job.key);
             continue;
         }
@@ -110,7 +110,7 @@
 }
 
 /// The kept job with the least weight for its cost, if less than that of `job`.
-fn least_worth(kept: &[Job], job: &Job) -> Option<usize> {
+fn least_valuable(kept: &[Job], job: &Job) -> Option<usize> {
     let worth = |j: &Job| j.weight / j.cost.max(f64::MIN_POSITIVE);
     let droppable = kept.iter().enumerate().filter(|(_, k)| k.can_drop);
     let (at, least) = droppable.min_by(|a, b| worth(a.1).total_cmp(&worth(b.1)))?;
--- a/crates/core/src/quota/client.rs
+++ b/crates/core/src/quota/client.rs
@@ -11,13 +11,13 @@
 };
 
 /// Time for which an owner that did not answer is not asked.
-const SILENT: Span = Span::millis(400);
+const UNAVAILABLE_BACKOFF: Span = Span::millis(400);
 /// Teams whose levels are kept before those that were not asked for lately are dropped.
-const MANY_TEAMS: usize = 1_024;
+const MAX_TEAMS: usize = 1_024;
 /// Time after which a level is of no use any more.
-const OLD: Span = Span::millis(10_000);
+const MAX_LEVEL_AGE: Span = Span::millis(10_000);
 /// Shortest time that a team is told to wait.
-const LEAST_WAIT: Span = Span::millis(20);
+const MIN_WAIT: Span = Span::millis(20);
 
 /// The next step to credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// Units that one request needs of its team's quota.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct CreditNeed<'a> {
     /// The team.
     pub team: &'a str,
     /// What its shards may grant.
@@ -40,7 +40,7 @@
     /// The units.
     pub cost: u64,
     /// Spreads daemons that know equally little.
-    pub draw: u64,
+    pub tie_breaker: u64,
 }
 
 /// What a bucket was known to hold.
@@ -53,7 +53,7 @@
 
 impl Level {
     /// Units that it holds at most by now.
-    fn at_most(&self, terms: &ShardTerms, now: Time) -> f64 {
+    fn upper_bound(&self, terms: &ShardTerms, now: Time) -> f64 {
         if self.terms != *terms {
             return terms.depth;
         }
@@ -65,66 +65,67 @@
 #[derive(Debug, Default)]
 pub struct QuotaClient {
     levels: HashMap<Arc<str>, HashMap<u8, Level>>,
-    silent_until: [Time; SHARDS as usize],
+    unavailable_until: [Time; SHARDS as usize],
 }
 
 impl QuotaClient {
     /// The next step to the credit that a request needs; `tried` are the shards whose owners were asked for it,
     /// and `is_owned` tells whether a shard has an owner.
-    pub fn next(&self, need: &Need<'_>, tried: &[u8], is_owned: impl Fn(u8) -> bool, now: Time) -> Next {
-        let Need { team, terms, cost, draw } = *need;
+    pub fn next_step(&self, req: &CreditNeed<'_>, tried: &[u8], is_owned: impl Fn(u8) -> bool, now: Time) -> Next {
+        let CreditNeed { team, terms, cost, tie_breaker } = *req;
         let cost = cost as f64;
         if cost > terms.depth {
             return Next::Denied(None);
         }
         let shards = terms.shards_of(team);
         let known = self.levels.get(team);
-        let at_most = |shard: u8| {
+        let upper_bound = |shard: u8| {
             let level = known.and_then(|levels| levels.get(&shard));
-            level.map_or(terms.depth, |level| level.at_most(terms, now))
+            level.map_or(terms.depth, |level| level.upper_bound(terms, now))
         };
-        let is_silent = |shard: u8| !self.silent_until[usize::from(shard)].is_past(now);
-        let asked = shards.iter().copied().filter(|shard| is_owned(*shard) && !is_silent(*shard));
-        let (enough, short): (Vec<u8>, Vec<u8>) =
-            asked.partition(|shard| !tried.contains(shard) && at_most(*shard) >= cost);
-        let place = |shard: u8| crate::hash::rendezvous(draw, u64::from(shard));
-        let best = enough.into_iter().max_by(|a, b| {
-            let levels = at_most(*a).total_cmp(&at_most(*b));
-            levels.then_with(|| place(*a).cmp(&place(*b)))
+        let is_backing_off = |shard: u8| !self.unavailable_until[usize::from(shard)].is_past(now);
+        let asked = shards.iter().copied().filter(|shard| is_owned(*shard) && !is_backing_off(*shard));
+        let (sufficient, insufficient): (Vec<u8>, Vec<u8>) =
+            asked.partition(|shard| !tried.contains(shard) && upper_bound(*shard) >= cost);
+        let rank = |shard: u8| crate::hash::rendezvous(tie_breaker, u64::from(shard));
+        let best = sufficient.into_iter().max_by(|a, b| {
+            let levels = upper_bound(*a).total_cmp(&upper_bound(*b));
+            levels.then_with(|| rank(*a).cmp(&rank(*b)))
         });
-        match (best, short.is_empty()) {
+        match (best, insufficient.is_empty()) {
             (Some(shard), _) => Next::Ask(shard),
             (None, true) => Next::Unavailable,
             (None, false) => {
-                let lack = short.into_iter().map(|shard| (cost - at_most(shard)).max(0.0)).min_by(f64::total_cmp);
+                let lack =
+                    insufficient.into_iter().map(|shard| (cost - upper_bound(shard)).max(0.0)).min_by(f64::total_cmp);
                 Next::Denied(refill_time(lack.unwrap_or(cost), terms))
             }
         }
     }
 
     /// Note what an owner's bucket holds.
-    pub fn answered(&mut self, team: &str, shard: u8, left: f64, terms: &ShardTerms, now: Time) {
-        self.silent_until[usize::from(shard)] = Time(0);
+    pub fn record_level(&mut self, team: &str, shard: u8, left: f64, terms: &ShardTerms, now: Time) {
+        self.unavailable_until[usize::from(shard)] = Time(0);
         let level = Level { left, at: now, terms: *terms };
         if let Some(levels) = self.levels.get_mut(team) {
             levels.insert(shard, level);
             return;
         }
-        if self.levels.len() >= MANY_TEAMS {
-            self.levels.retain(|_, levels| levels.values().any(|level| now.since(level.at) < OLD));
+        if self.levels.len() >= MAX_TEAMS {
+            self.levels.retain(|_, levels| levels.values().any(|level| now.since(level.at) < MAX_LEVEL_AGE));
         }
-        if self.levels.len() < MANY_TEAMS {
+        if self.levels.len() < MAX_TEAMS {
             self.levels.insert(Arc::from(team), HashMap::from([(shard, level)]));
         }
     }
 
     /// Note that the owner of a shard did not answer, or is no longer its owner.
-    pub fn silent(&mut self, shard: u8, now: Time) {
-        self.silent_until[usize::from(shard)] = now + SILENT;
+    pub fn mark_unavailable(&mut self, shard: u8, now: Time) {
+        self.unavailable_until[usize::from(shard)] = now + UNAVAILABLE_BACKOFF;
     }
 }
 
 /// Time in which units are refilled; absent if they never are.
 fn refill_time(units: f64, terms: &ShardTerms) -> Option<Span> {
-    (terms.rate > 0.0).then(|| Span::seconds(units / terms.rate).max(LEAST_WAIT))
+    (terms.rate > 0.0).then(|| Span::seconds(units / terms.rate).max(MIN_WAIT))
 }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -20,7 +20,7 @@
 /// Shards of all quotas together.
 pub const SHARDS: u8 = 16;
 /// Time from the question for which credit may be spent.
-pub const CREDIT_LIFE: Span = Span::millis(750);
+pub const CREDIT_TTL: Span = Span::millis(750);
 
 /// What a quota counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Tokens of prompts and answers, as their callers announce them.
     Tokens {
         /// What a request counts that announces none.
-        plain: u32,
+        default_cost: u32,
     },
 }
 
@@ -51,8 +51,8 @@
     pub fn cost(&self, prompt: Option<&Prompt>) -> u64 {
         match (self.unit, prompt) {
             (Unit::Requests, _) => 1,
-            (Unit::Tokens { .. }, Some(prompt)) => u64::from(prompt.tokens) + u64::from(prompt.output),
-            (Unit::Tokens { plain }, None) => u64::from(plain),
+            (Unit::Tokens { .. }, Some(prompt)) => u64::from(prompt.tokens) + u64::from(prompt.max_output),
+            (Unit::Tokens { default_cost: plain }, None) => u64::from(plain),
         }
     }
 }
@@ -61,19 +61,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Credit {
     /// When it was asked for.
-    asked: Time,
+    requested_at: Time,
 }
 
 impl Credit {
     /// Credit that was asked for at a time.
     #[must_use]
-    pub const fn asked_at(asked: Time) -> Self {
-        Self { asked }
+    pub const fn requested_at(requested_at: Time) -> Self {
+        Self { requested_at }
     }
 
     /// Whether it may still be spent.
     #[must_use]
     pub fn is_usable(&self, now: Time) -> bool {
-        now.since(self.asked) < CREDIT_LIFE
+        now.since(self.requested_at) < CREDIT_TTL
     }
 }
--- a/crates/core/src/quota/shard.rs
+++ b/crates/core/src/quota/shard.rs
@@ -3,13 +3,13 @@
 use std::{collections::HashMap, sync::Arc};
 
 use crate::{
-    bucket::Bucket,
+    bucket::TokenBucket,
     quota::terms::ShardTerms,
     time::{Span, Time},
 };
 
 /// Teams whose buckets are kept before those that are full are dropped.
-const MANY_TEAMS: usize = 1_024;
+const MIN_PRUNE_SIZE: usize = 1_024;
 
 /// What became of a question for credit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,16 +29,16 @@
 /// The buckets of one shard, from when its owner took it over.
 #[derive(Debug)]
 pub struct Shard {
-    since: Time,
-    buckets: HashMap<Arc<str>, Bucket>,
+    taken_over_at: Time,
+    buckets: HashMap<Arc<str>, TokenBucket>,
     prune_at: usize,
 }
 
 impl Shard {
     /// A shard that was taken over at a time, with nothing to grant yet.
     #[must_use]
-    pub fn taken_over(since: Time) -> Self {
-        Self { since, buckets: HashMap::new(), prune_at: MANY_TEAMS }
+    pub fn taken_over(taken_over_at: Time) -> Self {
+        Self { taken_over_at, buckets: HashMap::new(), prune_at: MIN_PRUNE_SIZE }
     }
 
     /// Take units of a team's quota.
@@ -47,7 +47,7 @@
             bucket.resize(terms.rate, terms.depth, now);
         } else {
             self.prune(now);
-            let bucket = Bucket::empty(terms.rate, terms.depth, self.since);
+            let bucket = TokenBucket::empty(terms.rate, terms.depth, self.taken_over_at);
             self.buckets.insert(Arc::from(team), bucket);
         }
         let Some(bucket) = self.buckets.get_mut(team) else {
@@ -63,20 +63,20 @@
         if self.buckets.len() < self.prune_at {
             return;
         }
-        let since = self.since;
-        self.buckets.retain(|_, bucket| !bucket.is_full(now) || bucket.fill_time() > now.since(since));
-        self.prune_at = MANY_TEAMS.max(self.buckets.len() * 2);
+        let taken_over_at = self.taken_over_at;
+        self.buckets.retain(|_, bucket| !bucket.is_full(now) || bucket.fill_time() > now.since(taken_over_at));
+        self.prune_at = MIN_PRUNE_SIZE.max(self.buckets.len() * 2);
     }
 
     /// Teams whose buckets are kept.
     #[must_use]
-    pub fn teams(&self) -> usize {
+    pub fn team_count(&self) -> usize {
         self.buckets.len()
     }
 
     /// Time since it was taken over.
     #[must_use]
     pub const fn age(&self, now: Time) -> Span {
-        now.since(self.since)
+        now.since(self.taken_over_at)
     }
 }
--- a/crates/core/src/quota/terms.rs
+++ b/crates/core/src/quota/terms.rs
@@ -2,18 +2,18 @@
 
 use crate::{
     hash,
-    quota::{CREDIT_LIFE, Quota, SHARDS, Unit},
+    quota::{CREDIT_TTL, Quota, SHARDS, Unit},
     time::Span,
 };
 
 /// Shards of one team at most: the loss of one takes a quarter of its quota.
-const TEAM_SHARDS: usize = 4;
+const MAX_TEAM_SHARDS: usize = 4;
 /// Requests that a shard of several holds at least.
-const SHARD_REQUESTS: f64 = 4.0;
+const MIN_SHARD_REQUESTS: f64 = 4.0;
 /// Tokens that a shard of several holds at least, so that long prompts are not refused for their size alone.
-const SHARD_TOKENS: f64 = 32_768.0;
+const MIN_SHARD_TOKENS: f64 = 32_768.0;
 /// Share of the burst that the bucket holds at least; the rate gives way where the tolerance leaves less.
-const LEAST_BURST_SHARE: f64 = 0.5;
+const MIN_BURST_SHARE: f64 = 0.5;
 
 /// Part of a span by which the clocks of two daemons may differ over it.
 const CLOCK_DRIFT: f64 = 0.005;
@@ -24,7 +24,7 @@
     /// Length of the windows in which usage is counted.
     pub window: Span,
     /// Share of the quota by which a window may exceed it.
-    pub over: f64,
+    pub excess_share: f64,
     /// Units by which it may exceed that.
     pub slack: f64,
 }
@@ -33,7 +33,7 @@
     /// Units that may be spent in one window.
     #[must_use]
     pub fn allowed(&self, quota: &Quota) -> f64 {
-        (quota.rate * self.window.as_seconds() + quota.burst) * (1.0 + self.over) + self.slack
+        (quota.rate * self.window.as_seconds() + quota.burst) * (1.0 + self.excess_share) + self.slack
     }
 }
 
@@ -56,15 +56,15 @@
     #[must_use]
     pub fn split(quota: &Quota, tolerance: &Tolerance) -> Self {
         let allowed = tolerance.allowed(quota);
-        let span_s = (tolerance.window + CREDIT_LIFE).as_seconds() * (1.0 + CLOCK_DRIFT);
-        let least = (quota.burst * LEAST_BURST_SHARE).min(allowed);
-        let depth = (allowed - quota.rate * span_s).max(least);
+        let span_s = (tolerance.window + CREDIT_TTL).as_seconds() * (1.0 + CLOCK_DRIFT);
+        let min_depth = (quota.burst * MIN_BURST_SHARE).min(allowed);
+        let depth = (allowed - quota.rate * span_s).max(min_depth);
         let rate = quota.rate.min((allowed - depth) / span_s);
-        let least_of_shard = match quota.unit {
-            Unit::Requests => SHARD_REQUESTS,
-            Unit::Tokens { .. } => SHARD_TOKENS,
+        let min_shard_depth = match quota.unit {
+            Unit::Requests => MIN_SHARD_REQUESTS,
+            Unit::Tokens { .. } => MIN_SHARD_TOKENS,
         };
-        let count = ((depth / least_of_shard) as usize).clamp(1, TEAM_SHARDS);
+        let count = ((depth / min_shard_depth) as usize).clamp(1, MAX_TEAM_SHARDS);
         Self { rate: rate / count as f64, depth: depth / count as f64, count }
     }
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -28,13 +28,13 @@
 }
 
 /// Priority from which a kind counts as urgent.
-pub const URGENT: u8 = 8;
+pub const URGENT_PRIORITY: u8 = 8;
 
 impl KindTraits {
     /// Whether this kind passes waiting work and uses the headroom.
     #[must_use]
     pub const fn is_urgent(&self) -> bool {
-        self.priority >= URGENT
+        self.priority >= URGENT_PRIORITY
     }
 }
 
@@ -79,33 +79,33 @@
     /// Where it stands.
     pub stage: Stage,
     /// When it arrived.
-    pub arrived: Time,
+    pub arrived_at: Time,
     /// When the present attempt was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Tokens delivered so far.
     pub delivered: u32,
     /// When the attempt's latest token came; before the first, when it was sent.
-    pub last_token: Time,
+    pub last_token_at: Time,
     /// Whether this attempt has delivered a token.
-    pub first_seen: bool,
+    pub first_token_seen: bool,
     /// How the attempts so far ended.
-    pub ends: Vec<AttemptEnd>,
+    pub attempt_ends: Vec<AttemptEnd>,
     /// Endpoints that failed it.
-    pub avoid: Vec<EndpointKey>,
+    pub avoided: Vec<EndpointKey>,
     /// Seconds of first-token time predicted when it was sent.
-    pub predicted: f64,
+    pub predicted_first_token: f64,
 }
 
 impl Request {
     /// The number of the next or present attempt, from zero.
     #[must_use]
-    pub const fn attempt(&self) -> u32 {
-        self.ends.len() as u32
+    pub const fn attempt_number(&self) -> u32 {
+        self.attempt_ends.len() as u32
     }
 
     /// Tokens of the answer still to come, at most.
     #[must_use]
-    pub const fn remaining(&self) -> u32 {
+    pub const fn remaining_tokens(&self) -> u32 {
         self.spec.output_tokens.saturating_sub(self.delivered)
     }
 }
--- a/crates/core/src/revision_table.rs
+++ b/crates/core/src/revision_table.rs
@@ -9,7 +9,7 @@
 };
 
 /// Removals that are remembered in any case.
-const LEAST_REMOVALS: usize = 512;
+const MIN_RETAINED_REMOVALS: usize = 512;
 
 /// Entries by key, each with the revision of its last change.
 #[derive(Debug)]
@@ -18,12 +18,17 @@
     by_revision: BTreeSet<(i64, Arc<str>)>,
     removals: BTreeSet<(i64, Arc<str>)>,
     /// Revision from which on all removals are remembered.
-    complete_from: i64,
+    removals_complete_from: i64,
 }
 
 impl<V> Default for RevisionTable<V> {
     fn default() -> Self {
-        Self { entries: HashMap::new(), by_revision: BTreeSet::new(), removals: BTreeSet::new(), complete_from: 0 }
+        Self {
+            entries: HashMap::new(),
+            by_revision: BTreeSet::new(),
+            removals: BTreeSet::new(),
+            removals_complete_from: 0,
+        }
     }
 }
 
@@ -53,13 +58,13 @@
 
     /// Whether a change of a key at a revision is news.
     #[must_use]
-    pub fn is_news(&self, key: &str, revision: i64) -> bool {
+    pub fn is_newer(&self, key: &str, revision: i64) -> bool {
         self.entries.get(key).is_none_or(|(present, _)| *present < revision)
     }
 
     /// Note a key's value, unless a newer one is known; returns whether it was noted.
     pub fn put(&mut self, key: &str, revision: i64, value: V) -> bool {
-        if !self.is_news(key, revision) {
+        if !self.is_newer(key, revision) {
             return false;
         }
         let key: Arc<str> = Arc::from(key);
@@ -81,21 +86,21 @@
             self.by_revision.remove(&(before, key));
             value
         });
-        self.forget_old_removals();
+        self.prune_removals();
         value
     }
 
-    fn forget_old_removals(&mut self) {
-        while self.removals.len() > self.entries.len().max(LEAST_REMOVALS) {
+    fn prune_removals(&mut self) {
+        while self.removals.len() > self.entries.len().max(MIN_RETAINED_REMOVALS) {
             if let Some((revision, _)) = self.removals.pop_first() {
-                self.complete_from = revision;
+                self.removals_complete_from = revision;
             }
         }
     }
 
     /// Note that all entries were read at a revision: which went before it is not known.
-    pub fn read_whole(&mut self, revision: i64) {
-        self.complete_from = revision;
+    pub fn record_full_read(&mut self, revision: i64) {
+        self.removals_complete_from = revision;
         self.removals.clear();
     }
 
@@ -108,7 +113,7 @@
     /// Whether all removals after a revision are remembered.
     #[must_use]
     pub const fn is_complete_after(&self, revision: i64) -> bool {
-        revision >= self.complete_from
+        revision >= self.removals_complete_from
     }
 
     /// Values that changed after a revision.
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     fleet::pool::Scaling,
-    team::{GivenKey, Team, Teams, Verdict, judge},
+    team::{PresentedKey, Team, Teams, Verdict, authenticate},
     time::Span,
 };
 
@@ -47,11 +47,11 @@
     /// Time in which a whole answer, or a stream's first event, is worth most.
     pub objective: Span,
     /// Time after which a caller that has heard nothing leaves.
-    pub silence: Span,
+    pub caller_timeout: Span,
     /// Longest pause between two events of a stream that is in time; absent if any is.
-    pub pause: Option<Span>,
+    pub max_event_gap: Option<Span>,
     /// Endpoints that one request may run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank, 0 the most urgent.
     pub priority: u8,
     /// Whether its callers need no key.
@@ -155,14 +155,14 @@
 
     /// How a caller's key is judged on a route.
     #[must_use]
-    pub fn judge(&self, given: &GivenKey, route: &Route) -> Verdict {
-        judge(self.teams.as_ref(), given, route.anonymous)
+    pub fn authenticate(&self, given: &PresentedKey, route: &Route) -> Verdict {
+        authenticate(self.teams.as_ref(), given, route.anonymous)
     }
 
     /// The team of a name.
     #[must_use]
     pub fn team(&self, name: &str) -> Option<&Arc<Team>> {
-        self.teams.as_ref()?.named(name)
+        self.teams.as_ref()?.find_by_name(name)
     }
 
     /// Whether any team has a quota.
@@ -179,10 +179,10 @@
 
     /// Longest pause between two events that is in time on all streams of a service.
     #[must_use]
-    pub fn pause(&self, service: &str) -> Option<Span> {
+    pub fn max_event_gap(&self, service: &str) -> Option<Span> {
         let routes = self.hosts.values().flatten();
         let its = routes.filter(|route| route.shares.iter().any(|share| &*share.service == service));
-        its.filter_map(|route| route.pause).min()
+        its.filter_map(|route| route.max_event_gap).min()
     }
 
     /// All services.
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -27,7 +27,7 @@
 
 /// What a caller gave for a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum GivenKey {
+pub enum PresentedKey {
     /// Nothing.
     #[default]
     Absent,
@@ -74,7 +74,7 @@
 
     /// The team of a name.
     #[must_use]
-    pub fn named(&self, name: &str) -> Option<&Arc<Team>> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Arc<Team>> {
         self.by_name.get(name)
     }
 
@@ -86,7 +86,7 @@
 
     /// The team that has a key.
     #[must_use]
-    pub fn find(&self, key: &Key) -> Option<&Arc<Team>> {
+    pub fn find_by_key(&self, key: &Key) -> Option<&Arc<Team>> {
         self.by_key.get(key)
     }
 }
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Identity {
     /// The configuration has no teams, so what the caller says of itself is passed on.
-    NotAsked,
+    NoTeams,
     /// Nobody is known, and the route asks for no key.
     Anonymous,
     /// A team, by its key.
@@ -108,7 +108,7 @@
     pub const fn team(&self) -> Option<&Arc<Team>> {
         match self {
             Self::Team(team) => Some(team),
-            Self::NotAsked | Self::Anonymous => None,
+            Self::NoTeams | Self::Anonymous => None,
         }
     }
 }
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The request runs on this behalf.
-    Runs(Identity),
+    Allowed(Identity),
     /// It needs a key, and none came that can be one.
     NoKey,
     /// It needs a key, and this version does not know the one that came.
@@ -126,18 +126,18 @@
 
 /// Judge a key; `teams` are absent where the configuration has none.
 #[must_use]
-pub fn judge(teams: Option<&Teams>, given: &GivenKey, is_anonymous: bool) -> Verdict {
+pub fn authenticate(teams: Option<&Teams>, presented: &PresentedKey, is_anonymous: bool) -> Verdict {
     let Some(teams) = teams else {
-        return Verdict::Runs(Identity::NotAsked);
+        return Verdict::Allowed(Identity::NoTeams);
     };
-    let team = match given {
-        GivenKey::Key(key) => teams.find(key),
-        GivenKey::Absent | GivenKey::Unusable => None,
+    let team = match presented {
+        PresentedKey::Key(key) => teams.find_by_key(key),
+        PresentedKey::Absent | PresentedKey::Unusable => None,
     };
-    match (team, given) {
-        (Some(team), _) => Verdict::Runs(Identity::Team(Arc::clone(team))),
-        (None, _) if is_anonymous => Verdict::Runs(Identity::Anonymous),
-        (None, GivenKey::Key(_)) => Verdict::UnknownKey,
-        (None, GivenKey::Absent | GivenKey::Unusable) => Verdict::NoKey,
+    match (team, presented) {
+        (Some(team), _) => Verdict::Allowed(Identity::Team(Arc::clone(team))),
+        (None, _) if is_anonymous => Verdict::Allowed(Identity::Anonymous),
+        (None, PresentedKey::Key(_)) => Verdict::UnknownKey,
+        (None, PresentedKey::Absent | PresentedKey::Unusable) => Verdict::NoKey,
     }
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -58,7 +58,7 @@
 
     /// This span in milliseconds, with fractions.
     #[must_use]
-    pub fn in_millis(self) -> f64 {
+    pub fn as_millis_f64(self) -> f64 {
         self.as_seconds() * 1_000.0
     }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -13,24 +13,24 @@
 use serde::{Deserialize, Serialize};
 
 /// Windows for which a daemon keeps its own counts, and a leader what was reported to it.
-const KEPT: u64 = 12;
+const RETAINED_WINDOWS: u64 = 12;
 
 /// Requests by team.
 pub type Counts = BTreeMap<Arc<str>, u32>;
 
 /// Windows of true time, and when their reports are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Windows {
+pub struct WindowSchedule {
     /// Milliseconds of a window; window `k` begins `k` times that after the start of 1970.
     pub length_ms: u64,
     /// Milliseconds after a window's end within which its report must have come.
     pub due_ms: u64,
 }
 
-impl Windows {
+impl WindowSchedule {
     /// The window of a Unix millisecond.
     #[must_use]
-    pub const fn at(self, unix_ms: u64) -> u64 {
+    pub const fn window_at(self, unix_ms: u64) -> u64 {
         unix_ms / self.length_ms
     }
 
@@ -77,7 +77,7 @@
     /// A window without a request is reported too, or the leader would wait for it.
     #[must_use]
     pub fn unacknowledged(&self, first: u64, present: u64, over: u64) -> Vec<WindowCounts> {
-        let first = first.max(present.saturating_sub(KEPT));
+        let first = first.max(present.saturating_sub(RETAINED_WINDOWS));
         let windows = (first..=present).filter(|window| !self.acknowledged.contains(window)).map(|window| {
             let counts = self.windows.get(&window).into_iter().flatten();
             let counts = counts.map(|(team, count)| (team.to_string(), *count)).collect();
@@ -87,7 +87,7 @@
     }
 
     /// The leader has recorded a window that is over.
-    pub fn acknowledged(&mut self, window: u64) {
+    pub fn acknowledge(&mut self, window: u64) {
         self.acknowledged.insert(window);
     }
 
@@ -97,26 +97,26 @@
     }
 
     /// Forget what is too old to be reported.
-    pub fn forget(&mut self, present: u64) {
-        self.windows.retain(|window, _| window + KEPT > present);
-        self.acknowledged.retain(|window| window + KEPT >= present);
+    pub fn prune(&mut self, present: u64) {
+        self.windows.retain(|window, _| window + RETAINED_WINDOWS > present);
+        self.acknowledged.retain(|window| window + RETAINED_WINDOWS >= present);
     }
 }
 
 /// What one run of a daemon reported.
 #[derive(Clone, Debug, Default)]
-struct Recorded {
+struct RunCounts {
     is_over: bool,
     counts: HashMap<String, u32>,
 }
 
 /// A run of a daemon: the VM's name and the run's number.
-type Run = (String, u64);
+type DaemonRun = (String, u64);
 
 /// What was reported to a leader.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    windows: BTreeMap<u64, HashMap<Run, Recorded>>,
+    windows: BTreeMap<u64, HashMap<DaemonRun, RunCounts>>,
 }
 
 impl Ledger {
@@ -151,8 +151,8 @@
     }
 
     /// Forget what is too old to be reported.
-    pub fn forget(&mut self, present: u64) {
-        self.windows.retain(|window, _| window + KEPT > present);
+    pub fn prune(&mut self, present: u64) {
+        self.windows.retain(|window, _| window + RETAINED_WINDOWS > present);
     }
 }
 
@@ -200,7 +200,7 @@
 /// The reports of one holder, from when it took over.
 #[derive(Clone, Debug)]
 pub struct Reporter {
-    windows: Windows,
+    windows: WindowSchedule,
     /// The first window that is owed if none was ever reported.
     first: u64,
     stored: Stored,
@@ -209,13 +209,13 @@
 impl Reporter {
     /// A holder that took over; `first` is owed if no window was ever reported.
     #[must_use]
-    pub fn new(windows: Windows, first: u64) -> Self {
+    pub fn new(windows: WindowSchedule, first: u64) -> Self {
         Self { windows, first, stored: Stored::default() }
     }
 
     /// What to do next; `is_complete` says whether all have reported a window that is over, and `latest_ms`
     /// is how long after its end a window waits for those who have not.
-    pub fn next(&mut self, unix_ms: u64, latest_ms: u64, is_complete: impl Fn(u64) -> bool) -> Step {
+    pub fn next_step(&mut self, unix_ms: u64, max_wait_ms: u64, is_complete: impl Fn(u64) -> bool) -> Step {
         let is_overdue = |window: u64| self.windows.due_at_ms(window) <= unix_ms;
         let (window, expect) = match &self.stored {
             Stored::Unknown => return Step::Read,
@@ -226,14 +226,14 @@
             Stored::Report { revision, report, .. } => (report.window + 1, *revision),
         };
         // What is overdue helps nobody, and may hold up those that are not.
-        let window = window.max(self.windows.at(unix_ms.saturating_sub(self.windows.due_ms)));
+        let window = window.max(self.windows.window_at(unix_ms.saturating_sub(self.windows.due_ms)));
         let end_ms = self.windows.end_ms(window);
-        let is_ready = end_ms <= unix_ms && (is_complete(window) || end_ms + latest_ms <= unix_ms);
+        let is_ready = end_ms <= unix_ms && (is_complete(window) || end_ms + max_wait_ms <= unix_ms);
         if is_ready { Step::Store { window, expect } } else { Step::Wait }
     }
 
     /// What was read from the store, or was stored by this holder.
-    pub fn stored(&mut self, present: Option<(i64, Report)>) {
+    pub fn set_stored(&mut self, present: Option<(i64, Report)>) {
         self.stored = match present {
             Some((revision, report)) => Stored::Report { revision, report, is_done: false },
             None => Stored::Nothing,
@@ -241,12 +241,12 @@
     }
 
     /// Whether something was stored is not certain.
-    pub fn uncertain(&mut self) {
+    pub fn forget_stored(&mut self) {
         self.stored = Stored::Unknown;
     }
 
     /// A report was accepted, or can never be.
-    pub fn done(&mut self, window: u64) {
+    pub fn mark_done(&mut self, window: u64) {
         if let Stored::Report { report, is_done, .. } = &mut self.stored
             && report.window == window
         {
--- a/crates/core/src/watcher_election.rs
+++ b/crates/core/src/watcher_election.rs
@@ -22,11 +22,11 @@
 const WAIT_SHARE: f64 = 0.4;
 /// What is added to a call's wait before a watcher is no longer believed: the pause before its
 /// next call, the time of an answer, and the time until a report of that arrives.
-const BELIEF_SLACK: Span = Span::millis(1_000);
+const WATCHER_TIMEOUT_SLACK: Span = Span::millis(1_000);
 /// Waits between calls that fail, doubling from the first to the last.
-const RETRY: (Span, Span) = (Span::millis(50), Span::millis(800));
+const RETRY_DELAY: (Span, Span) = (Span::millis(50), Span::millis(800));
 /// Doublings after which a wait has reached its longest.
-const RETRY_DOUBLINGS: u32 = 4;
+const MAX_RETRY_DOUBLINGS: u32 = 4;
 
 /// Order of the daemons of a hall: those with better links do what is done for the hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,73 +50,80 @@
 
 /// Times that elections go by.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ElectionTiming {
     /// Time from an undisturbed store on in which a daemon must watch it again.
-    pub contact: Span,
+    pub watch_deadline: Span,
 }
 
 /// Whether this daemon is to watch the store itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Election {
     /// When too few peers of higher priority were first seen to watch; absent while enough do.
-    lacking_from: Option<Time>,
+    shortage_since: Option<Time>,
     /// Calls in a row that failed.
     failures: u32,
     /// Living peers of higher priority.
-    ahead: usize,
+    higher_peers: usize,
     /// Whether the store has answered since this election was won.
-    is_served: bool,
+    has_store_answered: bool,
 }
 
-impl Terms {
+impl ElectionTiming {
     /// Longest wait of one call for changes.
     #[must_use]
-    pub fn wait(self) -> Span {
-        Span::seconds(self.contact.as_seconds() * WAIT_SHARE)
+    pub fn max_wait(self) -> Span {
+        Span::seconds(self.watch_deadline.as_seconds() * WAIT_SHARE)
     }
 
     /// Age of the store's last answer to a watcher up to which that one is believed.
     #[must_use]
-    pub fn believed(self) -> Span {
-        self.wait() + BELIEF_SLACK
+    pub fn watcher_timeout(self) -> Span {
+        self.max_wait() + WATCHER_TIMEOUT_SLACK
     }
 
     /// How long an election may take for all daemons together.
-    fn longest_election(self) -> Span {
-        Span::seconds(self.contact.as_seconds() * ELECTION_SHARE)
+    fn max_election_time(self) -> Span {
+        Span::seconds(self.watch_deadline.as_seconds() * ELECTION_SHARE)
     }
 }
 
 impl Election {
     /// Whether this daemon is elected; `watching` if it watches at present.
-    pub fn is_elected(&mut self, watching: bool, own: Priority, peers: &[HallPeer], terms: Terms, now: Time) -> bool {
+    pub fn is_elected(
+        &mut self,
+        watching: bool,
+        own: Priority,
+        peers: &[HallPeer],
+        timing: ElectionTiming,
+        now: Time,
+    ) -> bool {
         let higher = peers.iter().filter(|peer| peer.priority > own && now.since(peer.heard_at) < PEER_SILENCE_TIMEOUT);
-        let is_watcher = |peer: &&HallPeer| peer.watched_at.is_some_and(|at| now.since(at) < terms.believed());
-        self.ahead = higher.clone().count();
+        let is_watcher = |peer: &&HallPeer| peer.watched_at.is_some_and(|at| now.since(at) < timing.watcher_timeout());
+        self.higher_peers = higher.clone().count();
         if !watching {
-            self.is_served = false;
+            self.has_store_answered = false;
         }
         if higher.filter(is_watcher).count() >= WATCHERS {
-            self.lacking_from = None;
+            self.shortage_since = None;
             return false;
         }
-        let lacking_from = *self.lacking_from.get_or_insert(now);
-        let before = (self.ahead + 1).saturating_sub(WATCHERS) as u64;
+        let shortage_since = *self.shortage_since.get_or_insert(now);
+        let before = (self.higher_peers + 1).saturating_sub(WATCHERS) as u64;
         let wait = Span(PRIORITY_DELAY.0 * before);
-        watching || (lacking_from + wait.min(terms.longest_election())).is_past(now)
+        watching || (shortage_since + wait.min(timing.max_election_time())).is_past(now)
     }
 
     /// How long the next call may wait for changes: the first after an election not at all, so that
     /// peers soon hear of an answer and hold none of their own.
     #[must_use]
-    pub fn next_wait(&self, terms: Terms) -> Span {
-        if self.is_served { terms.wait() } else { Span::default() }
+    pub fn next_wait(&self, timing: ElectionTiming) -> Span {
+        if self.has_store_answered { timing.max_wait() } else { Span::default() }
     }
 
     /// Note that the store answered; returns whether for the first time since this election.
-    pub const fn answered(&mut self) -> bool {
+    pub const fn record_answer(&mut self) -> bool {
         self.failures = 0;
-        !std::mem::replace(&mut self.is_served, true)
+        !std::mem::replace(&mut self.has_store_answered, true)
     }
 
     /// Note that it did not; returns the time until the next call.
@@ -124,11 +131,11 @@
     /// The lower its priority the longer a daemon waits, which bounds the calls of a hall whose store is away. None
     /// waits longer than half of the time in which it must watch the store again, since the store may answer only
     /// that one.
-    pub fn failed(&mut self, terms: Terms) -> Span {
-        let doubled = Span(RETRY.0.0 << self.failures.min(RETRY_DOUBLINGS)).min(RETRY.1);
+    pub fn record_failure(&mut self, timing: ElectionTiming) -> Span {
+        let doubled = Span(RETRY_DELAY.0.0 << self.failures.min(MAX_RETRY_DOUBLINGS)).min(RETRY_DELAY.1);
         self.failures = self.failures.saturating_add(1);
-        self.is_served = false;
-        let factor = (self.ahead / WATCHERS).max(1) as u64;
-        Span(doubled.0 * factor).min(terms.longest_election())
+        self.has_store_answered = false;
+        let factor = (self.higher_peers / WATCHERS).max(1) as u64;
+        Span(doubled.0 * factor).min(timing.max_election_time())
     }
 }
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -5,11 +5,11 @@
 //! near what the endpoint can take without any message between them.
 
 /// The smallest window: urgent work must always find a place.
-const MIN: f64 = 2.0;
+const MIN_SIZE: f64 = 2.0;
 /// Growth for a full window's worth of timely answers.
-const STEP: f64 = 1.0;
+const INCREASE: f64 = 1.0;
 /// Factor after a late one.
-const SHRINK: f64 = 0.85;
+const DECREASE_FACTOR: f64 = 0.85;
 
 /// An adaptive bound on attempts in flight.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     /// A window that starts at `start` and never exceeds `max` attempts.
     #[must_use]
     pub fn new(start: f64, max: f64) -> Self {
-        Self { size: start.clamp(MIN, max.max(MIN)), max: max.max(MIN), in_flight: 0 }
+        Self { size: start.clamp(MIN_SIZE, max.max(MIN_SIZE)), max: max.max(MIN_SIZE), in_flight: 0 }
     }
 
     /// Whether one more attempt fits; `headroom` places stay free for urgent kinds.
@@ -45,12 +45,12 @@
     }
 
     /// Note an attempt sent.
-    pub const fn sent(&mut self) {
+    pub const fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// Note an attempt over.
-    pub const fn ended(&mut self) {
+    pub const fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -59,10 +59,10 @@
         if timely {
             let full = f64::from(self.in_flight) >= self.size / 2.0;
             if full {
-                self.size = (self.size + STEP / self.size).min(self.max);
+                self.size = (self.size + INCREASE / self.size).min(self.max);
             }
         } else {
-            self.size = (self.size * SHRINK).max(MIN);
+            self.size = (self.size * DECREASE_FACTOR).max(MIN_SIZE);
         }
     }
 }
--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -2,7 +2,7 @@
 //! orders whose answers are lost or that arrive late, engines that crash in mid-change.
 
 use dahliaseam_core::{
-    custody::{EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, next, release},
+    custody::{EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, next_step, release},
     endpoint::Role,
     lease::Fence,
     member::Incarnation,
@@ -234,11 +234,11 @@
             me: &holder.me,
             epoch: holder.believes,
             fencing: self.engine.fencing,
-            custodian_over,
+            custodian_terminated: custodian_over,
             status: Some(&status),
             wanted: Some(wanted),
         };
-        match next(&record, &view) {
+        match next_step(&record, &view) {
             Step::Write(record) => {
                 let applied = revision == self.revision;
                 if applied {
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -4,7 +4,7 @@
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Next, Policy, Refusal, Site},
-    endpoint::{Duty, EndpointKey, PoolKey, Rates, Role},
+    endpoint::{AdminState, EndpointKey, PoolKey, Rates, Role},
     outcome::{AttemptEnd, Outcome},
     request::{KindTraits, RequestKey, RequestSpec},
     time::{Span, Time},
@@ -57,11 +57,11 @@
         let key = dispatcher.submit("t", spec(pool, repeatable, START, 9_000), START).expect("room");
         let (_, first) = sent(&dispatcher.pump(pool, START)).expect("it is sent");
         match (dispatcher.attempt_ended(key, end, Site::Serving, START), outcome) {
-            (Next::Again, None) => {
+            (Next::Retry, None) => {
                 let (_, second) = sent(&dispatcher.pump(pool, START)).expect("it is sent again");
                 assert_ne!(first, second, "{end:?}");
             }
-            (Next::Over(got), Some(wanted)) => assert_eq!(got, wanted, "{end:?}"),
+            (Next::Finished(got), Some(wanted)) => assert_eq!(got, wanted, "{end:?}"),
             (next, wanted) => panic!("{end:?}: {next:?}, not {wanted:?}"),
         }
     }
@@ -71,19 +71,19 @@
 fn an_end_without_an_attempt_changes_nothing() {
     let (mut dispatcher, pool, keys) = small();
     for key in keys {
-        dispatcher.set_duty(key, Duty::Leaving);
+        dispatcher.set_admin_state(key, AdminState::Draining);
     }
     let key = dispatcher.submit("t", spec(pool, true, START, 9_000), START).expect("room");
     assert!(dispatcher.pump(pool, START).is_empty());
-    assert_eq!(dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, START), Next::Again);
-    assert_eq!((dispatcher.held(), dispatcher.waiting()), (1, 1));
+    assert_eq!(dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, START), Next::Retry);
+    assert_eq!((dispatcher.request_count(), dispatcher.waiting_count()), (1, 1));
     let _ = dispatcher.tick(START);
 }
 
 #[test]
 fn teams_share_their_rate_over_live_daemons() {
     let (mut dispatcher, pool, _) = small();
-    dispatcher.set_teams(HashMap::from([("t".to_owned(), 8.0)]), 4, START);
+    dispatcher.set_team_rates(HashMap::from([("t".to_owned(), 8.0)]), 4, START);
     let mut refused = None;
     for _ in 0..8 {
         if let Err(why) = dispatcher.submit("t", spec(pool, true, START, 9_000), START) {
@@ -186,10 +186,10 @@
                 Move::End(n, end) => {
                     if driver.running.is_empty() { continue; }
                     let key = driver.running.swap_remove(n % driver.running.len());
-                    if !end.surely_not_run() {
+                    if !end.is_certainly_not_run() {
                         driver.may_have_run.insert(key, true);
                     }
-                    if let Next::Over(outcome) = dispatcher.attempt_ended(key, end, Site::Serving, now) {
+                    if let Next::Finished(outcome) = dispatcher.attempt_ended(key, end, Site::Serving, now) {
                         let ran = driver.may_have_run.get(&key) == Some(&true);
                         prop_assert!(!(ran && outcome == Outcome::NotRun));
                         driver.over.push(key);
@@ -204,15 +204,15 @@
                 Move::Abandon(n) => {
                     if driver.running.is_empty() { continue; }
                     let key = driver.running.swap_remove(n % driver.running.len());
-                    dispatcher.abandon(key, now);
+                    dispatcher.cancel(key, now);
                     driver.over.push(key);
                 }
                 Move::Duty(n, open) => {
                     let Some(key) = endpoints.get(n).copied() else { continue };
                     closed.retain(|k| *k != key);
                     if !open { closed.push(key); }
-                    let duty = if open { Duty::Serving } else { Duty::Leaving };
-                    let actions = dispatcher.set_duty(key, duty);
+                    let duty = if open { AdminState::Serving } else { AdminState::Draining };
+                    let actions = dispatcher.set_admin_state(key, duty);
                     driver.hear(&actions, &closed)?;
                 }
                 Move::Remove(n) => {
@@ -227,11 +227,11 @@
             }
             let actions = dispatcher.tick(now);
             driver.hear(&actions, &closed)?;
-            prop_assert!(dispatcher.held() >= driver.running.len());
+            prop_assert!(dispatcher.request_count() >= driver.running.len());
         }
         // Whatever is left comes to an end.
         for key in std::mem::take(&mut driver.running) {
-            dispatcher.abandon(key, now);
+            dispatcher.cancel(key, now);
         }
         let end = now + Span::millis(20_000);
         for _ in 0..8 {
@@ -241,6 +241,6 @@
                 let _ = dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, end);
             }
         }
-        prop_assert_eq!(dispatcher.held(), 0);
+        prop_assert_eq!(dispatcher.request_count(), 0);
     }
 }
--- a/crates/core/tests/engine_model.rs
+++ b/crates/core/tests/engine_model.rs
@@ -211,7 +211,7 @@
         pace.learn_guess((f64::from(guess) / 60.0 * factor) as u64, Some(guess));
     }
     let likely = |output, guess| {
-        let prompt = Prompt::new("m", std::iter::empty(), 100, output).with_guess(guess);
+        let prompt = Prompt::new("m", std::iter::empty(), 100, output).with_output_hint(guess);
         pace.likely_events(&prompt, false).expect("it is known")
     };
     let guessed = likely(12_000, Some(3_000));
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -115,7 +115,7 @@
         let parts = [(1, 50), (1_000 + self.asked, 100)];
         let events = size(&mut self.rng);
         let guess = self.arrivals.guessed.then(|| guess(&mut self.rng, events));
-        let prompt = Prompt::new("m", parts.into_iter(), 150, MOST_TOKENS).with_guess(guess);
+        let prompt = Prompt::new("m", parts.into_iter(), 150, MOST_TOKENS).with_output_hint(guess);
         let draw = self.rng.random();
         let ask = RouteRequest { time_left: LIMIT, silence_left: Span::millis(2_000), draw, ..ask(Some(&prompt), &[]) };
         let Ok(Plan::Whole(step)) = self.fleet.choose(&ask, now) else {
@@ -136,7 +136,7 @@
         for answer in &mut self.running {
             let others = f64::from(answers[answer.engine]);
             let interval_ms = self.speeds[answer.engine] * (ALONE_MS + EACH_MS * others);
-            answer.done += TICK.in_millis() / interval_ms;
+            answer.done += TICK.as_millis_f64() / interval_ms;
             if now.since(answer.learned.1) >= PART {
                 answer.learn(&mut self.fleet, now);
             }
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -57,7 +57,7 @@
     let next = fleet.key(ID).expect("it is known");
     assert_ne!(next, key, "nothing that was planned for the one before reaches it");
     let row = fleet.get(next).expect("it is known");
-    assert!(row.is_open(now()) && row.health.allows(now()) && row.orders_from.is_past(now()));
+    assert!(row.is_open(now()) && row.health.is_available(now()) && row.orders_from.is_past(now()));
     assert_eq!((row.active(), held_tokens(&fleet)), (0, 0));
     assert!(fleet.get(key).is_none());
     assert!(fleet.is_replaced(&start(1_000)) && !fleet.is_replaced(&start(5_000)));
@@ -65,7 +65,7 @@
     // Work that was under way ends without a trace at the new one.
     assert!(!fleet.end(&sent, StepEnd::Silent, now()));
     let row = fleet.get(next).expect("it is known");
-    assert!(row.health.allows(now()));
+    assert!(row.health.is_available(now()));
 }
 
 #[test]
--- a/crates/core/tests/member.rs
+++ b/crates/core/tests/member.rs
@@ -12,18 +12,18 @@
 
 fn table(n: usize, all: usize) -> Members {
     let mut members = Members::new(MemberSettings::default(), contact(n), 1, n as u64);
-    members.list(&(0..all).map(contact).collect::<Vec<_>>());
+    members.set_listed(&(0..all).map(contact).collect::<Vec<_>>());
     members
 }
 
 /// One probe of `to` by `from`, as the daemon does it.
 fn probe(tables: &mut [Members], from: usize, to: usize, now: Time) {
     let key = tables[from].others().find(|(_, m)| m.contact == contact(to)).map(|(key, _)| key).expect("listed");
-    let mut news = tables[from].take_news();
-    news.extend(tables[from].accusation(key));
+    let mut news = tables[from].take_updates();
+    news.extend(tables[from].update_to_refute(key));
     tables[to].apply(&news, now);
-    let (start, refutation, news) = (tables[to].me().start, tables[to].refutation(), tables[to].take_news());
-    tables[from].answered(key, start, refutation, now);
+    let (start, refutation, news) = (tables[to].me().start, tables[to].refutation(), tables[to].take_updates());
+    tables[from].record_answer(key, start, refutation, now);
     tables[from].apply(&news, now);
 }
 
@@ -41,12 +41,12 @@
     let late = at + Span::millis(60_000);
     for table in tables.iter_mut().take(2) {
         let key = table.others().find(|(_, m)| m.contact.vm == "vm-2").map(|(k, _)| k).expect("listed");
-        table.unreached(key, at);
-        let _ = table.probe(late);
+        table.record_unreached(key, at);
+        let _ = table.next_probe_target(late);
         assert_eq!(believed(table, 2), Health::Dead);
         // The news of the death is told until nobody wants it any more.
         for _ in 0..100 {
-            let _ = table.take_news();
+            let _ = table.take_updates();
         }
     }
     probe(&mut tables, 0, 2, late);
@@ -61,16 +61,16 @@
     let process = Incarnation { vm: "vm-1".to_owned(), start: 1 };
     probe(&mut tables, 0, 1, Time(1));
     let key = tables[0].others().next().map(|(k, _)| k).expect("one other");
-    tables[0].unreached(key, Time(1));
-    let _ = tables[0].probe(Time(1) + Span::millis(60_000));
+    tables[0].record_unreached(key, Time(1));
+    let _ = tables[0].next_probe_target(Time(1) + Span::millis(60_000));
     assert_eq!(believed(&tables[0], 1), Health::Dead);
-    assert!(!tables[0].is_over(&process), "silence proves nothing: it may be paused");
-    tables[0].list(&[contact(0)]);
-    assert!(tables[0].is_over(&process), "its VM was listed and no longer is");
-    tables[0].list(&[contact(0), contact(1)]);
-    assert!(!tables[0].is_over(&process));
-    tables[0].answered(key, 2, 0, Time(2));
-    assert!(tables[0].is_over(&process), "a later run answers in its place");
+    assert!(!tables[0].is_terminated(&process), "silence proves nothing: it may be paused");
+    tables[0].set_listed(&[contact(0)]);
+    assert!(tables[0].is_terminated(&process), "its VM was listed and no longer is");
+    tables[0].set_listed(&[contact(0), contact(1)]);
+    assert!(!tables[0].is_terminated(&process));
+    tables[0].record_answer(key, 2, 0, Time(2));
+    assert!(tables[0].is_terminated(&process), "a later run answers in its place");
 }
 
 /// Cases of a fixed seed, so that each run gives the same verdict.
@@ -94,17 +94,17 @@
             }
             let key = tables[from].others().find(|(_, m)| m.contact == contact(to)).map(|(k, _)| k);
             match (what, key) {
-                (0, Some(key)) => tables[from].unreached(key, now),
+                (0, Some(key)) => tables[from].record_unreached(key, now),
                 (1, _) => {
                     let start = tables[to].me().start + 1;
                     let mut fresh = Members::new(MemberSettings::default(), contact(to), start, 9);
-                    fresh.list(&(0..4).map(contact).collect::<Vec<_>>());
+                    fresh.set_listed(&(0..4).map(contact).collect::<Vec<_>>());
                     tables[to] = fresh;
                 }
                 (_, Some(_)) => probe(&mut tables, from, to, now),
                 _ => {}
             }
-            let _ = tables[from].probe(now);
+            let _ = tables[from].next_probe_target(now);
         }
         for from in 0..4 {
             for to in (0..4).filter(|to| *to != from) {
@@ -112,8 +112,8 @@
             }
         }
         for table in &tables {
-            prop_assert_eq!(table.live(), 4);
-            prop_assert_eq!(table.reach(), (4, 4));
+            prop_assert_eq!(table.live_count(), 4);
+            prop_assert_eq!(table.reachability(), (4, 4));
         }
     }
 }
--- a/crates/core/tests/proof.rs
+++ b/crates/core/tests/proof.rs
@@ -27,23 +27,23 @@
 #[test]
 fn a_proof_of_a_newer_configuration_counts_once_that_is_in_force() {
     let mut proofs = Proofs::default();
-    proofs.in_force(10);
-    proofs.note(Proof { revision: 10, at: Time(1_000_000) });
-    proofs.note(Proof { revision: 12, at: Time(3_000_000) });
+    proofs.set_in_force(10);
+    proofs.record(Proof { revision: 10, at: Time(1_000_000) });
+    proofs.record(Proof { revision: 12, at: Time(3_000_000) });
     assert_eq!(proofs.newest().map(|proof| proof.at), Some(Time(1_000_000)));
-    proofs.in_force(12);
+    proofs.set_in_force(12);
     assert_eq!(proofs.newest(), Some(Proof { revision: 12, at: Time(3_000_000) }));
     // An older one that comes later takes nothing back.
-    proofs.note(Proof { revision: 10, at: Time(2_000_000) });
+    proofs.record(Proof { revision: 10, at: Time(2_000_000) });
     assert_eq!(proofs.newest().map(|proof| proof.at), Some(Time(3_000_000)));
 }
 
 #[test]
 fn without_a_proof_nothing_holds() {
     let mut proofs = Proofs::default();
-    assert!(!proofs.holds(BOUND, Time(0)));
-    proofs.in_force(1);
-    assert!(!proofs.holds(BOUND, Time(0)));
+    assert!(!proofs.is_fresh(BOUND, Time(0)));
+    proofs.set_in_force(1);
+    assert!(!proofs.is_fresh(BOUND, Time(0)));
 }
 
 /// A message on its way.
@@ -139,7 +139,7 @@
                 send(&mut rng, &mut under_way, now_ms, at, &acknowledged, clock);
             }
             // A request that was sent now or before, and is judged now.
-            if daemon.proofs.holds(BOUND, clock) {
+            if daemon.proofs.is_fresh(BOUND, clock) {
                 played.ran += 1;
                 let superseded = acknowledged.get(daemon.revision as usize - 1);
                 let late_ms = superseded.map_or(0, |acknowledged| now_ms.saturating_sub(*acknowledged));
@@ -196,7 +196,7 @@
     let to = message.to;
     let clock = daemons[to].clock(now_ms);
     match message.what {
-        What::Stored { asked, revision } => daemons[to].proofs.note(Proof { revision, at: asked }),
+        What::Stored { asked, revision } => daemons[to].proofs.record(Proof { revision, at: asked }),
         What::Asked { by, question } => {
             if let Some(proof) = daemons[to].proofs.newest() {
                 let age = clock.since(proof.at);
@@ -211,11 +211,11 @@
                 under_way.push(OnItsWay { arrives_ms, to: by, what: What::Configuration { revision } });
             }
         }
-        What::Answered { question, revision, age } => daemons[to].proofs.note(Proof { revision, at: question - age }),
+        What::Answered { question, revision, age } => daemons[to].proofs.record(Proof { revision, at: question - age }),
         What::Configuration { revision } => {
             let daemon = &mut daemons[to];
             daemon.revision = daemon.revision.max(revision);
-            daemon.proofs.in_force(daemon.revision);
+            daemon.proofs.set_in_force(daemon.revision);
         }
     }
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -6,7 +6,7 @@
     lease::Authority,
     quota::{
         Credit, Quota, Unit,
-        client::{Need, Next, QuotaClient},
+        client::{CreditNeed, Next, QuotaClient},
         shard::{Answer, Shard},
         terms::{ShardTerms, Tolerance},
     },
@@ -19,10 +19,10 @@
 const LEASE: Span = Span::millis(3_000);
 const TIMEOUT: Span = Span::millis(60);
 const LENGTH: Time = Time(14_000_000);
-const TOLERANCE: Tolerance = Tolerance { window: Span::millis(2_000), over: 0.02, slack: 10_000.0 };
+const TOLERANCE: Tolerance = Tolerance { window: Span::millis(2_000), excess_share: 0.02, slack: 10_000.0 };
 /// Beside it a bucket holds the whole burst.
 const ROOMY: Tolerance = Tolerance { slack: 60_000.0, ..TOLERANCE };
-const QUOTA: Quota = Quota { unit: Unit::Tokens { plain: 200 }, rate: 60_000.0, burst: 60_000.0 };
+const QUOTA: Quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 60_000.0, burst: 60_000.0 };
 
 /// What is left out of the protocol, to show that the check finds it.
 #[derive(Clone, Copy, PartialEq)]
@@ -159,8 +159,8 @@
 
     fn next(&mut self, daemon: usize, cost: u64, mut tried: Vec<u8>) {
         let draw = self.rng.random();
-        let need = Need { team: TEAM, terms: &self.terms, cost, draw };
-        match self.clients[daemon].next(&need, &tried, |_| true, self.now) {
+        let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker: draw };
+        match self.clients[daemon].next_step(&need, &tried, |_| true, self.now) {
             Next::Ask(shard) => {
                 // Asked is whoever is, or was, its owner.
                 let owners: Vec<usize> =
@@ -214,9 +214,9 @@
     }
 
     fn answer(&mut self, shard: u8, to: usize, asked: Time, number: u64, granted: bool, left: u64) {
-        self.clients[to].answered(TEAM, shard, left as f64, &self.terms, self.now);
+        self.clients[to].record_level(TEAM, shard, left as f64, &self.terms, self.now);
         let Some((daemon, cost, tried)) = self.open.remove(&number) else { return };
-        if granted && Credit::asked_at(asked).is_usable(self.now) {
+        if granted && Credit::requested_at(asked).is_usable(self.now) {
             self.spent.push((self.now, cost));
         } else if !granted {
             self.next(daemon, cost, tried);
@@ -227,7 +227,7 @@
         if let Some((daemon, cost, tried)) = self.open.get(&number).cloned() {
             // An answer that comes yet may still be used, which is the worst that can be.
             if self.rests {
-                self.clients[daemon].silent(shard, self.now);
+                self.clients[daemon].mark_unavailable(shard, self.now);
             }
             self.next(daemon, cost, tried);
         }
@@ -354,7 +354,7 @@
         .filter(|asked| matches!(shard.take(TEAM, &terms, 900, *asked), Answer::Granted { .. }))
         .collect();
     let spent = |asked_at: fn(Time, Time) -> Time| {
-        let usable = waiting.iter().filter(|asked| Credit::asked_at(asked_at(**asked, resumed)).is_usable(resumed));
+        let usable = waiting.iter().filter(|asked| Credit::requested_at(asked_at(**asked, resumed)).is_usable(resumed));
         usable.count() as f64 * 900.0
     };
     let allowed = TOLERANCE.allowed(&QUOTA);
@@ -392,8 +392,8 @@
     for (over, slack, rate, burst) in
         [(0.0, 0.0, 10.0, 1.0), (0.0, 0.0, 10.0, 40.0), (0.1, 140_000.0, 36_000.0, 36_000.0), (0.5, 0.0, 0.0, 5.0)]
     {
-        for unit in [Unit::Requests, Unit::Tokens { plain: 1 }] {
-            let tolerance = Tolerance { window: Span::millis(8_000), over, slack };
+        for unit in [Unit::Requests, Unit::Tokens { default_cost: 1 }] {
+            let tolerance = Tolerance { window: Span::millis(8_000), excess_share: over, slack };
             let quota = Quota { unit, rate, burst };
             let terms = ShardTerms::split(&quota, &tolerance);
             let most = (terms.depth + terms.rate * (8.0 + life_s)) * terms.count as f64;
@@ -424,12 +424,12 @@
         let now = Time(10_000_000 + team * 10_000);
         assert!(matches!(shard.take(&format!("team-{team}"), &terms, 50, now), Answer::Granted { .. }));
     }
-    assert!(shard.teams() <= 2_048, "{}", shard.teams());
+    assert!(shard.team_count() <= 2_048, "{}", shard.team_count());
 }
 
 #[test]
 fn a_request_larger_than_any_bucket_is_denied_for_good() {
     let terms = ShardTerms { rate: 100.0, depth: 1_000.0, count: 1 };
-    let need = Need { team: TEAM, terms: &terms, cost: 1_001, draw: 1 };
-    assert_eq!(QuotaClient::default().next(&need, &[], |_| true, Time(0)), Next::Denied(None));
+    let need = CreditNeed { team: TEAM, terms: &terms, cost: 1_001, tie_breaker: 1 };
+    assert_eq!(QuotaClient::default().next_step(&need, &[], |_| true, Time(0)), Next::Denied(None));
 }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -2,10 +2,10 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use dahliaseam_core::usage::{Counter, Ledger, Report, Reporter, Step, Windows};
+use dahliaseam_core::usage::{Counter, Ledger, Report, Reporter, Step, WindowSchedule};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
-const WINDOWS: Windows = Windows { length_ms: 5_000, due_ms: 10_000 };
+const WINDOWS: WindowSchedule = WindowSchedule { length_ms: 5_000, due_ms: 10_000 };
 /// Milliseconds after a window's end for which its holder waits for those who have not told.
 const LATEST_MS: u64 = 5_000;
 
@@ -66,7 +66,7 @@
 fn a_new_holder_is_told_again_what_the_one_before_knew() {
     let mut counter = Counter::default();
     counter.count(10, &Arc::from("a"));
-    counter.acknowledged(10);
+    counter.acknowledge(10);
     assert!(counter.unacknowledged(10, 10, 11).is_empty());
     counter.resend_all();
     assert_eq!(counter.unacknowledged(10, 10, 11).len(), 1);
@@ -85,16 +85,16 @@
     fn take(&mut self, seed: u64, reporter: &mut Reporter, step: Step, counts: u64, lost: bool) {
         match step {
             Step::Wait => {}
-            Step::Read => reporter.stored(self.stored.clone()),
+            Step::Read => reporter.set_stored(self.stored.clone()),
             Step::Store { window, expect } => {
-                reporter.uncertain();
+                reporter.forget_stored();
                 let present = self.stored.as_ref().map_or(0, |(revision, _)| *revision);
                 if present == expect {
                     self.revision += 1;
                     let report = Report { window, counts: BTreeMap::from([("a".to_owned(), counts)]) };
                     self.stored = Some((self.revision, report));
                     if !lost {
-                        reporter.stored(self.stored.clone());
+                        reporter.set_stored(self.stored.clone());
                     }
                 }
             }
@@ -102,7 +102,7 @@
                 let before = self.accepted.insert(report.window, report.counts.clone());
                 assert!(before.is_none_or(|before| before == report.counts), "seed {seed}: two reports differ");
                 if !lost {
-                    reporter.done(report.window);
+                    reporter.mark_done(report.window);
                 }
             }
         }
@@ -122,7 +122,7 @@
                 holder = (holder.0 + 1, Reporter::new(WINDOWS, 100));
             }
             let complete = rng.random_bool(0.5);
-            let step = holder.1.next(now_ms, LATEST_MS, |_| complete);
+            let step = holder.1.next_step(now_ms, LATEST_MS, |_| complete);
             let lost = rng.random_bool(0.2);
             outside.take(seed, &mut holder.1, step, holder.0, lost);
         }
@@ -134,18 +134,18 @@
 #[test]
 fn a_window_waits_for_those_who_have_not_told_until_a_bound() {
     let mut reporter = Reporter::new(WINDOWS, 100);
-    reporter.stored(None);
+    reporter.set_stored(None);
     let end_ms = WINDOWS.end_ms(100);
-    assert_eq!(reporter.next(end_ms - 1, LATEST_MS, |_| true), Step::Wait);
-    assert_eq!(reporter.next(end_ms, LATEST_MS, |_| false), Step::Wait);
-    assert_eq!(reporter.next(end_ms, LATEST_MS, |_| true), Step::Store { window: 100, expect: 0 });
-    assert_eq!(reporter.next(end_ms + LATEST_MS, LATEST_MS, |_| false), Step::Store { window: 100, expect: 0 });
+    assert_eq!(reporter.next_step(end_ms - 1, LATEST_MS, |_| true), Step::Wait);
+    assert_eq!(reporter.next_step(end_ms, LATEST_MS, |_| false), Step::Wait);
+    assert_eq!(reporter.next_step(end_ms, LATEST_MS, |_| true), Step::Store { window: 100, expect: 0 });
+    assert_eq!(reporter.next_step(end_ms + LATEST_MS, LATEST_MS, |_| false), Step::Store { window: 100, expect: 0 });
 }
 
 #[test]
 fn what_is_overdue_is_passed_over() {
     let mut reporter = Reporter::new(WINDOWS, 100);
-    reporter.stored(Some((5, Report { window: 100, counts: BTreeMap::new() })));
+    reporter.set_stored(Some((5, Report { window: 100, counts: BTreeMap::new() })));
     let now_ms = WINDOWS.due_at_ms(103);
-    assert_eq!(reporter.next(now_ms, LATEST_MS, |_| true), Step::Store { window: 104, expect: 5 });
+    assert_eq!(reporter.next_step(now_ms, LATEST_MS, |_| true), Step::Store { window: 104, expect: 5 });
 }
--- a/crates/core/tests/watcher_election.rs
+++ b/crates/core/tests/watcher_election.rs
@@ -6,7 +6,7 @@
 
 use dahliaseam_core::{
     time::{Span, Time},
-    watcher_election::{Election, HallPeer, Priority, Terms, WATCHERS},
+    watcher_election::{Election, ElectionTiming, HallPeer, Priority, WATCHERS},
 };
 
 /// Daemons of the hall.
@@ -19,7 +19,7 @@
 const NEWS: Span = Span::millis(400);
 /// Time that an answer of the store takes.
 const ANSWER: Span = Span::millis(4);
-const TERMS: Terms = Terms { contact: Span::millis(5_000) };
+const TERMS: ElectionTiming = ElectionTiming { watch_deadline: Span::millis(5_000) };
 
 #[derive(Debug)]
 struct Daemon {
@@ -90,11 +90,11 @@
         if let Some(over) = daemon.call_over.filter(|over| over.is_past(now)) {
             daemon.call_over = None;
             if daemon.served {
-                daemon.turn.answered();
+                daemon.turn.record_answer();
                 daemon.answered_at = Some(over);
                 daemon.next_look = now + Span::millis(250);
             } else {
-                daemon.next_look = now + daemon.turn.failed(TERMS);
+                daemon.next_look = now + daemon.turn.record_failure(TERMS);
             }
             daemon.told.push((now, daemon.answered_at));
             return;
@@ -140,7 +140,8 @@
 
     fn is_followed(&self) -> bool {
         self.daemons.iter().any(|daemon| {
-            daemon.alive && daemon.answered_at.is_some_and(|at| self.now.since(at) < TERMS.wait() + Span::millis(500))
+            daemon.alive
+                && daemon.answered_at.is_some_and(|at| self.now.since(at) < TERMS.max_wait() + Span::millis(500))
         })
     }
 }
@@ -197,7 +198,7 @@
     let mut hall = Hall::new();
     hall.serve_all(false);
     hall.daemons[BETTER + 4].served = true;
-    hall.run(TERMS.contact + Span::seconds(3.0));
+    hall.run(TERMS.watch_deadline + Span::seconds(3.0));
     assert!(hall.is_followed());
     assert!(hall.watching().contains(&(BETTER + 4)));
 }
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -6,7 +6,7 @@
 };
 use bytes::Bytes;
 use dahliaseam_core::{
-    claim::Recorded,
+    claim::RecordedResult,
     dispatch::Site,
     hash,
     outcome::{AttemptEnd, Outcome},
@@ -195,9 +195,9 @@
     Some(req)
 }
 
-fn recorded((status, headers, body): &(StatusCode, HeaderMap, Bytes)) -> Recorded {
+fn recorded((status, headers, body): &(StatusCode, HeaderMap, Bytes)) -> RecordedResult {
     let content_type = headers.get(header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
-    Recorded {
+    RecordedResult {
         outcome: Outcome::Whole,
         status: status.as_u16(),
         content_type: content_type.unwrap_or("application/octet-stream").to_owned(),
@@ -206,7 +206,7 @@
 }
 
 /// The recorded answer, for a second request with the same key.
-fn replay(recorded: Recorded) -> Answer {
+fn replay(recorded: RecordedResult) -> Answer {
     let (Outcome::Whole, Some(body)) = (recorded.outcome, recorded.body) else {
         return Err(Failure {
             retry_after_ms: None,
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -50,7 +50,7 @@
         newer
     });
     if newer {
-        let live = node.members().live();
+        let live = node.members().live_count();
         node.desk.configure(&node.document(), live, node.now());
         duties::apply(node);
         emit!(info, CONFIG_IN_FORCE, generation);
--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -7,7 +7,7 @@
 
 use dahliaseam_border::{http::USER_TIMEOUT, vms::ListedVm};
 use dahliaseam_core::{
-    custody::Wait,
+    custody::WaitReason,
     member::Incarnation,
     time::{Span, Time},
 };
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 struct State {
     shards: BTreeMap<String, u64>,
-    waits: BTreeMap<String, Wait>,
+    waits: BTreeMap<String, WaitReason>,
     over_since: HashMap<Incarnation, Time>,
     unlisted_since: HashMap<String, Time>,
     listed: Vec<String>,
@@ -54,12 +54,12 @@
 
     /// What control of an endpoint waits for.
     #[must_use]
-    pub fn wait_of(&self, endpoint: &str) -> Option<Wait> {
+    pub fn wait_of(&self, endpoint: &str) -> Option<WaitReason> {
         self.lock().waits.get(endpoint).copied()
     }
 
     /// Note what control waits for; returns whether that is new.
-    pub(super) fn waits(&self, endpoint: &str, wait: Option<Wait>) -> bool {
+    pub(super) fn waits(&self, endpoint: &str, wait: Option<WaitReason>) -> bool {
         let mut state = self.lock();
         match wait {
             Some(wait) => state.waits.insert(endpoint.to_owned(), wait) != Some(wait),
@@ -97,7 +97,7 @@
         let lag = Span::millis(node.settings.timing.list_lag_ms);
         let (replaced, unheard) = {
             let members = node.members();
-            (members.is_over(process), members.by_vm(&process.vm).is_none())
+            (members.is_terminated(process), members.by_vm(&process.vm).is_none())
         };
         let mut state = self.lock();
         let listed = state.listed.contains(&process.vm);
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -8,11 +8,11 @@
 
 use dahliaseam_border::http::{HttpClient, Reuse};
 use dahliaseam_core::{
-    bucket::Bucket,
-    custody::{EngineStatus, Fencing, OrderKind, Wait},
+    bucket::TokenBucket,
+    custody::{EngineStatus, Fencing, OrderKind, WaitReason},
     endpoint::Role,
     mix::Demand,
-    planner::{Outlook, Planner, RoleCounts},
+    planner::{AverageDemand, Planner, RoleCounts},
     time::{Span, Time},
 };
 use dahliaseam_wire::{
@@ -51,10 +51,10 @@
     /// What engines said of themselves, and when.
     seen: BTreeMap<String, (Time, EngineStatus)>,
     planner: Planner,
-    outlook: Outlook,
+    outlook: AverageDemand,
     look_at: Time,
     release_at: Time,
-    loads: Bucket,
+    loads: TokenBucket,
     marks: Option<Marks>,
     /// Marks that were sent out; sent again when they or the fencing number change.
     told: Option<Marks>,
@@ -73,10 +73,10 @@
             targets: BTreeMap::new(),
             seen: BTreeMap::new(),
             planner: Planner::default(),
-            outlook: Outlook::default(),
+            outlook: AverageDemand::default(),
             look_at: Time::default(),
             release_at: Time::default(),
-            loads: Bucket::new(per_second, LOAD_BURST, node.now()),
+            loads: TokenBucket::new(per_second, LOAD_BURST, node.now()),
             marks: None,
             told: None,
         }
@@ -165,7 +165,7 @@
             let sum = seen.iter().map(pick).fold(Demand::default(), Demand::plus);
             Demand { prefill: sum.prefill * scale, decode: sum.decode * scale }
         };
-        self.outlook = Outlook { short: sum(|d| d.0), long: sum(|d| d.1) };
+        self.outlook = AverageDemand { short: sum(|d| d.0), long: sum(|d| d.1) };
     }
 
     fn plan(&mut self, node: &Node, doc: &Document, engines: &Engines) {
@@ -263,7 +263,7 @@
                 Reached::Waits(wait) => Some(wait),
                 Reached::Done | Reached::Going => None,
             };
-            if node.board.waits(name, waits) && waits == Some(Wait::FormerCustodian) {
+            if node.board.waits(name, waits) && waits == Some(WaitReason::FormerCustodian) {
                 emit!(warn, CUSTODY_WAITS, engine = name, ignores = spec.fencing == Fencing::Ignores);
             }
         }
@@ -314,11 +314,11 @@
 /// The number of live daemons, and the addresses of a few others drawn at random.
 fn sample(node: &Node, count: usize) -> (usize, Vec<String>) {
     let mut members = node.members();
-    let live = members.live();
+    let live = members.live_count();
     let mut keys = Vec::new();
     // A few draws more than needed, since the same one may be drawn twice.
     for _ in 0..count * 2 {
-        let drawn = members.any_live();
+        let drawn = members.random_live();
         keys.extend(drawn.filter(|key| keys.len() < count && !keys.contains(key)));
     }
     let addresses = keys.iter().filter_map(|key| members.get(*key)).map(|m| m.contact.address.clone());
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -8,7 +8,7 @@
     kv::{Swap, Swapped},
 };
 use dahliaseam_core::{
-    custody::{self, EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, Wait},
+    custody::{self, EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, WaitReason},
     time::{Span, Time},
 };
 use dahliaseam_wire::{
@@ -46,7 +46,7 @@
     /// More is to be done in the next round.
     Going,
     /// Nothing can be done now.
-    Waits(Wait),
+    Waits(WaitReason),
 }
 
 impl Custodian {
@@ -90,15 +90,15 @@
                 me: node.identity.me(),
                 epoch: shard.authority(node.now()).map(|a| a.epoch()),
                 fencing: spec.fencing,
-                custodian_over: former.is_some_and(|c| node.board.is_over(node, c)),
+                custodian_terminated: former.is_some_and(|c| node.board.is_over(node, c)),
                 status: status.as_ref(),
                 wanted,
             };
-            match custody::next(record, &view) {
+            match custody::next_step(record, &view) {
                 Step::Done => return Reached::Done,
                 Step::Wait(wait) => {
                     // Its release would show in the stored record only.
-                    if wait == Wait::FormerCustodian {
+                    if wait == WaitReason::FormerCustodian {
                         self.record = None;
                     }
                     return Reached::Waits(wait);
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A shard is a pool of engines. A few daemons, found by rendezvous hash, stand for its lease;
 //! the holder runs the planner and carries changes out. Each engine's record in the key-value
-//! service goes through [`dahliaseam_core::custody::next`], one step at a time.
+//! service goes through [`dahliaseam_core::custody::next_step`], one step at a time.
 
 pub mod board;
 mod changes;
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -168,8 +168,8 @@
         Contact { vm: settings.vm.clone(), hall: settings.hall.clone(), address: settings.advertised().to_owned() };
     let seed = hash::bytes(format!("{}{start}", settings.vm).as_bytes());
     let members = MemberSettings {
-        period: Span::millis(settings.timing.probe_ms),
-        suspicion: Span::millis(settings.timing.suspicion_ms),
+        probe_period: Span::millis(settings.timing.probe_ms),
+        suspicion_timeout: Span::millis(settings.timing.suspicion_ms),
         ..MemberSettings::default()
     };
     Ok(Node {
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -14,7 +14,7 @@
     kv::{Entry, LeaseId, Swap, Swapped},
 };
 use dahliaseam_core::{
-    claim::{Claim, Recorded, Second, second},
+    claim::{Claim, Duplicate, RecordedResult, check_duplicate},
     time::{Span, Time},
 };
 use tokio::sync::{mpsc, oneshot};
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub enum NotHeld {
     /// Another request has it.
-    Second(Second),
+    Second(Duplicate),
     /// The service is out of reach.
     Unavailable,
 }
@@ -169,13 +169,13 @@
 /// What an existing record means for this request.
 fn told(node: &Node, entry: &Entry, mine: &Claim, held: impl Fn(i64) -> Held) -> Result<Held, NotHeld> {
     let Ok(present) = serde_json::from_str::<Claim>(&entry.value) else {
-        return Err(NotHeld::Second(Second::Unknown));
+        return Err(NotHeld::Second(Duplicate::Unknown));
     };
     if present.request == mine.request {
         return Ok(held(entry.revision));
     }
-    let over = node.members().is_over(&present.owner);
-    Err(NotHeld::Second(second(&present, mine.content, over)))
+    let over = node.members().is_terminated(&present.owner);
+    Err(NotHeld::Second(check_duplicate(&present, mine.content, over)))
 }
 
 async fn settle_claim(
@@ -214,7 +214,7 @@
 }
 
 /// Record what became of a claimed request; in the background when the service is out of reach.
-pub async fn record(node: &Arc<Node>, held: Held, mut recorded: Recorded) {
+pub async fn record(node: &Arc<Node>, held: Held, mut recorded: RecordedResult) {
     if recorded.body.as_ref().is_some_and(|body| body.len() > MAX_RECORDED) {
         recorded.body = None;
     }
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -9,7 +9,7 @@
 use dahliaseam_core::{
     choose::{Candidate, Choice, Reason},
     dispatch::{Action, Dispatcher, Next, Policy, Refusal, Site},
-    endpoint::{Duty, EndpointKey, LoadReport, PoolKey, Role},
+    endpoint::{AdminState, EndpointKey, LoadReport, PoolKey, Role},
     hash,
     outcome::{AttemptEnd, Outcome},
     request::{RequestKey, RequestSpec},
@@ -171,7 +171,7 @@
             }
         }
         let teams = doc.teams.iter().map(|(name, team)| (name.clone(), team.spec.rate));
-        inner.dispatcher.set_teams(teams.collect(), live, now);
+        inner.dispatcher.set_team_rates(teams.collect(), live, now);
         for (name, endpoint) in &doc.endpoints {
             inner.add_endpoint(name, &endpoint.spec);
         }
@@ -209,7 +209,7 @@
         let mut inner = self.lock();
         let pool = inner.dispatcher.request(key).map(|r| r.spec.pool);
         let next = inner.dispatcher.attempt_ended(key, end, at, now);
-        if let Next::Over(_) = next {
+        if let Next::Finished(_) = next {
             inner.waiters.remove(&key);
         }
         if let Some(pool) = pool {
@@ -223,7 +223,7 @@
         let mut inner = self.lock();
         inner.waiters.remove(&key);
         let pool = inner.dispatcher.request(key).map(|r| r.spec.pool);
-        inner.dispatcher.abandon(key, now);
+        inner.dispatcher.cancel(key, now);
         if let Some(pool) = pool {
             inner.pump(pool, now);
         }
@@ -237,11 +237,11 @@
     }
 
     /// Open an endpoint to new work or close it; returns whether that changed anything.
-    pub fn set_duty(&self, name: &str, duty: Duty, now: Time) -> bool {
+    pub fn set_duty(&self, name: &str, duty: AdminState, now: Time) -> bool {
         let mut inner = self.lock();
         let Some(key) = inner.endpoints.get(name).copied() else { return false };
-        let before = inner.dispatcher.endpoint(key).map(|row| row.duty);
-        let actions = inner.dispatcher.set_duty(key, duty);
+        let before = inner.dispatcher.endpoint(key).map(|row| row.admin_state);
+        let actions = inner.dispatcher.set_admin_state(key, duty);
         inner.carry_out(actions, now);
         before != Some(duty)
     }
@@ -269,7 +269,7 @@
         inner.dispatcher.observe(key, load, at);
         if let Some(row) = inner.dispatcher.endpoint_mut(key) {
             // Peers' reports overlap; a slow average is nearer the truth than a sum.
-            row.peer_prefill = 0.5_f64.mul_add(row.peer_prefill, 0.5 * peer_prefill);
+            row.peer_prefill_tokens = 0.5_f64.mul_add(row.peer_prefill_tokens, 0.5 * peer_prefill);
         }
     }
 
@@ -279,9 +279,9 @@
         let Some(key) = inner.endpoints.get(name).copied() else { return };
         let Some(row) = inner.dispatcher.endpoint_mut(key) else { return };
         if cached {
-            row.remember(prefix, now);
+            row.add_prefix(prefix, now);
         } else {
-            row.evicted(prefix);
+            row.remove_prefix(prefix);
         }
     }
 
@@ -297,7 +297,7 @@
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let inner = self.lock();
-        (inner.dispatcher.held(), inner.dispatcher.waiting())
+        (inner.dispatcher.request_count(), inner.dispatcher.waiting_count())
     }
 
     /// The demand that arrived here for a pool: the short and the long average.
@@ -308,7 +308,7 @@
         now: Time,
     ) -> Option<(dahliaseam_core::mix::Demand, dahliaseam_core::mix::Demand)> {
         let inner = self.lock();
-        let mix = inner.dispatcher.mix(*inner.pools.get(pool)?)?;
+        let mix = inner.dispatcher.demand(*inner.pools.get(pool)?)?;
         Some((mix.short(now), mix.long(now)))
     }
 
@@ -326,7 +326,7 @@
                 load_at: row.report_at,
                 in_flight: row.window.in_flight(),
                 window: row.window.size(),
-                own_prefill: row.own_prefill,
+                own_prefill: row.own_prefill_tokens,
             })
         };
         let named = inner.endpoints.iter();
@@ -409,7 +409,7 @@
             endpoint: target(choice.chosen.endpoint),
             prefill: choice.chosen.prefill.map(target),
             reason: choice.reason,
-            predicted_first_ms: choice.chosen.prediction.first * 1_000.0,
+            predicted_first_ms: choice.chosen.prediction.first_token * 1_000.0,
             candidates: self.candidates(&choice.candidates),
         })
     }
@@ -421,8 +421,8 @@
             .map(|c| CandidateRecord {
                 endpoint: name(c.endpoint).unwrap_or_default(),
                 prefill: c.prefill.and_then(name),
-                first_ms: c.prediction.first * 1_000.0,
-                whole_ms: c.prediction.whole * 1_000.0,
+                first_ms: c.prediction.first_token * 1_000.0,
+                whole_ms: c.prediction.total * 1_000.0,
                 skipped: c.skipped,
             })
             .collect()
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use dahliaseam_core::{
-    claim::{Recorded, Second},
+    claim::{Duplicate, RecordedResult},
     dispatch::{Next, Refusal},
     frame::Assembly,
     outcome::{AttemptEnd, Outcome},
@@ -155,7 +155,7 @@
                 self.held = Some(held);
                 Ok(())
             }
-            Err(NotHeld::Second(Second::Recorded(recorded))) => Err(Step::Recorded(recorded)),
+            Err(NotHeld::Second(Duplicate::Recorded(recorded))) => Err(Step::Recorded(recorded)),
             Err(NotHeld::Second(second)) => Err(Step::Failed(Failure::second(&second))),
             Err(NotHeld::Unavailable) => Err(Step::Failed(Failure::new(
                 Outcome::NotRun,
@@ -177,9 +177,9 @@
             }
         }
         match self.node.desk.attempt_ended(self.ticket.key, ended.end, ended.at, now) {
-            Next::Again => AfterAttempt::TryAgain,
-            Next::Over(Outcome::Whole) => AfterAttempt::Answered,
-            Next::Over(outcome) => {
+            Next::Retry => AfterAttempt::TryAgain,
+            Next::Finished(Outcome::Whole) => AfterAttempt::Answered,
+            Next::Finished(outcome) => {
                 let mut failure = Failure::ended(outcome, &ended.words);
                 if ended.end == AttemptEnd::Rejected {
                     failure.status = Some(400);
@@ -198,7 +198,7 @@
     }
 
     /// The request is over: settle its claim, its record and its metrics.
-    pub async fn over(&mut self, result: Result<&Recorded, &Failure>) {
+    pub async fn over(&mut self, result: Result<&RecordedResult, &Failure>) {
         let outcome = result.map_or_else(|f| f.outcome, |r| r.outcome);
         let reason = result.map_or_else(|f| f.reason, |_| "");
         if let Some(held) = self.held.take() {
@@ -263,11 +263,11 @@
     /// It failed.
     Failed(Failure),
     /// Its key has a recorded result.
-    Recorded(Recorded),
+    Recorded(RecordedResult),
 }
 
-fn recorded_failure(failure: &Failure) -> Recorded {
-    Recorded {
+fn recorded_failure(failure: &Failure) -> RecordedResult {
+    RecordedResult {
         outcome: failure.outcome,
         status: crate::caller::refusal::status(failure),
         content_type: "text/plain".to_owned(),
@@ -338,8 +338,12 @@
             AfterAttempt::Failed(failure) => break Err(failure),
         }
     };
-    let recorded =
-        |()| Recorded { outcome: Outcome::Whole, status: 200, content_type: "application/json".to_owned(), body: None };
+    let recorded = |()| RecordedResult {
+        outcome: Outcome::Whole,
+        status: 200,
+        content_type: "application/json".to_owned(),
+        body: None,
+    };
     exchange.over(result.clone().map(recorded).as_ref()).await;
     if let Err(failure) = result {
         let _ = out.send(Piece::Failed(failure)).await;
@@ -347,7 +351,7 @@
 }
 
 /// A completion whose key has a result: its text is not kept, so only the outcome is told.
-fn already_answered(recorded: &Recorded) -> Failure {
+fn already_answered(recorded: &RecordedResult) -> Failure {
     Failure {
         outcome: recorded.outcome,
         reason: "already_answered",
--- a/crates/daemon/src/dispatch/failure.rs
+++ b/crates/daemon/src/dispatch/failure.rs
@@ -1,6 +1,6 @@
 //! Why a request has no whole answer, as its caller is told.
 
-use dahliaseam_core::{claim::Second, dispatch::Refusal, outcome::Outcome};
+use dahliaseam_core::{claim::Duplicate, dispatch::Refusal, outcome::Outcome};
 
 /// Why a request has no whole answer.
 #[derive(Clone, Debug)]
@@ -54,14 +54,14 @@
     }
 
     /// What a second request with the same key is told, when nothing is recorded.
-    pub(super) fn second(second: &Second) -> Self {
+    pub(super) fn second(second: &Duplicate) -> Self {
         match second {
-            Second::InProgress => Self {
+            Duplicate::InProgress => Self {
                 status: Some(409),
                 ..Self::new(Outcome::Unknown, "in_progress", "the request with this key is still running")
             },
-            Second::Mismatch => Self::bad_request(422, "key_reused", "this key belongs to another request"),
-            Second::Unknown | Second::Recorded(_) => Self {
+            Duplicate::Mismatch => Self::bad_request(422, "key_reused", "this key belongs to another request"),
+            Duplicate::Unknown | Duplicate::Recorded(_) => Self {
                 status: Some(409),
                 retry_after_ms: None,
                 ..Self::new(Outcome::Unknown, "key_used", "the request with this key ended without a known outcome")
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -159,7 +159,7 @@
         Ok(resp) => resp,
         Err(mut ended) => {
             // The prompt was processed elsewhere, so "not run" would not be true.
-            if prompt_ran && ended.end.surely_not_run() {
+            if prompt_ran && ended.end.is_certainly_not_run() {
                 ended.end = AttemptEnd::Broken;
             }
             return ended;
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -11,7 +11,7 @@
 };
 
 use dahliaseam_border::vms::{ListedVm, VmPart};
-use dahliaseam_core::{endpoint::Duty, hash, member::Contact, time::Time};
+use dahliaseam_core::{endpoint::AdminState, hash, member::Contact, time::Time};
 use dahliaseam_wire::{peer::Marks, resource::EndpointSpec};
 
 use crate::{emit, node::Node};
@@ -116,7 +116,7 @@
     let roles = node.duties.roles();
     for (name, endpoint) in &doc.endpoints {
         let why = node.duties.closed_why(name, &endpoint.spec);
-        let duty = if why.is_some() { Duty::Leaving } else { Duty::Serving };
+        let duty = if why.is_some() { AdminState::Draining } else { AdminState::Serving };
         if node.desk.set_duty(name, duty, now) {
             emit!(info, ENDPOINT_DUTY, endpoint = name, open = why.is_none(), why = why.unwrap_or_default());
         }
@@ -157,7 +157,7 @@
         .filter(|vm| vm.part == VmPart::Entry)
         .map(|vm| Contact { vm: vm.vm.clone(), hall: vm.hall.clone(), address: vm.address.clone() })
         .collect();
-    node.members().list(&entries);
+    node.members().set_listed(&entries);
     node.duties.set_closed_vms(closed(node, list));
     node.freshness().confirm_list(asked);
     node.board.note_list(list, asked);
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -5,7 +5,7 @@
 use dahliaseam_core::{
     proof::{Proof, Proofs},
     route::{Route, RouteTable},
-    team::{GivenKey, Identity, Verdict},
+    team::{Identity, PresentedKey, Verdict},
     time::{Span, Time},
 };
 use dahliaseam_settings::gateway::KeySettings;
@@ -38,13 +38,13 @@
         &self,
         table: &RouteTable,
         route: &Route,
-        given: &GivenKey,
+        given: &PresentedKey,
         arrived: Time,
     ) -> Result<Identity, Refusal> {
-        match table.judge(given, route) {
-            Verdict::Runs(identity @ Identity::Team(_)) if self.key_holds(arrived) => Ok(identity),
-            Verdict::Runs(Identity::Team(_)) => Err(Refusal::KeyUncertain),
-            Verdict::Runs(identity) => Ok(identity),
+        match table.authenticate(given, route) {
+            Verdict::Allowed(identity @ Identity::Team(_)) if self.key_holds(arrived) => Ok(identity),
+            Verdict::Allowed(Identity::Team(_)) => Err(Refusal::KeyUncertain),
+            Verdict::Allowed(identity) => Ok(identity),
             Verdict::NoKey => Err(Refusal::NoKey),
             Verdict::UnknownKey if self.is_unknown(arrived) => Err(Refusal::UnknownKey),
             Verdict::UnknownKey => Err(Refusal::KeyUncertain),
@@ -54,13 +54,13 @@
     /// Whether a key that the configuration has cannot have been withdrawn too long ago.
     fn key_holds(&self, arrived: Time) -> bool {
         let strict = self.settings.filter(|settings| settings.strict);
-        strict.is_none_or(|settings| self.proofs().holds(settings.withdrawn(), arrived))
+        strict.is_none_or(|settings| self.proofs().is_fresh(settings.withdrawn(), arrived))
     }
 
     /// Whether a key that the configuration does not have was not added since.
     fn is_unknown(&self, arrived: Time) -> bool {
         let bound = self.settings.map(|settings| Span(settings.added().0 / UNKNOWN_DIVISOR));
-        bound.is_none_or(|bound| self.proofs().holds(bound, arrived))
+        bound.is_none_or(|bound| self.proofs().is_fresh(bound, arrived))
     }
 
     /// Whether keys are judged under a proof at all.
@@ -78,7 +78,7 @@
     /// Whether the newest proof is so old that the store should be asked.
     pub(super) fn is_proof_old(&self, now: Time) -> bool {
         let bound = self.settings.map(|settings| Span::seconds(settings.withdrawn().as_seconds() * OLD_SHARE));
-        bound.is_some_and(|bound| !self.proofs().holds(bound, now))
+        bound.is_some_and(|bound| !self.proofs().is_fresh(bound, now))
     }
 
     /// Time since the configuration in force was surely the newest.
@@ -93,12 +93,12 @@
 
     /// Take in a proof.
     pub(super) fn note(&self, proof: Proof) {
-        self.proofs().note(proof);
+        self.proofs().record(proof);
     }
 
     /// A configuration is in force from now on.
     pub(super) fn in_force(&self, revision: i64) {
-        self.proofs().in_force(revision);
+        self.proofs().set_in_force(revision);
     }
 
     /// The newest proof, for others.
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -5,7 +5,7 @@
 use dahliaseam_core::{
     quota::{
         Credit,
-        client::{Need, Next},
+        client::{CreditNeed, Next},
         shard::Answer,
         terms::ShardTerms,
     },
@@ -56,15 +56,15 @@
 /// The refusal, if there is not enough or nobody can tell.
 pub(in crate::gateway) async fn take(gw: &Gateway, request: &str, team: &Team, units: u64) -> Result<Credit, Refusal> {
     let Some(terms) = gw.quotas.terms(team) else {
-        return Ok(Credit::asked_at(gw.now()));
+        return Ok(Credit::requested_at(gw.now()));
     };
     let draw = gw.draw();
     let mut tried = Vec::new();
     loop {
         let asked = gw.now();
-        let need = Need { team: &team.name, terms: &terms, cost: units, draw };
+        let need = CreditNeed { team: &team.name, terms: &terms, cost: units, tie_breaker: draw };
         let is_owned = |shard| gw.quotas.owner(shard).is_some();
-        let next = lock(&gw.quotas.client).next(&need, &tried, is_owned, asked);
+        let next = lock(&gw.quotas.client).next_step(&need, &tried, is_owned, asked);
         let shard = match next {
             Next::Ask(shard) => shard,
             Next::Denied(wait) => return Err(denied(gw, request, team, units, wait)),
@@ -76,15 +76,15 @@
         let mut client = lock(&gw.quotas.client);
         match outcome {
             Some(Outcome::Granted(left)) => {
-                client.answered(&team.name, shard, left as f64, &terms, now);
-                let credit = Credit::asked_at(asked);
+                client.record_level(&team.name, shard, left as f64, &terms, now);
+                let credit = Credit::requested_at(asked);
                 if credit.is_usable(now) {
                     gw.metrics.quota_units("granted", units);
                     return Ok(credit);
                 }
             }
-            Some(Outcome::Denied(left)) => client.answered(&team.name, shard, left as f64, &terms, now),
-            Some(Outcome::NotOwner) | None => client.silent(shard, now),
+            Some(Outcome::Denied(left)) => client.record_level(&team.name, shard, left as f64, &terms, now),
+            Some(Outcome::NotOwner) | None => client.mark_unavailable(shard, now),
         }
     }
 }
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -190,7 +190,7 @@
     /// Whether it may be tried again after it may have run.
     pub(super) fn may_repeat(&self) -> bool {
         self.route.repeat == Repeat::Allowed
-            && self.runs + 1 < self.route.attempts
+            && self.runs + 1 < self.route.max_attempts
             && self.tries + 1 < MAX_TRIES
             && self.time_left() > LEAST_LEFT
     }
@@ -211,7 +211,7 @@
         let ran_out = self.tries >= MAX_TRIES || self.gone >= MAX_GONE || self.deadline.since(now) <= LEAST_LEFT;
         let may_go_on = match self.route.repeat {
             Repeat::AtMostOnce => self.runs == 0,
-            Repeat::Allowed => self.runs < self.route.attempts,
+            Repeat::Allowed => self.runs < self.route.max_attempts,
         };
         if !may_go_on || (ran_out && !self.tried.is_empty()) {
             return Err(self.last_word());
@@ -301,7 +301,7 @@
             service: &self.service,
             prompt: self.caller.prompt.as_ref(),
             objective_left: (self.arrived + self.route.objective).since(now),
-            silence_left: (self.arrived + self.route.silence).since(now),
+            silence_left: (self.arrived + self.route.caller_timeout).since(now),
             time_left: self.deadline.since(now),
             returned: self.returned(),
             may_refuse: self.tried.is_empty() && self.last_event.is_none(),
@@ -366,8 +366,8 @@
             wait_ms = first.wait_ms as u64,
             work_ms = first.work_ms as u64,
             tokens = self.caller.prompt.as_ref().map_or(0, |prompt| prompt.tokens),
-            output = self.caller.prompt.as_ref().map_or(0, |prompt| prompt.output),
-            guess = self.caller.prompt.as_ref().and_then(|prompt| prompt.guess),
+            output = self.caller.prompt.as_ref().map_or(0, |prompt| prompt.max_output),
+            guess = self.caller.prompt.as_ref().and_then(|prompt| prompt.output_hint),
             uncached = first.reading.uncached,
             view_age_ms = fleet.peers_age_ms(now),
             daemons = fleet.daemons(),
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -14,7 +14,7 @@
     fleet::{Fleet, budget::BudgetTerms, short_id},
     route::RouteTable,
     time::{Span, Time},
-    usage::Windows,
+    usage::WindowSchedule,
 };
 use dahliaseam_settings::gateway::{GatewaySettings, RetrySettings};
 use tokio::{net::UdpSocket, sync::Notify};
@@ -130,7 +130,7 @@
 }
 
 /// Where reports of usage go and by which windows, if the platform asks for them.
-fn usage_terms(settings: &GatewaySettings, outside: &Outside) -> Option<(SocketAddr, Windows)> {
+fn usage_terms(settings: &GatewaySettings, outside: &Outside) -> Option<(SocketAddr, WindowSchedule)> {
     let duties = settings.duties.as_ref()?;
     outside.dialect.asks_usage(&duties.asked).then(|| (duties.address, duties.windows()))
 }
--- a/crates/daemon/src/gateway/store_cache.rs
+++ b/crates/daemon/src/gateway/store_cache.rs
@@ -87,8 +87,8 @@
 
     /// Note that everything was read at a revision: removals before it are not known one by one.
     pub(super) fn read_whole(&mut self, revision: i64) {
-        self.replicas.read_whole(revision);
-        self.daemons.read_whole(revision);
+        self.replicas.record_full_read(revision);
+        self.daemons.record_full_read(revision);
     }
 
     /// Give entries that were removed up to a revision this long to come back.
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -15,7 +15,7 @@
 use dahliaseam_core::{
     proof::{Proof, proved_at},
     time::{Span, Time},
-    watcher_election::{Election, Terms},
+    watcher_election::{Election, ElectionTiming},
 };
 
 use crate::{
@@ -50,7 +50,7 @@
 
 async fn watch(gw: &Arc<Gateway>) {
     let mut election = Election::default();
-    let terms = Terms { contact: Span::millis(gw.settings.timing.contact_ms) };
+    let terms = ElectionTiming { watch_deadline: Span::millis(gw.settings.timing.contact_ms) };
     loop {
         let read = gw.store_cache().revision > 0;
         if read && !is_elected(gw, &mut election, terms) && !gw.keys.is_proof_old(gw.now()) {
@@ -62,14 +62,14 @@
             gw.keys.longest_wait().map_or(election.next_wait(terms), |longest| election.next_wait(terms).min(longest));
         match step(gw, read, wait).await {
             Ok(()) => {
-                if election.answered() {
+                if election.record_answer() {
                     gw.load_changed.notify_one();
                 }
                 tokio::time::sleep(WATCH_INTERVAL).await;
             }
             Err(e) => {
                 store_failed(gw, &e);
-                let wait = election.failed(terms);
+                let wait = election.record_failure(terms);
                 let spread = Span(gw.draw() % wait.0.max(1));
                 tokio::time::sleep(duration(wait) + duration(spread)).await;
             }
@@ -77,7 +77,7 @@
     }
 }
 
-fn is_elected(gw: &Gateway, election: &mut Election, terms: Terms) -> bool {
+fn is_elected(gw: &Gateway, election: &mut Election, terms: ElectionTiming) -> bool {
     let now = gw.now();
     let is_alone = gw.seeds().is_empty() && !gw.peers.has_hall_peers(gw.hall);
     if !is_alone && gw.fleet().is_blind(now) {
@@ -249,7 +249,7 @@
                 if let Some(engine) = &service.engine {
                     let mut fleet = gw.fleet();
                     fleet.set_memory(&service.name, engine.memory_tokens);
-                    fleet.set_pause(&service.name, table.pause(&service.name));
+                    fleet.set_pause(&service.name, table.max_event_gap(&service.name));
                 }
             }
             if gw.set_table(table) {
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -14,7 +14,7 @@
 };
 use dahliaseam_core::{
     team::Team,
-    usage::{Counter, Ledger, Report, Reporter, Step, WindowCounts, Windows},
+    usage::{Counter, Ledger, Report, Reporter, Step, WindowCounts, WindowSchedule},
 };
 
 use crate::{
@@ -55,30 +55,30 @@
 #[derive(Clone, Copy, Debug)]
 struct Terms {
     address: SocketAddr,
-    windows: Windows,
+    windows: WindowSchedule,
 }
 
 impl Usage {
-    pub(super) fn new(terms: Option<(SocketAddr, Windows)>) -> Self {
+    pub(super) fn new(terms: Option<(SocketAddr, WindowSchedule)>) -> Self {
         let terms = terms.map(|(address, windows)| Terms { address, windows });
-        let first = terms.map_or(0, |terms| terms.windows.at(wall_millis()));
+        let first = terms.map_or(0, |terms| terms.windows.window_at(wall_millis()));
         Self { terms, first, counter: Mutex::default(), ledger: Mutex::default() }
     }
 
     /// A request of a team began to run, at a Unix millisecond.
     pub(super) fn count(&self, team: &Team, at_ms: u64) {
         if let Some(terms) = self.terms {
-            self.counter().count(terms.windows.at(at_ms), &team.name);
+            self.counter().count(terms.windows.window_at(at_ms), &team.name);
         }
     }
 
     /// What is to be published now, of the windows from `first` on.
-    fn unacknowledged(&self, windows: Windows, first: u64) -> Vec<WindowCounts> {
+    fn unacknowledged(&self, windows: WindowSchedule, first: u64) -> Vec<WindowCounts> {
         let now_ms = wall_millis();
-        let present = windows.at(now_ms);
+        let present = windows.window_at(now_ms);
         let mut counter = self.counter();
-        counter.forget(present);
-        counter.unacknowledged(first, present, windows.at(now_ms.saturating_sub(SETTLE_MS)))
+        counter.prune(present);
+        counter.unacknowledged(first, present, windows.window_at(now_ms.saturating_sub(SETTLE_MS)))
     }
 
     fn counter(&self) -> MutexGuard<'_, Counter> {
@@ -131,7 +131,7 @@
     }
 }
 
-async fn publish_once(gw: &Gateway, windows: Windows) {
+async fn publish_once(gw: &Gateway, windows: WindowSchedule) {
     let Some(entry) = leader_entry(gw) else { return };
     let windows = gw.usage.unacknowledged(windows, first_owed(gw));
     if entry.value == gw.settings.vm {
@@ -178,7 +178,7 @@
 pub(super) fn acknowledged(gw: &Gateway, fence: u64, window: u64) {
     let is_present = leader_entry(gw).is_some_and(|entry| entry.revision as u64 == fence);
     if is_present {
-        gw.usage.counter().acknowledged(window);
+        gw.usage.counter().acknowledge(window);
     }
 }
 
@@ -202,8 +202,8 @@
     let latest_ms = (terms.windows.due_ms as f64 * WAIT_SHARE) as u64;
     let vms = gw.peers.registered_vms(&peers::prefix(gw));
     let mut ledger = gw.usage.ledger();
-    ledger.forget(terms.windows.at(now_ms));
-    reporter.next(now_ms, latest_ms, |window| ledger.is_complete(window, vms.iter().map(String::as_str)))
+    ledger.prune(terms.windows.window_at(now_ms));
+    reporter.next_step(now_ms, latest_ms, |window| ledger.is_complete(window, vms.iter().map(String::as_str)))
 }
 
 async fn take_step(
@@ -218,7 +218,7 @@
         Step::Read => {
             gw.metrics.store_call(StoreCall::Usage);
             let entry = gw.outside.kv.read(&key(gw)).await?;
-            reporter.stored(entry.as_ref().map(read).transpose()?);
+            reporter.set_stored(entry.as_ref().map(read).transpose()?);
             Ok(())
         }
         Step::Store { window, expect } => store(gw, reporter, window, expect).await,
@@ -240,13 +240,13 @@
     let report = Report { window, counts: gw.usage.ledger().sum(window) };
     let value = serde_json::to_string(&report).map_err(|e| CallError::NotSent(e.to_string()))?;
     // Until its answer is there nobody knows what is stored.
-    reporter.uncertain();
+    reporter.forget_stored();
     gw.metrics.store_call(StoreCall::Usage);
     let swap = Swap { key: key(gw), expect, value: Some(value), lease: None };
     if let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() {
         let requests: u64 = report.counts.values().sum();
         emit!(info, USAGE_STORED, window, teams = report.counts.len(), requests, revision);
-        reporter.stored(Some((revision, report)));
+        reporter.set_stored(Some((revision, report)));
     }
     Ok(())
 }
@@ -269,7 +269,7 @@
     emit!(info, USAGE_REPORTED, window = report.window, fence = lease.fence(), answer = ?answer, status, late_ms);
     gw.metrics.usage_report(answer.map_or("unanswered", DutyAnswer::name));
     match answer {
-        Some(DutyAnswer::Taken | DutyAnswer::Refused) => reporter.done(report.window),
+        Some(DutyAnswer::Taken | DutyAnswer::Refused) => reporter.mark_done(report.window),
         Some(DutyAnswer::Later) | None => gw.pause(RETRY_INTERVAL).await,
     }
     answered.map(|_| ())
--- a/crates/daemon/src/health.rs
+++ b/crates/daemon/src/health.rs
@@ -39,7 +39,7 @@
 }
 
 async fn metrics(State(node): State<Arc<Node>>) -> Response {
-    let live = node.members().live();
+    let live = node.members().live_count();
     node.metrics.state(node.document().generation, node.desk.counts().0, live);
     ([(CONTENT_TYPE, PROMETHEUS)], node.metrics.text()).into_response()
 }
