--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -59,13 +59,13 @@
     let mut live = 0;
     while !node.stop.over.is_cancelled() {
         let now = node.now();
-        let target = node.members().probe(now);
+        let target = node.members().next_probe_target(now);
         if let Some(key) = target {
             // One slow daemon must not hold up the round.
             tokio::spawn(probe(Arc::clone(&node), key));
         }
         count(&node, now);
-        let now_live = node.members().live();
+        let now_live = node.members().live_count();
         if now_live != live {
             live = now_live;
             emit!(info, MEMBER, live);
@@ -80,9 +80,9 @@
 
 /// A daemon alone in the list needs no other's answer.
 fn count(node: &Node, now: Time) {
-    let (reachable, listed) = node.members().reach();
+    let (reachable, listed) = node.members().reachability();
     if listed == 1 && node.freshness().list_at().is_some() {
-        node.freshness().count(reachable, listed, now);
+        node.freshness().set_reachable(reachable, listed, now);
     }
 }
 
@@ -96,7 +96,7 @@
         }
         let mut told = Vec::new();
         for _ in 0..EAGER {
-            let key = node.members().any_live();
+            let key = node.members().random_live();
             told.extend(key.filter(|k| !told.contains(k)));
         }
         join_all(told.into_iter().map(|key| probe(Arc::clone(&node), key))).await;
@@ -106,7 +106,7 @@
 /// Say that this process is over. Others take it as proof that no order of its comes any more,
 /// so control must have ended before.
 pub async fn farewell(node: &Arc<Node>) {
-    node.members().leave();
+    node.members().announce_leaving();
     let keys: Vec<_> = node.members().others().map(|(key, _)| key).collect();
     let few = keys.into_iter().take(EAGER * EAGER);
     join_all(few.map(|key| exchange(node, key))).await;
@@ -118,13 +118,13 @@
     }
     let target = node.members().get(key).map(|m| m.contact.clone());
     let Some(target) = target else { return };
-    let helpers = node.members().helpers(key);
+    let helpers = node.members().indirect_probers(key);
     let asked = helpers.into_iter().map(|helper| ask_helper(&node, helper, &target));
     let found = join_all(asked).await.into_iter().flatten().next();
     let now = node.now();
     match found {
-        Some((start, refutation)) => node.members().answered(key, start, refutation, now),
-        None => node.members().unreached(key, now),
+        Some((start, refutation)) => node.members().record_answer(key, start, refutation, now),
+        None => node.members().record_unreached(key, now),
     }
 }
 
@@ -152,15 +152,15 @@
 
 fn make_probe(node: &Node, key: MemberKey) -> Probe {
     let mut members = node.members();
-    let (from, mut news) = (members.contact().clone(), members.take_news());
-    news.extend(members.accusation(key));
+    let (from, mut news) = (members.contact().clone(), members.take_updates());
+    news.extend(members.update_to_refute(key));
     drop(members);
     Probe { from, news, digest: digest(node), closed_vms: node.duties.closed_vms(), loads: loads(node) }
 }
 
 fn make_answer(node: &Node) -> Answer {
     let mut members = node.members();
-    let (start, refutation, news) = (members.me().start, members.refutation(), members.take_news());
+    let (start, refutation, news) = (members.me().start, members.refutation(), members.take_updates());
     drop(members);
     Answer { start, refutation, news, digest: digest(node), closed_vms: node.duties.closed_vms(), loads: loads(node) }
 }
@@ -169,16 +169,16 @@
     let now = node.now();
     let reach = {
         let mut members = node.members();
-        members.answered(key, answer.start, answer.refutation, now);
+        members.record_answer(key, answer.start, answer.refutation, now);
         members.apply(&answer.news, now);
-        members.reach()
+        members.reachability()
     };
     take_loads(node, &answer.loads, now);
     catch_up(node, address, &answer.digest).await;
     // A daemon that knows of a newer configuration than its own has not caught up: neither may
     // its copy count as confirmed, nor may it go on by its majority.
     if node.document().generation >= answer.digest.generation {
-        node.freshness().count(reach.0, reach.1, asked);
+        node.freshness().set_reachable(reach.0, reach.1, asked);
         if let Some(at) = minus(asked, answer.digest.confirmed_ms) {
             node.freshness().confirm_config(at);
         }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -6,7 +6,7 @@
     fleet::{budget::BudgetTerms, policy::FleetPolicy},
     quota::terms::Tolerance,
     time::Span,
-    usage::Windows,
+    usage::WindowSchedule,
 };
 use serde::Deserialize;
 
@@ -133,7 +133,7 @@
     /// The tolerance that quotas are split by.
     #[must_use]
     pub fn tolerance(&self) -> Tolerance {
-        Tolerance { window: Span::seconds(self.window_s), over: self.over, slack: self.slack }
+        Tolerance { window: Span::seconds(self.window_s), excess_share: self.over, slack: self.slack }
     }
 }
 
@@ -154,8 +154,8 @@
 impl DutySettings {
     /// The windows of the reports of usage.
     #[must_use]
-    pub fn windows(&self) -> Windows {
-        Windows {
+    pub fn windows(&self) -> WindowSchedule {
+        WindowSchedule {
             length_ms: Span::seconds(self.usage_window_s).as_millis(),
             due_ms: Span::seconds(self.usage_late_s).as_millis(),
         }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -184,10 +184,10 @@
         Self {
             admission: policy.admission,
             queue_limit: policy.queue_limit,
-            attempts: policy.attempts,
+            attempts: policy.max_attempts,
             retry_ratio: policy.retry_ratio,
             refuse_margin: policy.refuse_margin,
-            stall_ms: policy.stall.as_millis(),
+            stall_ms: policy.stall_timeout.as_millis(),
         }
     }
 }
@@ -199,10 +199,10 @@
         Policy {
             admission: self.admission,
             queue_limit: self.queue_limit,
-            attempts: self.attempts,
+            max_attempts: self.attempts,
             retry_ratio: self.retry_ratio,
             refuse_margin: self.refuse_margin,
-            stall: Span::millis(self.stall_ms),
+            stall_timeout: Span::millis(self.stall_ms),
         }
     }
 }
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -2,7 +2,7 @@
 
 use dahliaseam_core::{
     choose::{Reason, Skip},
-    custody::{Fencing, Wait},
+    custody::{Fencing, WaitReason},
     dispatch::Refusal,
     endpoint::{LoadReport, Role},
     member::Health,
@@ -139,7 +139,7 @@
     pub fencing: Fencing,
     /// What control waits for, if it does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub waits_for: Option<Wait>,
+    pub waits_for: Option<WaitReason>,
 }
 
 /// The state of one daemon.
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -5,7 +5,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliaseam_core::{
     content::ContentHash,
-    custody::{EngineRecord, EngineStatus, Fencing, OrderKind, View, next},
+    custody::{EngineRecord, EngineStatus, Fencing, OrderKind, View, next_step},
     dispatch::{Dispatcher, Policy, Site},
     endpoint::{LoadReport, PoolKey, Rates, Role},
     fleet::{
@@ -20,7 +20,7 @@
     prompt::Prompt,
     quota::{
         Quota, Unit,
-        client::{Need, Next, QuotaClient},
+        client::{CreditNeed, Next, QuotaClient},
         shard::{Answer, Shard},
         terms::{ShardTerms, Tolerance},
     },
@@ -134,8 +134,8 @@
 
 /// Where to ask for a request's credit, and what its owner does.
 fn quota(c: &mut Criterion) {
-    let tolerance = Tolerance { window: Span::millis(8_000), over: 0.1, slack: 140_000.0 };
-    let quota = Quota { unit: Unit::Tokens { plain: 200 }, rate: 1e9, burst: 1e9 };
+    let tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
+    let quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 1e9, burst: 1e9 };
     let mut client = QuotaClient::default();
     let mut owned = Shard::taken_over(Time(0));
     let mut n = 0;
@@ -144,10 +144,10 @@
             n += 1;
             let now = NOW + Span::millis(n);
             let terms = ShardTerms::split(&quota, &tolerance);
-            let need = Need { team: "team", terms: &terms, cost: 12_024, draw: n };
-            let Next::Ask(shard) = client.next(&need, &[], |_| true, now) else { return };
+            let need = CreditNeed { team: "team", terms: &terms, cost: 12_024, tie_breaker: n };
+            let Next::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
             if let Answer::Granted { left } = owned.take("team", &terms, need.cost, now) {
-                client.answered("team", shard, left, &terms, now);
+                client.record_level("team", shard, left, &terms, now);
             }
         });
     });
@@ -171,10 +171,10 @@
         address: format!("10.0.{}.{}:8082", n / 250, n % 250),
     };
     let mut members = Members::new(MemberSettings::default(), contact(0), 1, 1);
-    members.list(&(0..daemons).map(contact).collect::<Vec<_>>());
+    members.set_listed(&(0..daemons).map(contact).collect::<Vec<_>>());
     let keys: Vec<_> = members.others().map(|(key, _)| key).collect();
     for key in keys {
-        members.answered(key, 1, 0, NOW);
+        members.record_answer(key, 1, 0, NOW);
     }
     members
 }
@@ -187,9 +187,9 @@
         group.bench_function(BenchmarkId::from_parameter(daemons), |b| {
             b.iter(|| {
                 now = now + Span::millis(500);
-                if let Some(key) = table.probe(now) {
-                    black_box(table.take_news());
-                    table.answered(key, 1, 0, now);
+                if let Some(key) = table.next_probe_target(now) {
+                    black_box(table.take_updates());
+                    table.record_answer(key, 1, 0, now);
                 }
             });
         });
@@ -215,11 +215,11 @@
         me: &me,
         epoch: Some(3),
         fencing: Fencing::Checks,
-        custodian_over: false,
+        custodian_terminated: false,
         status: Some(&status),
         wanted: Some(&wanted),
     };
-    c.bench_function("custody step", |b| b.iter(|| black_box(next(&record, &view))));
+    c.bench_function("custody step", |b| b.iter(|| black_box(next_step(&record, &view))));
 }
 
 /// What each request costs for knowing which end replicas: its hash, its standing and its whole answer, while
--- a/experiments/examples/footprint.rs
+++ b/experiments/examples/footprint.rs
@@ -92,7 +92,7 @@
     println!("an endpoint's row without prefixes: {} bytes", (rows - before) / 20_000);
     for key in keys.iter().take(2_000) {
         for prefix in 0..512 {
-            dispatcher.endpoint_mut(*key).expect("it is there").remember(prefix, NOW);
+            dispatcher.endpoint_mut(*key).expect("it is there").add_prefix(prefix, NOW);
         }
     }
     println!("its 512 remembered prefixes: {} bytes", (resident() - rows) / 2_000);
@@ -100,7 +100,7 @@
     let tables: Vec<_> = (0..20)
         .map(|n| {
             let mut members = Members::new(MemberSettings::default(), contact(0), 1, n);
-            members.list(&(0..690).map(contact).collect::<Vec<_>>());
+            members.set_listed(&(0..690).map(contact).collect::<Vec<_>>());
             members
         })
         .collect();
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -7,10 +7,10 @@
 //! a window allows, and the messages of all daemons a second.
 
 use dahliaseam_core::{
-    bucket::Bucket,
+    bucket::TokenBucket,
     quota::{
         Quota, Unit,
-        client::{Need, Next, QuotaClient},
+        client::{CreditNeed, Next, QuotaClient},
         shard::{Answer, Shard},
         terms::{ShardTerms, Tolerance},
     },
@@ -19,8 +19,8 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const TEAM: &str = "red";
-const QUOTA: Quota = Quota { unit: Unit::Tokens { plain: 200 }, rate: 134_000.0, burst: 134_000.0 };
-const TOLERANCE: Tolerance = Tolerance { window: Span::millis(8_000), over: 0.1, slack: 140_000.0 };
+const QUOTA: Quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 134_000.0, burst: 134_000.0 };
+const TOLERANCE: Tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
 /// Time between two grants of a leader.
 const GRANT_INTERVAL: Span = Span::millis(500);
 /// Seconds of each play before anything is counted.
@@ -37,7 +37,7 @@
 }
 
 /// Each daemon has an equal part of the rate and the burst.
-struct EvenShares(Vec<Bucket>);
+struct EvenShares(Vec<TokenBucket>);
 
 impl Limiter for EvenShares {
     fn take(&mut self, daemon: usize, cost: u64, _: u64, now: Time) -> bool {
@@ -51,7 +51,7 @@
 
 /// A leader divides the rate by the demand that daemons report.
 struct LeaderGrants {
-    buckets: Vec<Bucket>,
+    buckets: Vec<TokenBucket>,
     asked: Vec<f64>,
     grant_at: Time,
     messages: u64,
@@ -90,8 +90,8 @@
     fn take(&mut self, daemon: usize, cost: u64, draw: u64, now: Time) -> bool {
         let mut tried = Vec::new();
         loop {
-            let need = Need { team: TEAM, terms: &self.terms, cost, draw };
-            let Next::Ask(shard) = self.clients[daemon].next(&need, &tried, |_| true, now) else {
+            let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker: draw };
+            let Next::Ask(shard) = self.clients[daemon].next_step(&need, &tried, |_| true, now) else {
                 return false;
             };
             tried.push(shard);
@@ -103,7 +103,7 @@
                 Answer::Granted { left } => (true, left),
                 Answer::Denied { left } => (false, left),
             };
-            self.clients[daemon].answered(TEAM, shard, left, &self.terms, now);
+            self.clients[daemon].record_level(TEAM, shard, left, &self.terms, now);
             if granted {
                 return true;
             }
@@ -119,11 +119,11 @@
     let part = |units: f64| units / daemons as f64;
     match way {
         "even shares" => {
-            let bucket = Bucket::new(part(QUOTA.rate), part(QUOTA.burst + TOLERANCE.slack), Time(0));
+            let bucket = TokenBucket::new(part(QUOTA.rate), part(QUOTA.burst + TOLERANCE.slack), Time(0));
             Box::new(EvenShares(vec![bucket; daemons]))
         }
         "leader's grants" => Box::new(LeaderGrants {
-            buckets: vec![Bucket::new(0.0, 0.0, Time(0)); daemons],
+            buckets: vec![TokenBucket::new(0.0, 0.0, Time(0)); daemons],
             asked: vec![0.0; daemons],
             grant_at: Time(0),
             messages: 0,
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -3,7 +3,7 @@
 use dahliaseam_core::{
     endpoint::Role,
     mix::Demand,
-    planner::{Outlook, Planner, PlannerSettings, RoleCounts, RoleRates},
+    planner::{AverageDemand, Planner, PlannerSettings, RoleCounts, RoleRates},
     time::Time,
 };
 
@@ -36,9 +36,15 @@
     }
 
     /// The change to begin now: an engine and its new role.
-    pub fn decide(&mut self, roles: &[Role], running: &[u32], demands: &[Outlook], now: Time) -> Option<(usize, Role)> {
-        let sum = |pick: fn(&Outlook) -> Demand| demands.iter().map(pick).fold(Demand::default(), Demand::plus);
-        let outlook = Outlook { short: sum(|o| o.short), long: sum(|o| o.long) };
+    pub fn decide(
+        &mut self,
+        roles: &[Role],
+        running: &[u32],
+        demands: &[AverageDemand],
+        now: Time,
+    ) -> Option<(usize, Role)> {
+        let sum = |pick: fn(&AverageDemand) -> Demand| demands.iter().map(pick).fold(Demand::default(), Demand::plus);
+        let outlook = AverageDemand { short: sum(|o| o.short), long: sum(|o| o.long) };
         let mut counts = RoleCounts::default();
         for (engine, role) in roles.iter().enumerate() {
             let role = match self.under_way[engine] {
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -2,7 +2,7 @@
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Next, Policy, Site},
-    endpoint::{Duty, EndpointKey, LoadReport, PoolKey, Rates, Role},
+    endpoint::{AdminState, EndpointKey, LoadReport, PoolKey, Rates, Role},
     outcome::AttemptEnd,
     request::{RequestKey, RequestSpec},
     time::{Span, Time},
@@ -46,7 +46,7 @@
     /// Time went on.
     fn tick(&mut self, daemon: usize, now: Time) -> Vec<Order>;
     /// The demand a daemon has seen: the short and the long average.
-    fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::Outlook>;
+    fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::AverageDemand>;
 }
 
 /// Which policy.
@@ -124,7 +124,7 @@
         };
         let make = |n: usize| {
             let mut dispatcher = Dispatcher::new(policy, seed.wrapping_mul(31) + n as u64, Time::default());
-            dispatcher.set_teams(std::collections::HashMap::new(), daemons, Time::default());
+            dispatcher.set_team_rates(std::collections::HashMap::new(), daemons, Time::default());
             let pool = dispatcher.add_pool(rates);
             let add = |(i, role): (usize, &Role)| dispatcher.add_endpoint(&format!("engine-{i}"), pool, *role);
             let engines: Vec<_> = roles.iter().enumerate().map(add).collect();
@@ -193,7 +193,7 @@
         let at = &mut self.daemons[daemon];
         let next = at.dispatcher.attempt_ended(key, end, Site::Serving, now);
         let mut orders = Vec::new();
-        if let Next::Over(_) = next {
+        if let Next::Finished(_) = next {
             self.keys[request] = None;
             at.requests.remove(key);
             if end != AttemptEnd::Whole {
@@ -214,7 +214,8 @@
         let at = &mut self.daemons[daemon];
         let key = at.engines[engine];
         at.dispatcher.set_role(key, role);
-        let mut actions = at.dispatcher.set_duty(key, if open { Duty::Serving } else { Duty::Leaving });
+        let mut actions =
+            at.dispatcher.set_admin_state(key, if open { AdminState::Serving } else { AdminState::Draining });
         actions.extend(at.dispatcher.pump(at.pool, now));
         self.orders(daemon, actions)
     }
@@ -224,10 +225,10 @@
         self.orders(daemon, actions)
     }
 
-    fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::Outlook> {
+    fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::AverageDemand> {
         let at = &self.daemons[daemon];
-        let mix = at.dispatcher.mix(at.pool)?;
-        Some(dahliaseam_core::planner::Outlook { short: mix.short(now), long: mix.long(now) })
+        let mix = at.dispatcher.demand(at.pool)?;
+        Some(dahliaseam_core::planner::AverageDemand { short: mix.short(now), long: mix.long(now) })
     }
 }
 
@@ -346,7 +347,7 @@
         Vec::new()
     }
 
-    fn demand(&self, _: usize, _: Time) -> Option<dahliaseam_core::planner::Outlook> {
+    fn demand(&self, _: usize, _: Time) -> Option<dahliaseam_core::planner::AverageDemand> {
         None
     }
 }
--- a/experiments/src/workload.rs
+++ b/experiments/src/workload.rs
@@ -64,7 +64,7 @@
         prompt: (u32, u32),
         output: (u32, u32),
     ) -> Self {
-        let protected = priority >= dahliaseam_core::request::URGENT;
+        let protected = priority >= dahliaseam_core::request::URGENT_PRIORITY;
         let traits = KindTraits { priority, weight, repeatable: true, protected };
         Self { name, traits, deadline, prompt, output }
     }
