--- a/crates/core/examples/choose.rs
+++ b/crates/core/examples/choose.rs
@@ -1,4 +1,4 @@
-//! Drive the dispatcher by hand: two engines, one request, and why it goes where it goes.
+//! Runs the dispatcher on two engines and one request, and prints the choice and the reason for it.
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Policy, Site},
@@ -31,7 +31,7 @@
         if let Action::Send { choice, .. } = action {
             for c in &choice.candidates {
                 let name = dispatcher.endpoint(c.endpoint).map_or("", |row| row.name.as_str());
-                println!("{name}: whole answer in {:.2} s", c.prediction.whole);
+                println!("{name}: whole answer in {:.2} s", c.prediction.total);
             }
             println!("reason: {:?}", choice.reason);
         }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! The system that takes requests in, orders them, sends them and hears how they end.
+//! Request dispatch: admission, queueing, endpoint choice and retries.
 //!
-//! The driver submits requests, reports what happens to attempts, calls [`Dispatcher::pump`]
-//! after each change and on each tick, and carries out the [`Action`]s it returns. Each daemon
-//! runs one dispatcher and decides alone.
+//! The driver submits requests, reports the events of each attempt, calls [`Dispatcher::pump`] after each
+//! change and on each tick, and carries out the returned [`Action`]s. Each daemon runs its own dispatcher,
+//! which decides without consulting the others.
 
 mod shed;
 
@@ -12,33 +12,34 @@
 use slotmap::SlotMap;
 
 use crate::{
-    bucket::Bucket,
-    choose::{Candidate, Choice, PoolIndex, Rows, choose},
-    endpoint::{Duty, Endpoint, EndpointKey, LoadReport, PoolKey, Rates, Role},
+    bucket::TokenBucket,
+    choose::{Candidate, Choice, EndpointRows, PoolIndex, choose},
+    endpoint::{AdminState, Endpoint, EndpointKey, LoadReport, PoolKey, Rates, Role},
     limit::TeamLimits,
-    mix::Mix,
-    outcome::{AttemptEnd, Outcome, combine},
+    mix::DemandAverages,
+    outcome::{AttemptEnd, Outcome, combined_outcome},
     predict::{learn_plain, learn_prefill, learn_step, uncached},
-    queue::{Place, Queue},
+    queue::{Queue, QueueEntry},
     request::{Request, RequestKey, RequestSpec, Stage},
     time::{Span, Time},
 };
 
-/// Settings of the policy.
+/// Settings of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Whether requests that cannot be in time are refused early.
+    /// Whether requests that cannot meet their deadline are refused early.
     pub admission: bool,
-    /// Requests that wait in one pool at most.
+    /// Maximum number of waiting requests in one pool.
     pub queue_limit: usize,
-    /// Attempts at one request at most.
-    pub attempts: u32,
-    /// Retries allowed for each new request, on average.
+    /// Maximum number of attempts per request.
+    pub max_attempts: u32,
+    /// Average number of retries allowed per new request.
     pub retry_ratio: f64,
-    /// Factor on predicted times when an early refusal is weighed.
+    /// Factor applied to the predicted response time before it is compared with the deadline.
     pub refuse_margin: f64,
-    /// Silence of an endpoint that fails an attempt.
-    pub stall: Span,
+    /// Time without a token after which an attempt counts as stalled, or three times the predicted time to the
+    /// first token if that is longer.
+    pub stall_timeout: Span,
 }
 
 impl Default for Policy {
@@ -46,63 +47,63 @@
         Self {
             admission: true,
             queue_limit: 1_024,
-            attempts: 4,
+            max_attempts: 4,
             retry_ratio: 0.2,
             refuse_margin: 1.0,
-            stall: Span::millis(5_000),
+            stall_timeout: Span::millis(5_000),
         }
     }
 }
 
-/// Retries that may be saved up.
+/// Capacity of the retry token bucket, in retries.
 const RETRY_BURST: f64 = 50.0;
-/// Retries that come back a second when nothing else arrives.
-const RETRY_FLOOR: f64 = 1.0;
-/// Least share of a pool that a daemon reckons with.
-const MIN_LANES: f64 = 0.1;
-/// A refused caller is told to wait at least this long.
+/// Retries per second that the bucket regains when no new requests arrive.
+const MIN_RETRY_RATE: f64 = 1.0;
+/// Lower bound of this daemon's share of a pool, in endpoints.
+const MIN_ENDPOINT_SHARE: f64 = 0.1;
+/// Minimum wait that a refused caller is given.
 const MIN_RETRY_AFTER: Span = Span::millis(200);
 
-/// Why a request was refused, or given up before it was sent.
+/// Reason why a request was refused before it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Its team has used its rate.
+    /// The team's rate limit is used up.
     TeamLimit,
-    /// Too many wait.
+    /// The pool's queue is full.
     QueueFull,
-    /// It could not be answered in time.
+    /// The deadline cannot be met.
     TooLate,
-    /// Its pool has no endpoint that is open.
+    /// The pool has no endpoint that can finish a request.
     NoEndpoint,
 }
 
-/// What the driver is to do.
+/// An instruction to the driver.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestKey,
-        /// The attempt's number.
+        /// Number of the attempt within the request, from zero.
         attempt: u32,
-        /// Where, and why there.
+        /// The chosen endpoint and the reason for it.
         choice: Choice,
     },
-    /// Give the request up and answer the caller at once.
+    /// Refuse the request and answer its caller now.
     Refuse {
-        /// The request, no longer in the table.
+        /// The request, already removed from the table.
         request: RequestKey,
-        /// What became of it.
+        /// Outcome over all attempts so far.
         outcome: Outcome,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
-        /// When the caller may come back.
+        /// Earliest time at which the caller should retry.
         retry_at: Time,
-        /// What the last look at the pool saw.
+        /// Candidates of the last endpoint choice, if one was made.
         candidates: Vec<Candidate>,
     },
-    /// Stop the present attempt and report how it ended.
+    /// Stop the current attempt, then report its end with [`Dispatcher::attempt_ended`].
     Stop {
         /// The request.
         request: RequestKey,
@@ -111,39 +112,39 @@
     },
 }
 
-/// What follows an attempt's end.
+/// What happens to a request after an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// The request is over, with this outcome.
-    Over(Outcome),
-    /// It waits for another attempt.
-    Again,
+    /// The request is finished with this outcome.
+    Finished(Outcome),
+    /// The request waits in the queue for another attempt.
+    Retry,
 }
 
-/// Which engine of an attempt an end speaks of.
+/// The engine of an attempt that an end is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Site {
-    /// The one that processed the prompt for another.
+    /// The prefill engine.
     Prefill,
-    /// The one that generates, or the only one.
+    /// The engine that generates, or the only one.
     Serving,
 }
 
-/// Where an attempt was.
+/// Endpoints of an attempt, and its state when it ended.
 #[derive(Clone, Copy, Debug)]
-struct Visit {
+struct Placement {
     endpoint: EndpointKey,
     prefill: Option<EndpointKey>,
-    unanswered: bool,
+    awaiting_first_token: bool,
     sent: Time,
 }
 
-impl Visit {
+impl Placement {
     const fn of(request: &Request, endpoint: EndpointKey, prefill: Option<EndpointKey>) -> Self {
-        Self { endpoint, prefill, unanswered: !request.first_seen, sent: request.sent }
+        Self { endpoint, prefill, awaiting_first_token: !request.first_token_seen, sent: request.sent_at }
     }
 
-    fn blamed(&self, at: Site) -> EndpointKey {
+    fn endpoint_at(&self, at: Site) -> EndpointKey {
         match at {
             Site::Prefill => self.prefill.unwrap_or(self.endpoint),
             Site::Serving => self.endpoint,
@@ -151,28 +152,28 @@
     }
 }
 
-/// One pool's row.
+/// State of one pool.
 #[derive(Clone, Debug, Default)]
 struct Pool {
     rates: Rates,
-    /// This daemon's share of the open endpoints, as of the last tick.
-    lanes: f64,
+    /// This daemon's share of the open endpoints, updated on each tick.
+    endpoint_share: f64,
     index: PoolIndex,
     queue: Queue,
-    mix: Mix,
+    mix: DemandAverages,
 }
 
-/// The endpoints' rows, apart so that they can be read while others change.
+/// Endpoint table. A type of its own, so that it can be borrowed while other tables are changed.
 #[derive(Debug, Default)]
 struct Endpoints(SlotMap<EndpointKey, Endpoint>);
 
-impl Rows for Endpoints {
+impl EndpointRows for Endpoints {
     fn row(&self, key: EndpointKey) -> &Endpoint {
         &self.0[key]
     }
 }
 
-/// The tables of requests, endpoints and pools, and the systems over them.
+/// Tables of requests, endpoints and pools, with the operations on them.
 #[derive(Debug)]
 pub struct Dispatcher {
     policy: Policy,
@@ -180,13 +181,13 @@
     endpoints: Endpoints,
     requests: SlotMap<RequestKey, Request>,
     limits: TeamLimits,
-    retries: Bucket,
+    retries: TokenBucket,
     rng: SmallRng,
-    live: usize,
+    live_daemons: usize,
 }
 
 impl Dispatcher {
-    /// An empty dispatcher.
+    /// Creates an empty dispatcher.
     #[must_use]
     pub fn new(policy: Policy, seed: u64, now: Time) -> Self {
         Self {
@@ -195,97 +196,99 @@
             endpoints: Endpoints::default(),
             requests: SlotMap::with_key(),
             limits: TeamLimits::default(),
-            retries: Bucket::new(RETRY_FLOOR, RETRY_BURST, now),
+            retries: TokenBucket::new(MIN_RETRY_RATE, RETRY_BURST, now),
             rng: SmallRng::seed_from_u64(seed),
-            live: 1,
+            live_daemons: 1,
         }
     }
 
-    /// Add a pool whose endpoints start from `rates`.
+    /// Adds a pool. Its endpoints start with `rates` until rates are learned.
     pub fn add_pool(&mut self, rates: Rates) -> PoolKey {
         self.pools.insert(Pool { rates, ..Pool::default() })
     }
 
-    /// Change the rates that a pool's endpoints start from.
+    /// Sets the configured rates of a pool, with which endpoints added later start.
     pub fn set_rates(&mut self, pool: PoolKey, rates: Rates) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.rates = rates;
         }
     }
 
-    /// Add an endpoint to a pool.
+    /// Adds an endpoint to a pool.
     pub fn add_endpoint(&mut self, name: &str, pool: PoolKey, role: Role) -> EndpointKey {
-        let row = Endpoint::new(name, pool, role, self.pools[pool].rates, self.live);
+        let row = Endpoint::new(name, pool, role, self.pools[pool].rates, self.live_daemons);
         let hash = row.hash;
         let key = self.endpoints.0.insert(row);
         self.pools[pool].index.insert(key, hash, role);
-        self.count_lanes(pool, Time::default());
+        self.update_endpoint_share(pool, Time::default());
         key
     }
 
-    /// Remove an endpoint; attempts there are stopped by the returned actions.
+    /// Removes an endpoint. The returned actions stop the attempts there that may be moved; the row stays until
+    /// the last attempt has ended.
     pub fn remove_endpoint(&mut self, key: EndpointKey) -> Vec<Action> {
         let Some(row) = self.endpoints.0.get_mut(key) else {
             return Vec::new();
         };
-        row.duty = Duty::Leaving;
+        row.admin_state = AdminState::Draining;
         row.removed = true;
         let pool = row.pool;
         self.pools[pool].index.remove(key);
-        if self.requests.values().any(|r| uses(r, key)) {
-            return self.moves(key);
+        if self.requests.values().any(|r| is_placed_on(r, key)) {
+            return self.stop_movable(key);
         }
         self.endpoints.0.remove(key);
         Vec::new()
     }
 
-    /// The row of an endpoint.
+    /// Returns the row of an endpoint.
     #[must_use]
     pub fn endpoint(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.endpoints.0.get(key)
     }
 
-    /// The row of an endpoint, to change.
+    /// Returns the row of an endpoint for changes.
     pub fn endpoint_mut(&mut self, key: EndpointKey) -> Option<&mut Endpoint> {
         self.endpoints.0.get_mut(key)
     }
 
-    /// All endpoints.
+    /// Iterates over all endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.endpoints.0.iter()
     }
 
-    /// The row of a request.
+    /// Returns the row of a request.
     #[must_use]
     pub fn request(&self, key: RequestKey) -> Option<&Request> {
         self.requests.get(key)
     }
 
-    /// Requests in the table.
+    /// Number of requests in the table.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that wait, over all pools.
+    /// Number of waiting requests in all pools.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.pools.values().map(|pool| pool.queue.len()).sum()
     }
 
-    /// The demand that arrived at this daemon for `pool`.
+    /// Average demand that arrived at this daemon for `pool`.
     #[must_use]
-    pub fn mix(&self, pool: PoolKey) -> Option<&Mix> {
+    pub fn demand(&self, pool: PoolKey) -> Option<&DemandAverages> {
         self.pools.get(pool).map(|p| &p.mix)
     }
 
-    /// Set the teams' rates and the number of live daemons.
-    pub fn set_teams(&mut self, rates: HashMap<String, f64>, live: usize, now: Time) {
-        self.live = live.max(1);
-        self.limits.configure(rates, live, now);
+    /// Sets the rate limits of the teams, in requests per second over all daemons, and the number of live
+    /// daemons.
+    pub fn set_team_rates(&mut self, rates: HashMap<String, f64>, live_daemons: usize, now: Time) {
+        self.live_daemons = live_daemons.max(1);
+        self.limits.configure(rates, live_daemons, now);
     }
 
-    /// Change an endpoint's role.
+    /// Changes an endpoint's role.
     pub fn set_role(&mut self, key: EndpointKey, role: Role) {
         let Some(row) = self.endpoints.0.get_mut(key) else { return };
         if row.role == role {
@@ -298,40 +301,40 @@
         index.insert(key, hash, role);
     }
 
-    /// Open an endpoint to new work, or close it; the returned actions move what can be moved.
-    pub fn set_duty(&mut self, key: EndpointKey, duty: Duty) -> Vec<Action> {
+    /// Changes whether an endpoint takes new work. The returned actions stop the attempts that may be moved.
+    pub fn set_admin_state(&mut self, key: EndpointKey, duty: AdminState) -> Vec<Action> {
         let Some(row) = self.endpoints.0.get_mut(key) else {
             return Vec::new();
         };
-        if row.duty == duty {
+        if row.admin_state == duty {
             return Vec::new();
         }
-        row.duty = duty;
+        row.admin_state = duty;
         match duty {
-            Duty::Serving => Vec::new(),
-            Duty::Leaving => self.moves(key),
+            AdminState::Serving => Vec::new(),
+            AdminState::Draining => self.stop_movable(key),
         }
     }
 
-    /// Protected and other attempts that are at `key`, in that order.
+    /// Numbers of protected and of other attempts at `key`.
     #[must_use]
     pub fn in_flight(&self, key: EndpointKey) -> (usize, usize) {
-        let there = self.requests.values().filter(|r| uses(r, key));
-        let (protected, other): (Vec<_>, Vec<_>) = there.partition(|r| r.spec.kind.protected);
+        let placed = self.requests.values().filter(|r| is_placed_on(r, key));
+        let (protected, other): (Vec<_>, Vec<_>) = placed.partition(|r| r.spec.kind.protected);
         (protected.len(), other.len())
     }
 
-    /// Take in a load report that was true at `at`.
+    /// Records an endpoint's load report, which was valid at `at`.
     pub fn observe(&mut self, key: EndpointKey, report: LoadReport, at: Time) {
         if let Some(row) = self.endpoints.0.get_mut(key) {
             row.observe(report, at);
         }
     }
 
-    /// Take a request in.
+    /// Adds a request to its pool's queue.
     ///
     /// # Errors
-    /// Why it is refused at once, and when to come back.
+    /// The reason of the refusal and the earliest time to retry.
     pub fn submit(&mut self, team: &str, spec: RequestSpec, now: Time) -> Result<RequestKey, (Refusal, Time)> {
         let pool = &self.pools[spec.pool];
         if pool.index.is_empty() {
@@ -344,24 +347,25 @@
         let key = self.requests.insert(Request {
             spec,
             stage: Stage::Waiting,
-            arrived: now,
-            sent: now,
+            arrived_at: now,
+            sent_at: now,
             delivered: 0,
-            last_token: now,
-            first_seen: false,
-            ends: Vec::new(),
-            avoid: Vec::new(),
-            predicted: 0.0,
+            last_token_at: now,
+            first_token_seen: false,
+            attempt_ends: Vec::new(),
+            avoided: Vec::new(),
+            predicted_first_token: 0.0,
         });
         let pool = &mut self.pools[spec.pool];
-        pool.queue.insert(place(key, &spec));
-        pool.mix.add(spec.prompt_tokens, spec.output_tokens, now);
+        pool.queue.insert(queue_entry(key, &spec));
+        pool.mix.add_request(spec.prompt_tokens, spec.output_tokens, now);
         let gain = self.policy.retry_ratio;
         self.retries.take(-gain, now);
         Ok(key)
     }
 
-    /// Send what can be sent and give up what is hopeless, in one pool.
+    /// Sends the waiting requests of one pool that have a free endpoint, and refuses those that cannot meet
+    /// their deadline.
     pub fn pump(&mut self, pool: PoolKey, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.policy.admission {
@@ -371,37 +375,37 @@
         actions
     }
 
-    /// Run every system once: stalls, then each pool.
+    /// Stops stalled attempts, then runs [`Dispatcher::pump`] on each pool.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        let mut actions = self.stalled(now);
+        let mut actions = self.stop_stalled(now);
         let pools: Vec<_> = self.pools.keys().collect();
         for pool in pools {
-            self.count_lanes(pool, now);
+            self.update_endpoint_share(pool, now);
             actions.extend(self.pump(pool, now));
         }
         actions
     }
 
-    /// Note that `tokens` tokens of the present attempt arrived.
+    /// Records that the current attempt delivered `tokens` tokens.
     pub fn progress(&mut self, key: RequestKey, tokens: u32, now: Time) {
         let Some(request) = self.requests.get_mut(key) else { return };
         let Stage::Running { endpoint, prefill } = request.stage else { return };
-        let since = now.since(request.last_token).as_seconds();
-        request.last_token = now;
+        let since = now.since(request.last_token_at).as_seconds();
+        request.last_token_at = now;
         request.delivered += tokens;
         let configured = self.pools[request.spec.pool].rates;
-        if request.first_seen {
+        if request.first_token_seen {
             if let Some(row) = self.endpoints.0.get_mut(endpoint) {
                 learn_step(row, since, configured.step);
             }
             return;
         }
-        request.first_seen = true;
+        request.first_token_seen = true;
         let at = prefill.unwrap_or(endpoint);
-        let (spec, predicted) = (request.spec, request.predicted);
+        let (spec, predicted) = (request.spec, request.predicted_first_token);
         if let Some(row) = self.endpoints.0.get_mut(at) {
             release_prefill(row, &spec);
-            let work = crate::predict::backlog(row, request.sent) + f64::from(spec.prompt_tokens);
+            let work = crate::predict::backlog(row, request.sent_at) + f64::from(spec.prompt_tokens);
             learn_prefill(row, work, since, configured.prefill);
         }
         let timely = since <= (predicted * 2.0).max(0.25);
@@ -410,53 +414,54 @@
         }
     }
 
-    /// Note how the present attempt ended, and at which of its two engines. Without an attempt
-    /// there is nothing to end, and nothing changes.
+    /// Records how the current attempt ended and at which of its engines. Does nothing when no attempt is
+    /// running.
     pub fn attempt_ended(&mut self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> Next {
         let Some(request) = self.requests.get_mut(key) else {
-            return Next::Over(Outcome::Unknown);
+            return Next::Finished(Outcome::Unknown);
         };
         let spec = request.spec;
         let Stage::Running { endpoint, prefill } = request.stage else {
-            return Next::Again;
+            return Next::Retry;
         };
-        let visit = Visit::of(request, endpoint, prefill);
-        // Whoever delivered a token cannot vouch that nothing ran.
-        let end = if request.first_seen && end.surely_not_run() { AttemptEnd::Broken } else { end };
-        request.ends.push(end);
+        let placement = Placement::of(request, endpoint, prefill);
+        // After a delivered token the endpoint cannot claim that nothing ran.
+        let end = if request.first_token_seen && end.is_certainly_not_run() { AttemptEnd::Broken } else { end };
+        request.attempt_ends.push(end);
         if end != AttemptEnd::Whole && end != AttemptEnd::Cancelled {
-            request.avoid.push(visit.blamed(at));
+            request.avoided.push(placement.endpoint_at(at));
         }
-        self.leave(&visit, &spec, end, at, now);
+        self.finish_placement(&placement, &spec, end, at, now);
         let request = &self.requests[key];
-        let outcome = combine(&request.ends);
+        let outcome = combined_outcome(&request.attempt_ends);
         let may_repeat = spec.kind.repeatable || outcome == Outcome::NotRun;
         let over = matches!(end, AttemptEnd::Whole | AttemptEnd::Rejected)
             || !may_repeat
             || spec.deadline.is_past(now)
-            || request.attempt() >= self.policy.attempts;
+            || request.attempt_number() >= self.policy.max_attempts;
         if over || !self.may_retry(end, now) {
             self.requests.remove(key);
-            return Next::Over(outcome);
+            return Next::Finished(outcome);
         }
         self.requeue(key);
-        Next::Again
+        Next::Retry
     }
 
-    /// The caller went away, or the driver gives the request up: forget it.
-    pub fn abandon(&mut self, key: RequestKey, now: Time) {
+    /// Removes a request because its caller left or the driver gives it up.
+    pub fn cancel(&mut self, key: RequestKey, now: Time) {
         let Some(request) = self.requests.remove(key) else { return };
         match request.stage {
-            Stage::Waiting => self.pools[request.spec.pool].queue.remove(&place(key, &request.spec)),
+            Stage::Waiting => self.pools[request.spec.pool].queue.remove(&queue_entry(key, &request.spec)),
             Stage::Running { endpoint, prefill } => {
-                let visit = Visit::of(&request, endpoint, prefill);
-                self.leave(&visit, &request.spec, AttemptEnd::Cancelled, Site::Serving, now);
+                let placement = Placement::of(&request, endpoint, prefill);
+                self.finish_placement(&placement, &request.spec, AttemptEnd::Cancelled, Site::Serving, now);
             }
         }
     }
 
     fn may_retry(&mut self, end: AttemptEnd, now: Time) -> bool {
-        // A refusal or a planned move costs the endpoint nothing and is no sign of trouble.
+        // Refusals and planned moves put no load on the endpoint and are not faults, so they use no retry
+        // budget.
         let free = matches!(end, AttemptEnd::Refused | AttemptEnd::Cancelled);
         free || self.retries.take(1.0, now)
     }
@@ -464,42 +469,42 @@
     fn requeue(&mut self, key: RequestKey) {
         let request = &mut self.requests[key];
         request.stage = Stage::Waiting;
-        request.first_seen = false;
+        request.first_token_seen = false;
         let spec = request.spec;
-        let others = self.pools[spec.pool].index.serving().any(|k| !request.avoid.contains(&k));
+        let others = self.pools[spec.pool].index.serving_endpoints().any(|k| !request.avoided.contains(&k));
         if !others {
-            request.avoid.clear();
+            request.avoided.clear();
         }
-        self.pools[spec.pool].queue.insert(place(key, &spec));
+        self.pools[spec.pool].queue.insert(queue_entry(key, &spec));
     }
 
-    fn leave(&mut self, visit: &Visit, spec: &RequestSpec, end: AttemptEnd, at: Site, now: Time) {
-        let worker = visit.prefill.unwrap_or(visit.endpoint);
-        if visit.unanswered
-            && let Some(row) = self.endpoints.0.get_mut(worker)
+    fn finish_placement(&mut self, placement: &Placement, spec: &RequestSpec, end: AttemptEnd, at: Site, now: Time) {
+        let prefiller = placement.prefill.unwrap_or(placement.endpoint);
+        if placement.awaiting_first_token
+            && let Some(row) = self.endpoints.0.get_mut(prefiller)
         {
             release_prefill(row, spec);
         }
-        let blamed = visit.blamed(at);
-        for key in visit.prefill.into_iter().chain([visit.endpoint]) {
+        let faulty = placement.endpoint_at(at);
+        for key in placement.prefill.into_iter().chain([placement.endpoint]) {
             let Some(row) = self.endpoints.0.get_mut(key) else { continue };
-            row.window.ended();
+            row.window.record_end();
             match end {
                 AttemptEnd::Whole => {
-                    row.health.success();
-                    learn_plain(row, now.since(visit.sent));
+                    row.health.record_success();
+                    learn_plain(row, now.since(placement.sent));
                 }
-                end if end.is_fault() && key == blamed => {
-                    row.health.fault(now);
+                end if end.is_fault() && key == faulty => {
+                    row.health.record_fault(now);
                     row.window.adapt(false);
                 }
-                _ => row.health.probe_ended(),
+                _ => row.health.end_probe(),
             }
             self.forget_if_removed(key);
         }
     }
 
-    /// Drop the row of an endpoint that left its pool, once nothing is there.
+    /// Drops the row of a removed endpoint after its last attempt.
     fn forget_if_removed(&mut self, key: EndpointKey) {
         let row = &self.endpoints.0[key];
         if row.removed && row.window.in_flight() == 0 {
@@ -517,9 +522,9 @@
                 Err(candidates) if request.spec.deadline.is_past(now) => {
                     self.refuse(key, Refusal::TooLate, candidates, now, actions);
                 }
-                // Others behind it may still differ in adapter or urgency; one miss of a
-                // common kind means that the pool is full.
-                Err(_) if urgent || request.spec.adapter != 0 || !request.avoid.is_empty() => {}
+                // Later requests may still fit if they are urgent or use another adapter. For a plain request a
+                // miss means that the pool is full.
+                Err(_) if urgent || request.spec.adapter != 0 || !request.avoided.is_empty() => {}
                 Err(_) => break,
             }
         }
@@ -528,7 +533,7 @@
     fn send_or_refuse(&mut self, key: RequestKey, choice: Choice, now: Time, actions: &mut Vec<Action>) {
         let request = &self.requests[key];
         let left = request.spec.deadline.since(now).as_seconds();
-        let late = choice.chosen.prediction.whole * self.policy.refuse_margin > left;
+        let late = choice.chosen.prediction.total * self.policy.refuse_margin > left;
         if self.policy.admission && late && request.delivered == 0 {
             self.refuse(key, Refusal::TooLate, choice.candidates, now, actions);
             return;
@@ -540,20 +545,20 @@
         let Candidate { endpoint, prefill, prediction, .. } = choice.chosen;
         let request = &mut self.requests[key];
         request.stage = Stage::Running { endpoint, prefill };
-        request.sent = now;
-        request.last_token = now;
-        request.predicted = prediction.first;
+        request.sent_at = now;
+        request.last_token_at = now;
+        request.predicted_first_token = prediction.first_token;
         let spec = request.spec;
-        let attempt = request.attempt();
-        self.pools[spec.pool].queue.remove(&place(key, &spec));
+        let attempt = request.attempt_number();
+        self.pools[spec.pool].queue.remove(&queue_entry(key, &spec));
         let at = &mut self.endpoints.0[prefill.unwrap_or(endpoint)];
         let tokens = uncached(at, &spec);
-        at.own_prefill += tokens;
-        at.own_since += tokens;
-        at.remember(spec.prefix, now);
+        at.own_prefill_tokens += tokens;
+        at.own_tokens_since_report += tokens;
+        at.add_prefix(spec.prefix, now);
         for row in prefill.into_iter().chain([endpoint]) {
-            self.endpoints.0[row].window.sent();
-            self.endpoints.0[row].health.sent();
+            self.endpoints.0[row].window.record_sent();
+            self.endpoints.0[row].health.record_sent();
         }
         actions.push(Action::Send { request: key, attempt, choice });
     }
@@ -568,39 +573,39 @@
     ) {
         let Some(request) = self.requests.remove(key) else { return };
         let pool = &mut self.pools[request.spec.pool];
-        pool.queue.remove(&place(key, &request.spec));
-        let lanes = self.pools[request.spec.pool].lanes;
-        let ahead = self.queued_cost(request.spec.pool) / lanes;
+        pool.queue.remove(&queue_entry(key, &request.spec));
+        let endpoint_share = self.pools[request.spec.pool].endpoint_share;
+        let ahead = self.queued_cost(request.spec.pool) / endpoint_share;
         actions.push(Action::Refuse {
             request: key,
-            outcome: combine(&request.ends),
+            outcome: combined_outcome(&request.attempt_ends),
             reason,
             retry_at: now + Span::seconds(ahead).max(MIN_RETRY_AFTER),
             candidates,
         });
     }
 
-    fn stalled(&self, now: Time) -> Vec<Action> {
-        let limit = |r: &Request| self.policy.stall.max(Span::seconds(r.predicted * 3.0));
+    fn stop_stalled(&self, now: Time) -> Vec<Action> {
+        let limit = |r: &Request| self.policy.stall_timeout.max(Span::seconds(r.predicted_first_token * 3.0));
         self.requests
             .iter()
             .filter(|(_, r)| matches!(r.stage, Stage::Running { .. }))
-            .filter(|(_, r)| (r.last_token + limit(r)).is_past(now))
+            .filter(|(_, r)| (r.last_token_at + limit(r)).is_past(now))
             .map(|(request, _)| Action::Stop { request, end: AttemptEnd::Stalled })
             .collect()
     }
 
-    /// Stop what may be moved away from `key`: repeatable and not protected.
-    fn moves(&self, key: EndpointKey) -> Vec<Action> {
+    /// Stops attempts at `key` that may be moved: repeatable and not protected.
+    fn stop_movable(&self, key: EndpointKey) -> Vec<Action> {
         self.requests
             .iter()
-            .filter(|(_, r)| uses(r, key) && r.spec.kind.repeatable && !r.spec.kind.protected)
+            .filter(|(_, r)| is_placed_on(r, key) && r.spec.kind.repeatable && !r.spec.kind.protected)
             .map(|(request, _)| Action::Stop { request, end: AttemptEnd::Cancelled })
             .collect()
     }
 }
 
-fn uses(request: &Request, key: EndpointKey) -> bool {
+fn is_placed_on(request: &Request, key: EndpointKey) -> bool {
     match request.stage {
         Stage::Running { endpoint, prefill } => endpoint == key || prefill == Some(key),
         Stage::Waiting => false,
@@ -609,10 +614,10 @@
 
 fn release_prefill(row: &mut Endpoint, spec: &RequestSpec) {
     let tokens = f64::from(spec.prompt_tokens);
-    row.own_prefill = (row.own_prefill - tokens).max(0.0);
+    row.own_prefill_tokens = (row.own_prefill_tokens - tokens).max(0.0);
 }
 
-fn place(key: RequestKey, spec: &RequestSpec) -> Place {
+fn queue_entry(key: RequestKey, spec: &RequestSpec) -> QueueEntry {
     let urgent = spec.kind.is_urgent().then_some(spec.kind.priority);
-    Place::new(urgent, spec.deadline, key)
+    QueueEntry::new(urgent, spec.deadline, key)
 }
