--- a/crates/core/src/fleet/budget.rs
+++ b/crates/core/src/fleet/budget.rs
@@ -12,7 +12,7 @@
 
 /// Bounds on repeated sends, over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetTerms {
+pub struct RetryBudgetTerms {
     /// Repeats for each new request.
     pub ratio: f64,
     /// Repeats in a window beside those.
@@ -25,42 +25,42 @@
 struct Slice {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// What this daemon sent to one service lately.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     slices: [Slice; SLICES as usize],
 }
 
-impl Budget {
+impl RetryBudget {
     /// Note a new request.
-    pub fn request(&mut self, terms: &BudgetTerms, now: Time) {
+    pub fn record_request(&mut self, terms: &RetryBudgetTerms, now: Time) {
         self.slice(terms, now).requests += 1;
     }
 
     /// Take so many repeats if the budget has them, for a daemon among `daemons`.
-    pub fn take(&mut self, count: u32, terms: &BudgetTerms, daemons: usize, now: Time) -> bool {
-        let number = number(terms, now);
+    pub fn take(&mut self, count: u32, terms: &RetryBudgetTerms, daemons: usize, now: Time) -> bool {
+        let number = slice_number(terms, now);
         let recent = self.slices.iter().filter(|slice| slice.number + SLICES > number);
-        let (requests, repeats) =
-            recent.fold((0, 0), |(requests, repeats), slice| (requests + slice.requests, repeats + slice.repeats));
+        let (requests, retries) =
+            recent.fold((0, 0), |(requests, retries), slice| (requests + slice.requests, retries + slice.retries));
         let earned = f64::from(requests) * terms.ratio + terms.slack / daemons.max(1) as f64;
-        let allowed = f64::from(repeats + count) <= earned * SAFE_SHARE;
+        let allowed = f64::from(retries + count) <= earned * SAFE_SHARE;
         if allowed {
-            self.slice(terms, now).repeats += count;
+            self.slice(terms, now).retries += count;
         }
         allowed
     }
 
     /// Count a repeat that turned out to be one only after it was sent.
-    pub fn charge(&mut self, terms: &BudgetTerms, now: Time) {
-        self.slice(terms, now).repeats += 1;
+    pub fn charge(&mut self, terms: &RetryBudgetTerms, now: Time) {
+        self.slice(terms, now).retries += 1;
     }
 
-    fn slice(&mut self, terms: &BudgetTerms, now: Time) -> &mut Slice {
-        let number = number(terms, now);
+    fn slice(&mut self, terms: &RetryBudgetTerms, now: Time) -> &mut Slice {
+        let number = slice_number(terms, now);
         let slice = &mut self.slices[(number % SLICES) as usize];
         if slice.number != number {
             *slice = Slice { number, ..Slice::default() };
@@ -69,7 +69,7 @@
     }
 }
 
-fn number(terms: &BudgetTerms, now: Time) -> u64 {
+fn slice_number(terms: &RetryBudgetTerms, now: Time) -> u64 {
     // Counted from one slice's length on, so that a fresh slice never looks recent.
     now.0 / (terms.window.0 / SLICES).max(1) + SLICES
 }
--- a/crates/core/src/fleet/cache.rs
+++ b/crates/core/src/fleet/cache.rs
@@ -9,15 +9,15 @@
 
 /// The estimated contents of one engine's memory.
 #[derive(Clone, Debug, Default)]
-pub struct Cache {
+pub struct PrefixCache {
     capacity: u64,
-    held: u64,
-    uses: u64,
+    used_tokens: u64,
+    use_count: u64,
     parts: HashMap<u64, (u32, u64)>,
     by_use: BTreeMap<u64, u64>,
 }
 
-impl Cache {
+impl PrefixCache {
     /// An empty memory that keeps `tokens`.
     #[must_use]
     pub fn new(tokens: u64) -> Self {
@@ -32,31 +32,31 @@
     }
 
     /// Note that a prompt with these parts is read there.
-    pub fn read(&mut self, parts: &[Part]) {
+    pub fn insert(&mut self, parts: &[Part]) {
         // The first part is used by the most prompts, so it is noted last.
         for part in parts.iter().rev() {
             self.touch(*part);
         }
-        self.shrink();
+        self.evict();
     }
 
     fn touch(&mut self, part: Part) {
-        self.uses += 1;
-        if let Some((tokens, at)) = self.parts.insert(part.chain, (part.tokens, self.uses)) {
+        self.use_count += 1;
+        if let Some((tokens, at)) = self.parts.insert(part.chain, (part.tokens, self.use_count)) {
             self.by_use.remove(&at);
-            self.held -= u64::from(tokens);
+            self.used_tokens -= u64::from(tokens);
         }
-        self.by_use.insert(self.uses, part.chain);
-        self.held += u64::from(part.tokens);
+        self.by_use.insert(self.use_count, part.chain);
+        self.used_tokens += u64::from(part.tokens);
     }
 
-    fn shrink(&mut self) {
-        while self.held > self.capacity {
+    fn evict(&mut self) {
+        while self.used_tokens > self.capacity {
             let Some((_, chain)) = self.by_use.pop_first() else {
                 return;
             };
             if let Some((tokens, _)) = self.parts.remove(&chain) {
-                self.held -= u64::from(tokens);
+                self.used_tokens -= u64::from(tokens);
             }
         }
     }
--- a/crates/core/src/fleet/candidates.rs
+++ b/crates/core/src/fleet/candidates.rs
@@ -16,15 +16,15 @@
 };
 
 /// Replicas of a service up to which all are looked at.
-const ALL: usize = 128;
+const FULL_SCAN_LIMIT: usize = 128;
 /// Replicas of a sample in the own hall.
 const SAMPLE_IN_HALL: usize = 64;
 /// Replicas of a sample in any hall.
 const SAMPLE_ANYWHERE: usize = 32;
 /// Replicas that are remembered to hold a part, the latest.
-const HOLDERS: usize = 8;
+const MAX_HOLDERS: usize = 8;
 /// Parts whose holders are remembered, the latest.
-const PARTS: usize = 32_768;
+const MAX_PARTS: usize = 32_768;
 
 /// Replicas by service, and those that hold parts of prompts.
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
     }
 
     /// Note that a replica reads these parts.
-    pub(super) fn read(&mut self, key: ReplicaKey, parts: &[Part]) {
+    pub(super) fn record_prompt(&mut self, key: ReplicaKey, parts: &[Part]) {
         for part in parts {
             let holders = self.holders.entry(part.chain).or_default();
             if holders.is_empty() {
@@ -69,11 +69,11 @@
             }
             holders.retain(|other| *other != key);
             holders.push_back(key);
-            if holders.len() > HOLDERS {
+            if holders.len() > MAX_HOLDERS {
                 holders.pop_front();
             }
         }
-        while self.parts.len() > PARTS {
+        while self.parts.len() > MAX_PARTS {
             if let Some(oldest) = self.parts.pop_front() {
                 self.holders.remove(&oldest);
             }
@@ -86,16 +86,16 @@
     }
 
     /// The replicas that a request looks at, each once.
-    pub(super) fn of(&self, service: &str, prompt: Option<&Prompt>, draw: u64) -> Vec<ReplicaKey> {
+    pub(super) fn select(&self, service: &str, prompt: Option<&Prompt>, draw: u64) -> Vec<ReplicaKey> {
         let Some(members) = self.services.get(service) else {
             return Vec::new();
         };
-        if members.all.len() <= ALL {
+        if members.all.len() <= FULL_SCAN_LIMIT {
             return members.all.clone();
         }
-        let mut sample = Vec::with_capacity(ALL);
-        sample.extend(drawn(&members.in_hall, SAMPLE_IN_HALL, draw));
-        sample.extend(drawn(&members.all, SAMPLE_ANYWHERE, !draw));
+        let mut sample = Vec::with_capacity(FULL_SCAN_LIMIT);
+        sample.extend(sample_keys(&members.in_hall, SAMPLE_IN_HALL, draw));
+        sample.extend(sample_keys(&members.all, SAMPLE_ANYWHERE, !draw));
         let parts = prompt.into_iter().flat_map(|prompt| &prompt.parts);
         sample.extend(parts.filter_map(|part| self.holders.get(&part.chain)).flatten());
         sample.sort_unstable();
@@ -105,7 +105,7 @@
 }
 
 /// So many keys, drawn with replacement.
-fn drawn(keys: &[ReplicaKey], count: usize, draw: u64) -> impl Iterator<Item = ReplicaKey> {
+fn sample_keys(keys: &[ReplicaKey], count: usize, draw: u64) -> impl Iterator<Item = ReplicaKey> {
     let count = if keys.is_empty() { 0 } else { count };
     (0..count as u64).map(move |n| keys[rendezvous(draw, n) as usize % keys.len()])
 }
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -12,7 +12,7 @@
     fleet::{
         Fleet,
         engine::{EngineModel, hand_over::Moved, read_time::Reading},
-        plan::{Apart, NoPlan, Plan, RouteRequest, Step},
+        plan::{Isolation, Plan, PlanError, RouteRequest, Step},
         replica::{Replica, ReplicaKey},
     },
     hash::rendezvous,
@@ -22,48 +22,48 @@
 
 /// How many times the time to send it counts for a request that is sent twice: the second send
 /// itself, and what waits behind it on the link.
-const SECOND_SEND: f64 = 2.0;
+const RESEND_FACTOR: f64 = 2.0;
 /// Milliseconds for each request beyond an engine's slots.
-const OVER_SLOTS_MS: f64 = 20.0;
+const SLOT_WAIT_MS: f64 = 20.0;
 /// The same for long answers, which keep their slots for seconds.
-const LONG_OVER_SLOTS_MS: f64 = 60.0;
+const LONG_SLOT_WAIT_MS: f64 = 60.0;
 /// Milliseconds that a short request counts more where it halts a long answer.
-const OTHERS_HALTED_MS: f64 = 10.0;
+const PREEMPTION_COST_MS: f64 = 10.0;
 /// Milliseconds that a plain replica counts more when all its slots are taken, since it slows down.
-const CROWD_MS: f64 = 10.0;
+const FULL_LOAD_COST_MS: f64 = 10.0;
 /// Tokens that an engine must hold more of a prompt than another one to be copied from.
-const WORTH_COPYING: u32 = 512;
+const MIN_COPY_TOKENS: u32 = 512;
 /// Milliseconds that the longest answers of a size must take for them to count as long.
 const LONG_ANSWER_MS: f64 = 1_000.0;
 /// Tokens of an answer from which on it counts as long in any case: the quickest engines take a second for them.
-const LONG_OUTPUT: u32 = 1_500;
+const LONG_OUTPUT_TOKENS: u32 = 1_500;
 /// Milliseconds of a read that disturbs nobody: one piece of a prompt.
-const SHORT_READ_MS: f64 = 12.0;
+const SHORT_PREFILL_MS: f64 = 12.0;
 /// Milliseconds that each long answer counts more where a prompt is read beside it.
-const DISTURBED_MS: f64 = 1.0;
+const INTERFERENCE_COST_MS: f64 = 1.0;
 /// Milliseconds that each request at an engine counts where a prompt is handed over to it.
-const ACTIVE_MS: f64 = 0.2;
+const ACTIVE_REQUEST_COST_MS: f64 = 0.2;
 /// Share of their time that readers have for what is late, at least: under an overload that is
 /// measured as such, nothing late is begun, but no prediction is endless.
-const LEAST_FREE: f64 = 0.05;
+const MIN_FREE_SHARE: f64 = 0.05;
 /// Milliseconds that a replica counts more whose entry lapsed, or that a peer could not reach.
-const DOUBT_MS: f64 = 80.0;
+const MAY_BE_GONE_COST_MS: f64 = 80.0;
 /// Milliseconds of chance for each daemon, and at most.
-const JITTER_MS_EACH: f64 = 0.15;
+const JITTER_MS_PER_DAEMON: f64 = 0.15;
 /// See [`JITTER_MS_EACH`].
-const JITTER_MS_MOST: f64 = 25.0;
+const MAX_JITTER_MS: f64 = 25.0;
 /// Milliseconds by which the replicas that a request draws differ which is kept apart: more than anything else
 /// counts. It costs such a request the best place; drawn by chance, two of them would meet on one of
 /// twelve engines as often, but nobody would know what the others drew.
-const APART_MS: f64 = 10_000.0;
+const ISOLATION_DRAW_MS: f64 = 10_000.0;
 /// Part of its remaining time after which a caller does not come back any more.
-const COME_BACK_SHARE: f64 = 0.33;
+const MAX_RETRY_AFTER_SHARE: f64 = 0.33;
 /// Shortest time after which a caller is told to come back.
-const COME_BACK_MIN: Span = Span::millis(60);
+const MIN_RETRY_AFTER: Span = Span::millis(60);
 
 /// A prompt that is to be read.
 #[derive(Clone, Copy, Debug)]
-struct Read<'a> {
+struct PrefillInput<'a> {
     prompt: &'a Prompt,
     /// What is learned of the engines.
     engine: EngineModel,
@@ -80,14 +80,14 @@
     ///
     /// # Errors
     /// Why it is not to be served.
-    pub fn choose(&self, req: &RouteRequest<'_>, now: Time) -> Result<Plan, NoPlan> {
-        Choice::new(self, req, now).plan()
+    pub fn choose(&self, req: &RouteRequest<'_>, now: Time) -> Result<Plan, PlanError> {
+        Selection::new(self, req, now).plan()
     }
 
     /// The engine that answers a prompt which another one reads or has read.
     #[must_use]
-    pub fn choose_writer(&self, req: &RouteRequest<'_>, reader: &Step, long: bool, now: Time) -> Option<Step> {
-        Choice::new(self, req, now).writer(reader, long)
+    pub fn choose_decode_step(&self, req: &RouteRequest<'_>, prefill: &Step, long: bool, now: Time) -> Option<Step> {
+        Selection::new(self, req, now).decode_step(prefill, long)
     }
 
     /// The replicas that a request may go to, of those that it looks at.
@@ -105,10 +105,10 @@
 
     /// The replicas that a request may go to, regardless of their rate limits and retry times.
     fn available(&self, req: &RouteRequest<'_>, now: Time) -> Vec<(ReplicaKey, &Replica)> {
-        let candidates = match req.apart {
+        let candidates = match req.isolation {
             // What it draws must be the same on all daemons.
             Some(_) => self.candidates.all(req.service).to_vec(),
-            None => self.candidates.of(req.service, req.prompt, req.draw),
+            None => self.candidates.select(req.service, req.prompt, req.draw),
         };
         let rows = candidates.into_iter().filter_map(|key| Some((key, self.replicas.get(key)?)));
         let is_available = |(key, replica): &(ReplicaKey, &Replica)| {
@@ -120,7 +120,7 @@
     /// Whether an answer of so many tokens at most may keep its slot for a second or more.
     fn is_long(&self, service: &str, tokens: u32) -> bool {
         let longest_ms = self.services.get(service).and_then(|state| state.engine.answers.longest_ms(tokens));
-        tokens >= LONG_OUTPUT || longest_ms.is_some_and(|longest_ms| longest_ms >= LONG_ANSWER_MS)
+        tokens >= LONG_OUTPUT_TOKENS || longest_ms.is_some_and(|longest_ms| longest_ms >= LONG_ANSWER_MS)
     }
 
     /// What is learned of the engines of a service.
@@ -129,22 +129,22 @@
     }
 
     /// Milliseconds of reading at once that do not hold up the streams beside it for too long.
-    fn bearable_pause_ms(&self, service: &str, engine: &EngineModel) -> f64 {
-        let pause = self.services.get(service).and_then(|state| state.pause);
+    fn max_prefill_burst_ms(&self, service: &str, engine: &EngineModel) -> f64 {
+        let pause = self.services.get(service).and_then(|state| state.max_pause);
         let pause_ms = pause.map_or(self.policy.pause_ms, Span::in_millis);
         let room = pause_ms - engine.pace.interval_ms();
-        (room * self.policy.pause_share).max(SHORT_READ_MS)
+        (room * self.policy.pause_share).max(SHORT_PREFILL_MS)
     }
 
     /// Whether this daemon has not heard for long enough what its peers do.
     #[must_use]
-    pub fn is_blind(&self, now: Time) -> bool {
-        !self.sees_from.is_past(now)
+    pub fn is_warming_up(&self, now: Time) -> bool {
+        !self.warm_at.is_past(now)
     }
 }
 
 /// One choice: its request, and what is the same for all replicas that it looks at.
-struct Choice<'a> {
+struct Selection<'a> {
     fleet: &'a Fleet,
     req: &'a RouteRequest<'a>,
     now: Time,
@@ -154,35 +154,38 @@
     jitter_ms: f64,
 }
 
-impl<'a> Choice<'a> {
+impl<'a> Selection<'a> {
     fn new(fleet: &'a Fleet, req: &'a RouteRequest<'a>, now: Time) -> Self {
-        let jitter_ms = if fleet.is_blind(now) { JITTER_MS_MOST } else { fleet.daemons() as f64 * JITTER_MS_EACH };
-        Self { fleet, req, now, eligible: fleet.eligible(req, now), jitter_ms: jitter_ms.min(JITTER_MS_MOST) }
+        let jitter_ms =
+            if fleet.is_warming_up(now) { MAX_JITTER_MS } else { fleet.daemons() as f64 * JITTER_MS_PER_DAEMON };
+        Self { fleet, req, now, eligible: fleet.eligible(req, now), jitter_ms: jitter_ms.min(MAX_JITTER_MS) }
     }
 
-    fn plan(&self) -> Result<Plan, NoPlan> {
+    fn plan(&self) -> Result<Plan, PlanError> {
         let Some(prompt) = self.req.prompt else {
-            let plan = self.plain().ok_or_else(|| self.no_plan())?;
-            return within(self.req.time_left, plan, self.req);
+            let plan = self.plain_plan().ok_or_else(|| self.plan_error())?;
+            return admit_within(self.req.time_left, plan, self.req);
         };
-        let read = self.read_of(prompt);
-        let urgent = self.engines(&read).ok_or_else(|| self.no_plan())?;
+        let input = self.prefill_input(prompt);
+        let urgent = self.engine_plan(&input).ok_or_else(|| self.plan_error())?;
         let in_time_ms = self.req.objective_left.in_millis() * self.admit_share();
-        if urgent.predicted_ms() - self.relief_ms(&urgent, prompt) <= in_time_ms {
+        if urgent.predicted_ms() - self.discount_ms(&urgent, prompt) <= in_time_ms {
             return Ok(urgent);
         }
         // It is worth less when late, but not nothing, and costs others no time behind them.
-        let late = self.engines(&Read { late: true, ..read }).ok_or_else(|| self.no_plan())?;
-        let left = self.req.silence_left.min(self.req.time_left);
-        let late = self.held_up(late);
-        within(Span::seconds(left.as_seconds() * self.fleet.policy.late_share), late, self.req)
+        let late = self.engine_plan(&PrefillInput { late: true, ..input }).ok_or_else(|| self.plan_error())?;
+        let left = self.req.first_event_left.min(self.req.time_left);
+        let late = self.with_urgent_delay(late);
+        admit_within(Span::seconds(left.as_seconds() * self.fleet.policy.late_share), late, self.req)
     }
 
     /// The reason why no replica can be chosen.
-    fn no_plan(&self) -> NoPlan {
+    fn plan_error(&self) -> PlanError {
         match self.fleet.time_until_accepted(self.req, self.now) {
-            Some(wait) if wait > Span(0) => NoPlan::RateLimited { come_back: come_back(self.req, wait.in_millis()) },
-            _ => NoPlan::NoReplica,
+            Some(wait) if wait > Span(0) => {
+                PlanError::RateLimited { retry_after: retry_after(self.req, wait.in_millis()) }
+            }
+            _ => PlanError::NoReplica,
         }
     }
 
@@ -192,28 +195,29 @@
     }
 
     /// Milliseconds that are not counted for a large prompt, if such are served too seldom.
-    fn relief_ms(&self, plan: &Plan, prompt: &Prompt) -> f64 {
+    fn discount_ms(&self, plan: &Plan, prompt: &Prompt) -> f64 {
         let state = self.fleet.services.get(self.req.service).filter(|_| !plan.is_long());
-        state.map_or(0.0, |state| state.sizes.relief_ms(prompt.tokens, plan.reading().work_ms))
+        state.map_or(0.0, |state| state.large_prompts.discount_ms(prompt.tokens, plan.prefill_step().work_ms))
     }
 
-    fn plain(&self) -> Option<Plan> {
+    fn plain_plan(&self) -> Option<Plan> {
         let state = self.fleet.services.get(self.req.service);
-        let usual = state.map_or(super::PLAIN_GUESS_MS, |state| state.plain_ms);
+        let mean_ms = state.map_or(super::INITIAL_PLAIN_MS, |state| state.plain_ms);
         let steps = self.eligible.iter().map(|(key, replica)| {
-            let work_ms = usual * replica.slowness(self.now);
+            let work_ms = mean_ms * replica.slowness(self.now);
             let over = f64::from((replica.active() + 1).saturating_sub(replica.facts.slots));
-            let crowd = f64::from(replica.active()) / f64::from(replica.facts.slots.max(1));
+            let utilization = f64::from(replica.active()) / f64::from(replica.facts.slots.max(1));
             let link_ms = self.req.link_ms + self.req.send_ms;
-            let wait_ms = work_ms * over / f64::from(replica.facts.slots.max(1)) + crowd * CROWD_MS + link_ms;
+            let wait_ms =
+                work_ms * over / f64::from(replica.facts.slots.max(1)) + utilization * FULL_LOAD_COST_MS + link_ms;
             let step = Step { key: *key, wait_ms, work_ms, link_ms, ..Step::at(*key) };
-            (step.wait_ms + work_ms + self.network_ms(replica) + self.tie_break_ms(*key), step)
+            (step.wait_ms + work_ms + self.reachability_cost_ms(replica) + self.tie_break_ms(*key), step)
         });
-        lowest(steps).map(Plan::Whole)
+        cheapest(steps).map(Plan::Single)
     }
 
-    fn read_of(&self, prompt: &'a Prompt) -> Read<'a> {
-        Read {
+    fn prefill_input(&self, prompt: &'a Prompt) -> PrefillInput<'a> {
+        PrefillInput {
             prompt,
             engine: self.fleet.engine(self.req.service),
             holder: self.holder(prompt),
@@ -222,100 +226,105 @@
         }
     }
 
-    fn engines(&self, read: &Read<'_>) -> Option<Plan> {
-        if self.req.apart.is_some_and(|apart| apart.whole) {
-            return self.whole(read, false).map(Plan::Whole);
+    fn engine_plan(&self, input: &PrefillInput<'_>) -> Option<Plan> {
+        if self.req.isolation.is_some_and(|isolation| isolation.single_replica) {
+            return self.single_step(input, false).map(Plan::Single);
         }
-        let whole = self.whole(read, true).map(Plan::Whole);
-        let two = self.reader(read).and_then(|reader| {
-            let write = self.writer(&reader, read.long)?;
-            Some(Plan::TwoSteps { read: reader, write })
+        let single = self.single_step(input, true).map(Plan::Single);
+        let disaggregated = self.prefill_step(input).and_then(|prefill| {
+            let decode = self.decode_step(&prefill, input.long)?;
+            Some(Plan::Disaggregated { prefill, decode })
         });
-        match (whole, two) {
-            (Some(whole), Some(two)) if two.predicted_ms() < whole.predicted_ms() => Some(two),
-            (None, None) => self.whole(read, false).map(Plan::Whole),
-            (whole, two) => whole.or(two),
+        match (single, disaggregated) {
+            (Some(single), Some(disaggregated)) if disaggregated.predicted_ms() < single.predicted_ms() => {
+                Some(disaggregated)
+            }
+            (None, None) => self.single_step(input, false).map(Plan::Single),
+            (single, disaggregated) => single.or(disaggregated),
         }
     }
 
     /// The engine that reads and answers a prompt. One with long answers under way reads no longer
     /// than their pause allows; with `spare_short` one with short answers neither, and nothing larger at
     /// all where the long ones would end too late.
-    fn whole(&self, read: &Read<'_>, spare_short: bool) -> Option<Step> {
-        let pause_ms = self.fleet.bearable_pause_ms(self.req.service, &read.engine);
-        let placement = self.fleet.placement(self.req, read.long, self.now);
-        lowest(self.answering().filter_map(|(key, replica)| {
-            let step = self.reading_step((key, replica), read);
-            let over = slot_wait_ms(replica, read.long);
-            let step = Step { wait_ms: step.wait_ms + over, long: read.long, ..step };
-            let is_bound = replica.streams() > 0 || (spare_short && replica.active() > 0);
-            let disturbs = replica.streams() > 0 && step.work_ms > SHORT_READ_MS;
-            let delays = disturbs && spare_short && !self.fleet.has_time_to_spare(replica, self.now);
-            if delays || (is_bound && step.wait_ms + step.work_ms > pause_ms) {
+    fn single_step(&self, input: &PrefillInput<'_>, protect_short: bool) -> Option<Step> {
+        let pause_ms = self.fleet.max_prefill_burst_ms(self.req.service, &input.engine);
+        let placement = self.fleet.placement(self.req, input.long, self.now);
+        cheapest(self.answering().filter_map(|(key, replica)| {
+            let step = self.estimate_prefill((key, replica), input);
+            let over = slot_wait_ms(replica, input.long);
+            let step = Step { wait_ms: step.wait_ms + over, long: input.long, ..step };
+            let is_restricted = replica.streams() > 0 || (protect_short && replica.active() > 0);
+            let interferes = replica.streams() > 0 && step.work_ms > SHORT_PREFILL_MS;
+            let delays = interferes && protect_short && !self.fleet.has_decode_slack(replica, self.now);
+            if delays || (is_restricted && step.wait_ms + step.work_ms > pause_ms) {
                 return None;
             }
-            let disturbed = if disturbs { f64::from(replica.streams()) * DISTURBED_MS } else { 0.0 };
+            let interference_ms = if interferes { f64::from(replica.streams()) * INTERFERENCE_COST_MS } else { 0.0 };
             let cost = step.wait_ms
                 + step.work_ms
-                + self.network_ms(replica)
-                + disturbed
+                + self.reachability_cost_ms(replica)
+                + interference_ms
                 + placement.map_or(0.0, |placement| placement.cost_ms(replica));
             Some((cost + self.tie_break_ms(key), step))
         }))
     }
 
     /// The engine that only reads a prompt.
-    fn reader(&self, read: &Read<'_>) -> Option<Step> {
+    fn prefill_step(&self, input: &PrefillInput<'_>) -> Option<Step> {
         let engines = self.eligible.iter().filter(|(_, replica)| replica.facts.role == Role::Prefill);
-        lowest(engines.map(|(key, replica)| {
-            let step = self.reading_step((*key, replica), read);
-            let cost = step.wait_ms + step.work_ms + self.network_ms(replica) + self.pushed_out_ms(&step);
+        cheapest(engines.map(|(key, replica)| {
+            let step = self.estimate_prefill((*key, replica), input);
+            let cost = step.wait_ms + step.work_ms + self.reachability_cost_ms(replica) + self.eviction_cost_ms(&step);
             (cost + self.jitter_ms(*key), step)
         }))
     }
 
     /// The engine whose memory holds the most of a prompt, and how many tokens.
     fn holder(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
-        let sure = self.eligible.iter().filter(|(_, replica)| !replica.is_doubted(self.now));
+        let sure = self.eligible.iter().filter(|(_, replica)| !replica.may_be_gone(self.now));
         let held = sure.map(|(key, replica)| (*key, replica.cache.held_tokens(prompt)));
         held.max_by_key(|(_, tokens)| *tokens)
     }
 
-    fn writer(&self, reader: &Step, long: bool) -> Option<Step> {
+    fn decode_step(&self, prefill: &Step, long: bool) -> Option<Step> {
         let prompt = self.req.prompt?;
         let engine = self.fleet.engine(self.req.service);
-        let reader = self.fleet.replicas.get(reader.key);
+        let prefill = self.fleet.replicas.get(prefill.key);
         let placement = self.fleet.placement(self.req, long, self.now);
-        lowest(self.answering().map(|(key, replica)| {
-            let wait_ms = slot_wait_ms(replica, long) + replica.reading_ms(self.now) * 0.5;
-            let across = reader.is_none_or(|reader| reader.facts.hall != replica.facts.hall);
+        cheapest(self.answering().map(|(key, replica)| {
+            let wait_ms = slot_wait_ms(replica, long) + replica.prefill_ms(self.now) * 0.5;
+            let across = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
             let moved = Moved { tokens: prompt.tokens, across };
-            let work_ms = engine.hand_over.work_ms(moved) + self.req.send_ms * SECOND_SEND;
+            let work_ms = engine.hand_over.work_ms(moved) + self.req.send_ms * RESEND_FACTOR;
             let step = Step { wait_ms, work_ms, moved: Some(moved), long, ..Step::at(key) };
-            let cost = wait_ms + work_ms + self.network_ms(replica) + f64::from(replica.active()) * ACTIVE_MS;
+            let cost = wait_ms
+                + work_ms
+                + self.reachability_cost_ms(replica)
+                + f64::from(replica.active()) * ACTIVE_REQUEST_COST_MS;
             let placed_ms = placement.map_or(0.0, |placement| placement.cost_ms(replica));
             (cost + placed_ms + self.tie_break_ms(key), step)
         }))
     }
 
-    fn reading_step(&self, (key, replica): (ReplicaKey, &Replica), read: &Read<'_>) -> Step {
-        let Read { prompt, engine, holder, late, .. } = read;
+    fn estimate_prefill(&self, (key, replica): (ReplicaKey, &Replica), input: &PrefillInput<'_>) -> Step {
+        let PrefillInput { prompt, engine, holder, late, .. } = input;
         let (holder, late) = (*holder, *late);
         let held = replica.cache.held_tokens(prompt);
-        let (copy_from, copied) = match holder {
-            Some((other, more)) if other != key && more >= held + WORTH_COPYING => (Some(other), more - held),
+        let (copy_from, copy_tokens) = match holder {
+            Some((other, more)) if other != key && more >= held + MIN_COPY_TOKENS => (Some(other), more - held),
             _ => (None, 0),
         };
-        let held = held + copied;
+        let held = held + copy_tokens;
         let reading = Reading { uncached: prompt.tokens.saturating_sub(held).max(1), held };
         let copy_ms = copy_from.map_or(0.0, |holder| {
             let holder = self.fleet.replicas.get(holder);
             let across = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
-            engine.hand_over.work_ms(Moved { tokens: copied, across })
+            engine.hand_over.work_ms(Moved { tokens: copy_tokens, across })
         });
         let factor = if replica.facts.role == Role::Decode { engine.read.decode_factor() } else { 1.0 };
         let link_ms = self.req.link_ms + self.req.send_ms;
-        let ahead_ms = if late { replica.reading_ms(self.now) } else { replica.urgent_ms(self.now) };
+        let ahead_ms = if late { replica.prefill_ms(self.now) } else { replica.urgent_prefill_ms(self.now) };
         Step {
             key,
             // The engine goes on with what it has while the request is on its way.
@@ -325,7 +334,7 @@
             reading,
             moved: None,
             copy_from,
-            copied,
+            copy_tokens,
             long: false,
             late,
         }
@@ -333,48 +342,48 @@
 
     /// A late plan with the time for which what is more urgent keeps coming before it. Its own
     /// reading is not broken off once it has begun.
-    fn held_up(&self, plan: Plan) -> Plan {
+    fn with_urgent_delay(&self, plan: Plan) -> Plan {
         let service = self.req.service;
         let all = self.fleet.candidates.all(service).iter().filter_map(|key| self.fleet.replicas.get(*key));
-        let readers = all.filter(|replica| replica.facts.role == Role::Prefill && replica.is_open(self.now));
-        let readers = readers.count().max(1) as f64;
-        let free = (1.0 - self.fleet.demand(service, self.now).urgent / readers).max(LEAST_FREE);
-        let hold_up = |step: Step| Step { wait_ms: step.wait_ms / free, ..step };
+        let prefill_engines = all.filter(|replica| replica.facts.role == Role::Prefill && replica.is_open(self.now));
+        let prefill_engines = prefill_engines.count().max(1) as f64;
+        let free = (1.0 - self.fleet.demand(service, self.now).urgent / prefill_engines).max(MIN_FREE_SHARE);
+        let delayed = |step: Step| Step { wait_ms: step.wait_ms / free, ..step };
         match plan {
-            Plan::Whole(step) => Plan::Whole(hold_up(step)),
-            Plan::TwoSteps { read, write } => Plan::TwoSteps { read: hold_up(read), write },
+            Plan::Single(step) => Plan::Single(delayed(step)),
+            Plan::Disaggregated { prefill, decode } => Plan::Disaggregated { prefill: delayed(prefill), decode },
         }
     }
 
     fn jitter_ms(&self, key: ReplicaKey) -> f64 {
-        self.jitter_ms * share(rendezvous(self.req.draw, key.data().as_ffi()))
+        self.jitter_ms * unit_fraction(rendezvous(self.req.draw, key.data().as_ffi()))
     }
 
     /// What tells the replicas apart that may answer: some chance, or the draw of a request that is kept apart.
     fn tie_break_ms(&self, key: ReplicaKey) -> f64 {
-        let Some(Apart { content, .. }) = self.req.apart else {
+        let Some(Isolation { content, .. }) = self.req.isolation else {
             return self.jitter_ms(key);
         };
         let id = self.fleet.replicas.get(key).map_or(0, |replica| replica.start_id);
-        APART_MS * share(rendezvous(content.0, u64::from(id)))
+        ISOLATION_DRAW_MS * unit_fraction(rendezvous(content.0, u64::from(id)))
     }
 
     /// What copied tokens cost, since they push out others.
-    fn pushed_out_ms(&self, step: &Step) -> f64 {
-        f64::from(step.copied) / 1_000.0 * self.fleet.policy.copy_cost_ms
+    fn eviction_cost_ms(&self, step: &Step) -> f64 {
+        f64::from(step.copy_tokens) / 1_000.0 * self.fleet.policy.copy_cost_ms
     }
 
     fn admit_share(&self) -> f64 {
         let policy = &self.fleet.policy;
-        if self.req.returned { policy.admit_share_returned } else { policy.admit_share }
+        if self.req.was_refused { policy.admit_share_returned } else { policy.admit_share }
     }
 
     /// What the way to a replica counts: another hall and how far it is, and doubt whether it is there at all.
-    fn network_ms(&self, replica: &Replica) -> f64 {
-        let Fleet { hall, policy, distances, .. } = self.fleet;
+    fn reachability_cost_ms(&self, replica: &Replica) -> f64 {
+        let Fleet { hall, policy, hall_latencies, .. } = self.fleet;
         let is_own = *replica.facts.hall == **hall;
-        let hall_ms = if is_own { 0.0 } else { policy.other_hall_ms + distances.extra_ms(replica.hall) };
-        hall_ms + if replica.is_doubted(self.now) { DOUBT_MS } else { 0.0 }
+        let hall_ms = if is_own { 0.0 } else { policy.other_hall_ms + hall_latencies.extra_ms(replica.hall) };
+        hall_ms + if replica.may_be_gone(self.now) { MAY_BE_GONE_COST_MS } else { 0.0 }
     }
 }
 
@@ -384,37 +393,37 @@
     let slots = replica.facts.slots;
     let active = replica.active();
     if long {
-        return f64::from((active + 1).saturating_sub(slots)) * LONG_OVER_SLOTS_MS;
+        return f64::from((active + 1).saturating_sub(slots)) * LONG_SLOT_WAIT_MS;
     }
     let short = active.saturating_sub(replica.streams());
-    let crowded = if active >= slots { OTHERS_HALTED_MS } else { 0.0 };
-    crowded + f64::from((short + 1).saturating_sub(slots)) * OVER_SLOTS_MS
+    let crowded = if active >= slots { PREEMPTION_COST_MS } else { 0.0 };
+    crowded + f64::from((short + 1).saturating_sub(slots)) * SLOT_WAIT_MS
 }
 
 /// The plan, or a refusal if it is predicted to take longer than `limit`.
-fn within(limit: Span, plan: Plan, req: &RouteRequest<'_>) -> Result<Plan, NoPlan> {
+fn admit_within(limit: Span, plan: Plan, req: &RouteRequest<'_>) -> Result<Plan, PlanError> {
     let predicted_ms = plan.predicted_ms();
     let over_ms = predicted_ms - limit.in_millis();
     if req.may_refuse && over_ms > 0.0 {
-        let come_back = come_back(req, over_ms);
-        return Err(NoPlan::TooLate { plan: Box::new(plan), predicted_ms: predicted_ms as u64, come_back });
+        let retry_after = retry_after(req, over_ms);
+        return Err(PlanError::TooLate { plan: Box::new(plan), predicted_ms: predicted_ms as u64, retry_after });
     }
     Ok(plan)
 }
 
 /// A drawn number as a part of one.
-fn share(draw: u64) -> f64 {
+fn unit_fraction(draw: u64) -> f64 {
     draw as f64 / u64::MAX as f64
 }
 
-fn lowest(steps: impl Iterator<Item = (f64, Step)>) -> Option<Step> {
+fn cheapest(steps: impl Iterator<Item = (f64, Step)>) -> Option<Step> {
     steps.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, step)| step)
 }
 
 /// When a refused caller should come back: once the work ahead is likely to be done, spread out.
-fn come_back(req: &RouteRequest<'_>, over_ms: f64) -> Span {
-    let longest = Span::seconds(req.time_left.as_seconds() * COME_BACK_SHARE);
-    let earliest = Span::seconds(over_ms / 1_000.0).max(COME_BACK_MIN).min(longest);
+fn retry_after(req: &RouteRequest<'_>, over_ms: f64) -> Span {
+    let longest = Span::seconds(req.time_left.as_seconds() * MAX_RETRY_AFTER_SHARE);
+    let earliest = Span::seconds(over_ms / 1_000.0).max(MIN_RETRY_AFTER).min(longest);
     let spread = longest.0 - earliest.0;
     Span(earliest.0 + if spread == 0 { 0 } else { req.draw % spread })
 }
--- a/crates/core/src/fleet/discovery.rs
+++ b/crates/core/src/fleet/discovery.rs
@@ -31,8 +31,8 @@
         if replica.facts.is_same_start(&facts) {
             return self.update(key, facts, revision);
         }
-        let is_older = match (facts.born, replica.facts.born) {
-            (Some(told), Some(known)) => told < known,
+        let is_older = match (facts.start_time_ms, replica.facts.start_time_ms) {
+            (Some(reported), Some(known)) => reported < known,
             _ => replica.revision > revision,
         };
         if is_older {
@@ -44,24 +44,24 @@
         }
         let next = self.add(facts, revision);
         if let (Some(before), Some(next)) = (before, self.replicas.get_mut(next)) {
-            self.by_hash.remove(&before.start_id);
-            next.inherit(&before);
+            self.by_start_id.remove(&before.start_id);
+            next.inherit_speed(&before);
         }
         true
     }
 
     fn add(&mut self, facts: ReplicaFacts, revision: i64) -> ReplicaKey {
-        let memory = self.services.entry(Arc::clone(&facts.service)).or_default().memory_tokens;
+        let memory = self.services.entry(Arc::clone(&facts.service)).or_default().kv_capacity_tokens;
         let memory = (memory as f64 * self.policy.cache_share) as u64;
         let id = Arc::clone(&facts.id);
-        let hall = self.distances.key(&facts.hall);
+        let hall = self.hall_latencies.key(&facts.hall);
         let mut replica = Replica::new(facts, revision, memory);
         replica.hall = hall;
         let start_id = replica.start_id;
         let (service, in_hall) = (Arc::clone(&replica.facts.service), *replica.facts.hall == *self.hall);
         let key = self.replicas.insert(replica);
         self.candidates.add(&service, key, in_hall);
-        self.by_hash.insert(start_id, key);
+        self.by_start_id.insert(start_id, key);
         self.by_id.insert(id, key);
         key
     }
@@ -69,7 +69,7 @@
     /// Note that a replica's entry was removed at a revision; it counts as gone at `gone_at`.
     ///
     /// Returns whether the replica was known.
-    pub fn removed(&mut self, id: &str, revision: i64, gone_at: Time) -> bool {
+    pub fn mark_removed(&mut self, id: &str, revision: i64, gone_at: Time) -> bool {
         let Some(replica) = self.by_id.get(id).and_then(|key| self.replicas.get_mut(*key)) else {
             return false;
         };
@@ -82,27 +82,27 @@
     }
 
     /// Note that the process at a replica's address is another one.
-    pub fn replaced(&mut self, key: ReplicaKey, now: Time) {
+    pub fn mark_replaced(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.gone_at = now;
         }
     }
 
     /// Forget replicas that are gone and have nothing under way.
-    pub fn forget_gone(&mut self, now: Time) -> Vec<Arc<str>> {
+    pub fn remove_gone(&mut self, now: Time) -> Vec<Arc<str>> {
         let gone: Vec<ReplicaKey> = self
             .replicas
             .iter()
-            .filter(|(_, replica)| replica.gone_at.is_past(now) && replica.own.active == 0)
+            .filter(|(_, replica)| replica.gone_at.is_past(now) && replica.own_load.active == 0)
             .map(|(key, _)| key)
             .collect();
-        gone.into_iter().filter_map(|key| self.forget(key)).collect()
+        gone.into_iter().filter_map(|key| self.remove(key)).collect()
     }
 
-    fn forget(&mut self, key: ReplicaKey) -> Option<Arc<str>> {
+    fn remove(&mut self, key: ReplicaKey) -> Option<Arc<str>> {
         let replica = self.replicas.remove(key)?;
         self.candidates.remove(&replica.facts.service, key);
-        self.by_hash.remove(&replica.start_id);
+        self.by_start_id.remove(&replica.start_id);
         self.by_id.remove(&replica.facts.id);
         Some(replica.facts.id)
     }
@@ -118,7 +118,7 @@
         // A replica that said that it leaves does not come back under the same identifier.
         let draining = replica.facts.draining || facts.draining;
         if replica.facts.role != facts.role {
-            replica.changing_until = Time(0);
+            replica.role_change_until = Time(0);
         }
         replica.facts = ReplicaFacts { draining, ..facts };
         replica.revision = revision;
--- a/crates/core/src/fleet/distance.rs
+++ b/crates/core/src/fleet/distance.rs
@@ -5,13 +5,13 @@
 use crate::{fleet::engine::running_mean::RunningMean, time::Span};
 
 /// Weight of a new observation, once there are many.
-const LEARN: f64 = 0.05;
+const MIN_WEIGHT: f64 = 0.05;
 /// How many times as long as usual a connection counts at most: most of what is longer was waiting.
-const LONGEST: f64 = 3.0;
+const MAX_OUTLIER_FACTOR: f64 = 3.0;
 /// Connections after which a distance is known.
-const ENOUGH: u32 = 5;
+const MIN_OBSERVATIONS: u32 = 5;
 /// Round trips of a call: one for its connection, one for the request and the first bytes of its answer.
-const ROUND_TRIPS: f64 = 2.0;
+const ROUND_TRIPS_PER_CALL: f64 = 2.0;
 
 /// A hall's place in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 /// The halls that replicas are in.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Distances {
+pub(super) struct HallLatencies {
     halls: Vec<Hall>,
 }
 
@@ -27,15 +27,19 @@
 struct Hall {
     name: Arc<str>,
     round_trip_ms: RunningMean,
-    seen: u32,
+    observations: u32,
 }
 
-impl Distances {
+impl HallLatencies {
     /// The place of a hall.
     pub(super) fn key(&mut self, name: &Arc<str>) -> HallKey {
         let known = self.halls.iter().position(|hall| hall.name == *name);
         HallKey(known.unwrap_or_else(|| {
-            self.halls.push(Hall { name: Arc::clone(name), round_trip_ms: RunningMean::new(0.0, LEARN), seen: 0 });
+            self.halls.push(Hall {
+                name: Arc::clone(name),
+                round_trip_ms: RunningMean::new(0.0, MIN_WEIGHT),
+                observations: 0,
+            });
             self.halls.len() - 1
         }))
     }
@@ -43,19 +47,23 @@
     /// Learn from a connection that took so long.
     pub(super) fn learn(&mut self, key: HallKey, took: Span) {
         if let Some(hall) = self.halls.get_mut(key.0) {
-            let longest = if hall.seen >= ENOUGH { hall.round_trip_ms.value() * LONGEST } else { f64::INFINITY };
+            let longest = if hall.observations >= MIN_OBSERVATIONS {
+                hall.round_trip_ms.value() * MAX_OUTLIER_FACTOR
+            } else {
+                f64::INFINITY
+            };
             hall.round_trip_ms.learn(took.in_millis().min(longest));
-            hall.seen = hall.seen.saturating_add(1);
+            hall.observations = hall.observations.saturating_add(1);
         }
     }
 
     /// Milliseconds that a call to a hall takes longer than one to the nearest; none while its distance is not known.
     pub(super) fn extra_ms(&self, key: HallKey) -> f64 {
-        let Some(hall) = self.halls.get(key.0).filter(|hall| hall.seen >= ENOUGH) else {
+        let Some(hall) = self.halls.get(key.0).filter(|hall| hall.observations >= MIN_OBSERVATIONS) else {
             return 0.0;
         };
-        let known = self.halls.iter().filter(|hall| hall.seen >= ENOUGH);
+        let known = self.halls.iter().filter(|hall| hall.observations >= MIN_OBSERVATIONS);
         let nearest = known.map(|hall| hall.round_trip_ms.value()).fold(f64::INFINITY, f64::min);
-        (hall.round_trip_ms.value() - nearest).max(0.0) * ROUND_TRIPS
+        (hall.round_trip_ms.value() - nearest).max(0.0) * ROUND_TRIPS_PER_CALL
     }
 }
--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -28,7 +28,7 @@
             answered::Answered,
             record::{Cleared, End, Record},
         },
-        plan::Apart,
+        plan::Isolation,
     },
     time::{Span, Time},
 };
@@ -81,7 +81,7 @@
     /// Like any other.
     Clear,
     /// Replicas ended under it: it is kept apart from others like it.
-    Apart(Apart),
+    Apart(Isolation),
     /// Other daemons' news of the last end may be under way; ask again then.
     Unsettled(Time),
     /// It is not sent to a replica.
@@ -229,7 +229,7 @@
         }
         // From here on each replica that it reaches counts.
         let whole = ends >= ENDS_TO_REFUSE || record.lapses > 0;
-        Standing::Apart(Apart { content, whole })
+        Standing::Apart(Isolation { content, single_replica: whole })
     }
 
     /// Note that a run begins that tells whether a request is to blame.
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -19,18 +19,18 @@
     content::ContentHash,
     endpoint::Role,
     fleet::{
-        budget::{Budget, BudgetTerms},
+        budget::{RetryBudget, RetryBudgetTerms},
         candidates::Candidates,
-        distance::Distances,
+        distance::HallLatencies,
         endings::{Endings, Standing},
         engine::{EngineModel, hand_over::Moved, read_time::Reading},
-        peers::{PeerLoads, Source},
+        peers::{PeerState, Source},
         plan::{Plan, RouteRequest},
         policy::FleetPolicy,
         rate_limit::SlotShare,
         replica::{Load, Replica, ReplicaFacts, ReplicaKey},
-        sizes::SizeBalance,
-        split::{DemandMeter, Offer},
+        sizes::LargePromptFairness,
+        split::{DemandMeter, RequestDemand},
     },
     prompt::Prompt,
     time::{Span, Time},
@@ -55,27 +55,27 @@
 pub mod split;
 
 /// Milliseconds of a plain call before anything is learned.
-const PLAIN_GUESS_MS: f64 = 20.0;
+const INITIAL_PLAIN_MS: f64 = 20.0;
 /// Weight of a new observation of a plain call.
-const LEARN_PLAIN: f64 = 0.05;
+const PLAIN_WEIGHT: f64 = 0.05;
 /// Time after the start in which a daemon may not have heard of all that its peers do.
-const BLIND: Span = Span::millis(1_000);
+const WARM_UP: Span = Span::millis(1_000);
 /// Memory of an engine whose configuration is not known yet, in tokens.
-const MEMORY_GUESS: u64 = 100_000;
+const DEFAULT_KV_CAPACITY: u64 = 100_000;
 
 /// What is learned of one service.
 #[derive(Clone, Debug)]
 struct ServiceState {
     engine: EngineModel,
     plain_ms: f64,
-    budget: Budget,
-    memory_tokens: u64,
+    budget: RetryBudget,
+    kv_capacity_tokens: u64,
     /// Longest pause between the events of its streams that is in time; absent if none is known.
-    pause: Option<Span>,
+    max_pause: Option<Span>,
     /// What is asked of long answers; absent before there was one.
-    long: Option<LongAnswers>,
-    meter: DemandMeter,
-    sizes: SizeBalance,
+    long_answers: Option<LongAnswers>,
+    demand_meter: DemandMeter,
+    large_prompts: LargePromptFairness,
 }
 
 /// What callers req of a service's long answers.
@@ -87,20 +87,20 @@
     tokens: u32,
     /// When the first of them must be over: until then only the shorter have ended, and do not tell how
     /// long the longest are.
-    lengths_from: Time,
+    lengths_known_from: Time,
 }
 
 impl Default for ServiceState {
     fn default() -> Self {
         Self {
             engine: EngineModel::default(),
-            plain_ms: PLAIN_GUESS_MS,
-            budget: Budget::default(),
-            memory_tokens: MEMORY_GUESS,
-            pause: None,
-            long: None,
-            meter: DemandMeter::default(),
-            sizes: SizeBalance::default(),
+            plain_ms: INITIAL_PLAIN_MS,
+            budget: RetryBudget::default(),
+            kv_capacity_tokens: DEFAULT_KV_CAPACITY,
+            max_pause: None,
+            long_answers: None,
+            demand_meter: DemandMeter::default(),
+            large_prompts: LargePromptFairness::default(),
         }
     }
 }
@@ -122,7 +122,7 @@
 
 /// Work that was sent to a replica and is not over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
+pub struct SentStep {
     /// Where.
     pub key: ReplicaKey,
     /// What it counts as.
@@ -136,13 +136,13 @@
     /// Time that this VM's link needs to send it.
     pub link: Span,
     /// Whether the replica had nothing else to read.
-    pub alone: bool,
+    pub had_no_prefill: bool,
     /// Long answers that were known to be there.
-    pub beside: u32,
+    pub other_streams: u32,
     /// Tokens of its answer at most.
-    pub output: u32,
+    pub max_output: u32,
     /// Tokens of its answer as its caller guesses.
-    pub guess: Option<u32>,
+    pub output_hint: Option<u32>,
     /// When it was sent.
     pub at: Time,
 }
@@ -157,7 +157,7 @@
     /// What they took.
     pub took: Span,
     /// The longest time between two of them; none where that is not known.
-    pub longest: Span,
+    pub longest_interval: Span,
 }
 
 impl StreamPart {
@@ -175,36 +175,36 @@
     policy: FleetPolicy,
     replicas: SlotMap<ReplicaKey, Replica>,
     /// When this daemon began to hear its peers; before, it does not know what they do.
-    sees_from: Time,
+    warm_at: Time,
     by_id: HashMap<Arc<str>, ReplicaKey>,
-    by_hash: HashMap<u32, ReplicaKey>,
+    by_start_id: HashMap<u32, ReplicaKey>,
     services: HashMap<Arc<str>, ServiceState>,
-    peers: HashMap<Source, PeerLoads>,
-    notes: Vec<peers::ReadNote>,
+    peers: HashMap<Source, PeerState>,
+    prompt_notes: Vec<peers::PromptNote>,
     /// Hash of this daemon's hall.
-    hall_id: u32,
+    hall_hash: u32,
     /// Prompts that daemons of this hall sent since other halls were last told.
-    hall_notes: Vec<peers::ReadNote>,
+    hall_prompt_notes: Vec<peers::PromptNote>,
     candidates: Candidates,
     /// Replicas of which this daemon may have something to report.
     reportable: HashSet<ReplicaKey>,
     /// How far halls are.
-    distances: Distances,
+    hall_latencies: HallLatencies,
     /// When others are told again what was learned.
-    report_learned_at: Time,
+    next_learned_report: Time,
     /// Daemons that are listed, whether they are heard or not.
-    listed: usize,
+    listed_daemons: usize,
     /// Determines which rate-limit slots belong to this daemon.
     slot_share: SlotShare,
     /// Requests under which replicas ended.
-    pub endings: Endings,
+    pub crashes: Endings,
 }
 
 impl Fleet {
     /// No replicas, seen from `hall`.
     #[must_use]
     pub fn new(hall: &str, policy: FleetPolicy, now: Time) -> Self {
-        Self { hall: hall.to_owned(), hall_id: short_id(hall), policy, sees_from: now + BLIND, ..Self::default() }
+        Self { hall: hall.to_owned(), hall_hash: short_id(hall), policy, warm_at: now + WARM_UP, ..Self::default() }
     }
 
     /// A replica's row.
@@ -225,48 +225,48 @@
     }
 
     /// Note how many daemons are listed, this one included.
-    pub const fn set_listed(&mut self, daemons: usize) {
-        self.listed = daemons;
+    pub const fn set_listed_daemons(&mut self, daemons: usize) {
+        self.listed_daemons = daemons;
     }
 
     /// Set the zero-based rank of this daemon among those that are listed, and the offset from its clock to the time of
     /// day.
     pub fn set_slot_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
-        let (daemons, rank) = (self.daemons().max(self.listed) as u64, rank as u64);
+        let (daemons, rank) = (self.daemons().max(self.listed_daemons) as u64, rank as u64);
         let changed = (daemons, rank) != (self.slot_share.daemons, self.slot_share.rank);
         let changed_at = if changed { now + clock_offset } else { self.slot_share.changed_at };
         self.slot_share = SlotShare { daemons, rank, clock_offset, changed_at };
     }
 
     /// Note what the configuration says of the memory of a service's engines.
-    pub fn set_memory(&mut self, service: &Arc<str>, tokens: u64) {
-        self.service_mut(service).memory_tokens = tokens;
+    pub fn set_kv_capacity(&mut self, service: &Arc<str>, tokens: u64) {
+        self.service_mut(service).kv_capacity_tokens = tokens;
     }
 
     /// Note the longest pause between the events of a service's streams that is in time.
-    pub fn set_pause(&mut self, service: &Arc<str>, pause: Option<Span>) {
-        self.service_mut(service).pause = pause;
+    pub fn set_max_pause(&mut self, service: &Arc<str>, pause: Option<Span>) {
+        self.service_mut(service).max_pause = pause;
     }
 
     /// Learn from a whole stream that was passed on.
-    pub fn learn_answer(&mut self, sent: &Sent, stream: &StreamPart, now: Time) {
+    pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
         };
         let state = self.services.entry(Arc::clone(&replica.facts.service)).or_default();
-        let long = state.long.filter(|_| sent.load.streams > 0);
-        if long.is_none_or(|long| long.lengths_from.is_past(now)) {
-            state.engine.answers.learn_ended(stream.total, sent.output);
+        let long = state.long_answers.filter(|_| sent.load.streams > 0);
+        if long.is_none_or(|long| long.lengths_known_from.is_past(now)) {
+            state.engine.answers.learn_ended(stream.total, sent.max_output);
         }
-        state.engine.answers.learn_guess(stream.total, sent.guess);
+        state.engine.answers.learn_guess(stream.total, sent.output_hint);
         if let Some(interval) = stream.interval() {
             state.engine.pace.learn(interval);
-            state.engine.answers.learn_pause(stream.events, interval, stream.longest);
+            state.engine.answers.learn_pause(stream.events, interval, stream.longest_interval);
         }
     }
 
     /// Learn from a part of a stream that was passed on and may go on.
-    pub fn learn_stream(&mut self, sent: &Sent, part: &StreamPart) {
+    pub fn learn_stream(&mut self, sent: &SentStep, part: &StreamPart) {
         let (Some(replica), Some(interval)) = (self.replicas.get_mut(sent.key), part.interval()) else {
             return;
         };
@@ -274,70 +274,95 @@
         // Until the pace is known nobody can tell which answers are long.
         if sent.load.streams > 0 || !engine.answers.is_known() {
             let slowness = engine.answers.learn(interval, replica.streams(), replica.answer_slowness.value());
-            replica.learn_answers(slowness);
-            engine.answers.learn_passed(part.total, sent.output);
+            replica.learn_answer_slowness(slowness);
+            engine.answers.learn_passed(part.total, sent.max_output);
         }
     }
 
     /// Note a new request, what it would req of engines, and whether it is admitted.
-    pub fn offered(&mut self, service: &Arc<str>, req: &RouteRequest<'_>, plan: &Plan, admitted: bool, now: Time) {
+    pub fn record_demand(
+        &mut self,
+        service: &Arc<str>,
+        req: &RouteRequest<'_>,
+        plan: &Plan,
+        admitted: bool,
+        now: Time,
+    ) {
         let state = self.service_mut(service);
-        if plan.is_long() && !req.returned {
-            let lengths_from = state.long.map_or(now + req.time_left, |long| long.lengths_from);
+        if plan.is_long() && !req.was_refused {
+            let lengths_known_from = state.long_answers.map_or(now + req.time_left, |long| long.lengths_known_from);
             let tokens = req.prompt.map_or(0, |prompt| prompt.output);
-            state.long = Some(LongAnswers { limit: req.time_left, tokens, lengths_from });
+            state.long_answers = Some(LongAnswers { limit: req.time_left, tokens, lengths_known_from });
         }
         if let Some(prompt) = req.prompt.filter(|_| !plan.is_long()) {
-            state.sizes.note(prompt.tokens, req.returned, admitted);
+            state.large_prompts.record(prompt.tokens, req.was_refused, admitted);
         }
-        let reading = plan.reading().reading;
+        let reading = plan.prefill_step().reading;
         let tokens = reading.uncached + reading.held;
-        let offer = Offer {
-            reading_ms: state.engine.read.work_ms(reading),
-            moving_ms: state.engine.hand_over.link_ms(Moved { tokens, across: false }),
+        let request = RequestDemand {
+            prefill_ms: state.engine.read.work_ms(reading),
+            transfer_ms: state.engine.hand_over.link_ms(Moved { tokens, across: false }),
             tokens,
             long: plan.is_long(),
             late: plan.is_late(),
         };
-        state.meter.offered(&offer, now);
+        state.demand_meter.record_request(&request, now);
     }
 
     /// Note that work begins at a replica; `prompt` is what it reads. Returns `None` if the replica is gone or
     /// its rate limit or retry time does not let this daemon send now.
-    pub fn begin(&mut self, key: ReplicaKey, step: &plan::Step, prompt: Option<&Prompt>, now: Time) -> Option<Sent> {
+    pub fn begin(
+        &mut self,
+        key: ReplicaKey,
+        step: &plan::Step,
+        prompt: Option<&Prompt>,
+        now: Time,
+    ) -> Option<SentStep> {
         let replica = self.replicas.get_mut(key)?;
         if !replica.retry_at.is_past(now) || !replica.rate_limit.take_slot(replica.start_id, self.slot_share, now) {
             return None;
         }
-        let alone = replica.own.reading_ms + replica.peers.reading_ms <= 0.0;
-        let beside = replica.streams();
-        let output = prompt.map_or(0, |prompt| prompt.output);
-        let guess = prompt.and_then(|prompt| prompt.guess);
+        let had_no_prefill = replica.own_load.prefill_ms + replica.peer_load.prefill_ms <= 0.0;
+        let other_streams = replica.streams();
+        let max_output = prompt.map_or(0, |prompt| prompt.output);
+        let output_hint = prompt.and_then(|prompt| prompt.guess);
         let load = Load {
-            reading_ms: step.work_ms,
+            prefill_ms: step.work_ms,
             late_ms: if step.late { step.work_ms } else { 0.0 },
             active: 1,
             streams: u32::from(step.long),
         };
-        replica.own = replica.own.plus(load);
+        replica.own_load = replica.own_load.plus(load);
         replica.health.sent();
         self.reportable.insert(key);
         if let Some(prompt) = prompt {
-            replica.cache.read(&prompt.parts);
-            self.candidates.read(key, &prompt.parts);
-            self.notes.push(peers::ReadNote::new(replica.start_id, prompt));
+            replica.cache.insert(&prompt.parts);
+            self.candidates.record_prompt(key, &prompt.parts);
+            self.prompt_notes.push(peers::PromptNote::new(replica.start_id, prompt));
         }
         let expected_ms = step.wait_ms + step.work_ms;
         let link = Span::seconds(step.link_ms / 1_000.0);
         let (reading, moved) = (step.reading, step.moved);
-        Some(Sent { key, load, reading, moved, expected_ms, link, alone, beside, output, guess, at: now })
+        Some(SentStep {
+            key,
+            load,
+            reading,
+            moved,
+            expected_ms,
+            link,
+            had_no_prefill,
+            other_streams,
+            max_output,
+            output_hint,
+            at: now,
+        })
     }
 
     /// Note that reading is over while the request goes on; returns the work that remains counted.
-    pub fn reading_over(&mut self, sent: &mut Sent, end: StepEnd, now: Time) {
-        let read = Load { reading_ms: sent.load.reading_ms, late_ms: sent.load.late_ms, ..Load::default() };
+    pub fn prefill_ended(&mut self, sent: &mut SentStep, end: StepEnd, now: Time) {
+        let read = Load { prefill_ms: sent.load.prefill_ms, late_ms: sent.load.late_ms, ..Load::default() };
         if let Some(replica) = self.replicas.get_mut(sent.key) {
-            replica.own = replica.own.minus(read);
+            replica.own_load = replica.own_load.minus(read);
         }
         if end == StepEnd::Done {
             self.learn_read(sent, now);
@@ -346,15 +371,15 @@
     }
 
     /// Note that work at a replica is over; returns whether the replica is left out from now on.
-    pub fn end(&mut self, sent: &Sent, end: StepEnd, now: Time) -> bool {
+    pub fn end(&mut self, sent: &SentStep, end: StepEnd, now: Time) -> bool {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return false;
         };
-        replica.own = replica.own.minus(sent.load);
-        if replica.own.active == 0 {
+        replica.own_load = replica.own_load.minus(sent.load);
+        if replica.own_load.active == 0 {
             // Rounding errors do not add up.
-            replica.own.reading_ms = 0.0;
-            replica.own.late_ms = 0.0;
+            replica.own_load.prefill_ms = 0.0;
+            replica.own_load.late_ms = 0.0;
         }
         match end {
             StepEnd::Done => replica.health.success(),
@@ -368,14 +393,14 @@
     /// Learn from the time that a connection to a replica took.
     pub fn learn_connection(&mut self, key: ReplicaKey, took: Span) {
         if let Some(replica) = self.replicas.get(key) {
-            self.distances.learn(replica.hall, took);
+            self.hall_latencies.learn(replica.hall, took);
         }
     }
 
     /// Note that nothing listens where this start of a replica was; returns whether it is left out from now on.
     ///
     /// What broke one request is not learned by the next and by other daemons anew, each by a try of its own.
-    pub fn nobody_listens(&mut self, facts: &ReplicaFacts, now: Time) -> bool {
+    pub fn mark_unreachable(&mut self, facts: &ReplicaFacts, now: Time) -> bool {
         let key = self.key(&facts.id);
         self.reportable.extend(key);
         let replica = key.and_then(|key| self.replicas.get_mut(key));
@@ -436,41 +461,41 @@
     }
 
     /// Learn from a plain call that took `took`.
-    pub fn learn_plain(&mut self, sent: &Sent, took: Span, now: Time) {
+    pub fn learn_plain_call(&mut self, sent: &SentStep, took: Span, now: Time) {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return;
         };
         replica.learn_slowness(sent.expected_ms, took, now);
         let service = Arc::clone(&replica.facts.service);
         let state = self.service_mut(&service);
-        state.plain_ms += LEARN_PLAIN * (took.in_millis() - state.plain_ms);
+        state.plain_ms += PLAIN_WEIGHT * (took.in_millis() - state.plain_ms);
     }
 
     /// How to treat a request, by the replicas that ended under it.
     pub fn standing(&mut self, content: ContentHash, now: Time) -> Standing {
         let daemons = self.daemons();
-        let alone = daemons == 1 && self.listed > 1;
-        self.endings.standing(content, daemons, alone, now)
+        let is_cut_off = daemons == 1 && self.listed_daemons > 1;
+        self.crashes.standing(content, daemons, is_cut_off, now)
     }
 
     /// Note a new request for a service.
-    pub fn request(&mut self, service: &Arc<str>, terms: &BudgetTerms, now: Time) {
-        self.service_mut(service).budget.request(terms, now);
+    pub fn record_request(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
+        self.service_mut(service).budget.record_request(terms, now);
     }
 
     /// Count a repeated send that turned out to be one only after it was sent.
-    pub fn charge_repeat(&mut self, service: &Arc<str>, terms: &BudgetTerms, now: Time) {
+    pub fn charge_retry(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
         self.service_mut(service).budget.charge(terms, now);
     }
 
     /// Take so many repeated sends to a service from the budget, if they are there.
-    pub fn take_repeats(&mut self, count: u32, service: &Arc<str>, terms: &BudgetTerms, now: Time) -> bool {
+    pub fn take_retries(&mut self, count: u32, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) -> bool {
         // A daemon that is cut off from the others must not take their part of the budget.
-        let daemons = self.daemons().max(self.listed);
+        let daemons = self.daemons().max(self.listed_daemons);
         self.service_mut(service).budget.take(count, terms, daemons, now)
     }
 
-    fn learn_read(&mut self, sent: &Sent, now: Time) {
+    fn learn_read(&mut self, sent: &SentStep, now: Time) {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return;
         };
@@ -481,7 +506,7 @@
         let engine = &mut self.service_mut(&service).engine;
         match sent.moved {
             Some(moved) => engine.hand_over.learn(moved, took),
-            None if !sent.alone => {}
+            None if !sent.had_no_prefill => {}
             None if role == Role::Decode => engine.read.learn_decode(sent.reading, took),
             None => engine.read.learn(sent.reading, took),
         }
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -15,7 +15,7 @@
 /// How many times that an engine counts more where the last event would come too late by the whole time left.
 /// A tenth of that time counts as much as opening an empty engine, so that answers go where all of them
 /// go on fastest once no engine has room.
-const OVER_TIME: f64 = 10.0;
+const LATENESS_WEIGHT: f64 = 10.0;
 
 /// What placing one long answer goes by, the same for all engines of its service.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     /// How fast answers go on; absent while nothing is known of that.
     pace: Option<&'a AnswerPace>,
     /// Milliseconds between two events at which the answer ends in time.
-    bearable_ms: f64,
+    max_interval_ms: f64,
     /// Part of an engine's slots that long answers may take.
     packed_share: f64,
 }
@@ -40,9 +40,9 @@
             return PACKING_MS * if streams < slots { 1.0 - streams / slots } else { 1.0 + overfull };
         };
         let interval_ms = replica.interval_ms(pace, replica.streams() + 1);
-        let over_time = interval_ms / self.bearable_ms - 1.0;
-        if streams >= slots || over_time > 0.0 {
-            return PACKING_MS * (1.0 + overfull + over_time.max(0.0) * OVER_TIME);
+        let lateness = interval_ms / self.max_interval_ms - 1.0;
+        if streams >= slots || lateness > 0.0 {
+            return PACKING_MS * (1.0 + overfull + lateness.max(0.0) * LATENESS_WEIGHT);
         }
         let slowest_ms = pace.interval_ms(slots);
         PACKING_MS * (1.0 - interval_ms / slowest_ms).max(0.0)
@@ -52,53 +52,55 @@
 impl Fleet {
     /// What placing an answer goes by; absent if it is not a long one, or nobody knows where others are.
     pub(super) fn placement(&self, req: &RouteRequest<'_>, long: bool, now: Time) -> Option<Placement<'_>> {
-        if !long || self.is_blind(now) {
+        if !long || self.is_warming_up(now) {
             return None;
         }
         let packed_share = self.policy.packed_share;
-        let unknown = Placement { pace: None, bearable_ms: f64::INFINITY, packed_share };
+        let unknown = Placement { pace: None, max_interval_ms: f64::INFINITY, packed_share };
         let Some(state) = self.services.get(req.service).filter(|state| state.engine.answers.is_known()) else {
             return Some(unknown);
         };
         let pace = &state.engine.answers;
-        let lengths_known = state.long.is_some_and(|long| long.lengths_from.is_past(now));
+        let lengths_known = state.long_answers.is_some_and(|long| long.lengths_known_from.is_past(now));
         let likely = req.prompt.and_then(|prompt| pace.likely_events(prompt, lengths_known));
-        let bearable_ms = match likely {
-            Some(events) => (req.time_left.in_millis() * self.policy.answer_share / events).min(Self::steady_ms(state)),
+        let max_interval_ms = match likely {
+            Some(events) => {
+                (req.time_left.in_millis() * self.policy.answer_share / events).min(Self::max_steady_interval_ms(state))
+            }
             // However long they are, they end soonest where they go on fastest.
             None => pace.interval_ms(0.0),
         };
-        let bearable_ms = bearable_ms.max(f64::MIN_POSITIVE);
-        Some(Placement { pace: Some(pace), bearable_ms, packed_share })
+        let max_interval_ms = max_interval_ms.max(f64::MIN_POSITIVE);
+        Some(Placement { pace: Some(pace), max_interval_ms, packed_share })
     }
 
     /// Milliseconds between two events on average at which single ones hardly pause beyond what is in time.
-    fn steady_ms(state: &ServiceState) -> f64 {
-        state.pause.map_or(f64::INFINITY, |pause| state.engine.answers.steady_ms(pause))
+    fn max_steady_interval_ms(state: &ServiceState) -> f64 {
+        state.max_pause.map_or(f64::INFINITY, |pause| state.engine.answers.steady_ms(pause))
     }
 
     /// Long answers that a usual engine of a service can have at once so that the longest end in time and none
     /// pauses for too long; absent while their pace or lengths are not known.
-    pub(super) fn bearable_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
+    pub(super) fn max_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
         let pace = &state.engine.answers;
-        let long = state.long.filter(|_| pace.is_known())?;
-        let events = pace.most_events(long.tokens, long.lengths_from.is_past(now))?;
+        let long = state.long_answers.filter(|_| pace.is_known())?;
+        let events = pace.most_events(long.tokens, long.lengths_known_from.is_past(now))?;
         let in_time_ms = long.limit.in_millis() * self.policy.answer_share / events;
-        Some(pace.answers_within(in_time_ms.min(Self::steady_ms(state))))
+        Some(pace.answers_within(in_time_ms.min(Self::max_steady_interval_ms(state))))
     }
 
     /// Whether the longest answers that a replica has end in time though it also reads prompts. Reading
     /// takes a fifth of the time of engines with long answers under load; where the last events are
     /// late already, engines that only read do it.
-    pub(super) fn has_time_to_spare(&self, replica: &Replica, now: Time) -> bool {
+    pub(super) fn has_decode_slack(&self, replica: &Replica, now: Time) -> bool {
         let Some(state) = self.services.get(&replica.facts.service) else {
             return true;
         };
         let pace = &state.engine.answers;
-        let (Some(long), true) = (state.long, pace.is_known()) else {
+        let (Some(long), true) = (state.long_answers, pace.is_known()) else {
             return true;
         };
-        let Some(events) = pace.most_events(long.tokens, long.lengths_from.is_past(now)) else {
+        let Some(events) = pace.most_events(long.tokens, long.lengths_known_from.is_past(now)) else {
             return true;
         };
         replica.interval_ms(pace, replica.streams()) * events <= long.limit.in_millis() * self.policy.answer_share
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -25,15 +25,15 @@
 };
 
 /// Silence after which a daemon's work counts as over.
-pub const SILENT: Span = Span::millis(1_500);
+pub const PEER_TIMEOUT: Span = Span::millis(1_500);
 /// Time for which a peer's failure to reach a replica counts, unless it repeats it.
-const DOUBT: Span = Span::millis(600);
+const UNREACHABLE_PERIOD: Span = Span::millis(600);
 /// Time between two reports of what was learned.
 const LEARNED_INTERVAL: Span = Span::millis(500);
 /// Prompts in one report at most; the rest is not reported.
-const MAX_NOTES: usize = 32;
+const MAX_PROMPT_NOTES: usize = 32;
 /// The same for a summary of a hall.
-const MAX_HALL_NOTES: usize = 96;
+const MAX_HALL_PROMPT_NOTES: usize = 96;
 
 /// Rate limits in one report at most, of some twenty bytes each.
 const MAX_LIMIT_NOTES: usize = 256;
@@ -116,7 +116,7 @@
     /// Its work, by replica.
     pub loads: Vec<ReplicaLoad>,
     /// Prompts that it sent since its last message.
-    pub reads: Vec<ReadNote>,
+    pub reads: Vec<PromptNote>,
     /// The demand that it sees, by service.
     pub demands: Vec<ServiceDemand>,
     /// Engines whose role it is changing.
@@ -140,14 +140,14 @@
 
 /// A prompt that was sent to a replica, so that its memory holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadNote {
+pub struct PromptNote {
     /// Hash of the replica's identifier.
     pub replica: u32,
     /// Chain identifiers and tokens of the prompt's parts.
     pub parts: Vec<(u64, u32)>,
 }
 
-impl ReadNote {
+impl PromptNote {
     /// A note of a prompt that is read at this start of a replica.
     #[must_use]
     pub fn new(start_id: u32, prompt: &Prompt) -> Self {
@@ -157,9 +157,9 @@
 
 /// What a daemon or a hall last reported.
 #[derive(Clone, Debug)]
-pub struct PeerLoads {
+pub struct PeerState {
     id: ReportId,
-    heard: Time,
+    heard_at: Time,
     loads: HashMap<ReplicaKey, Load>,
     /// Replicas that it could not reach.
     unreachable: Vec<ReplicaKey>,
@@ -172,21 +172,21 @@
     pub fn own_report(&mut self, now: Time) -> LoadReport {
         let learned = self.learned_report(now);
         let daemons = self.daemons();
-        let requests = self.endings.notes(Listeners::HallPeers, daemons, now);
-        let mut reads = std::mem::take(&mut self.notes);
-        reads.truncate(MAX_NOTES);
-        shorten(&mut reads);
-        self.hall_notes.extend(reads.iter().cloned());
-        self.hall_notes.truncate(MAX_HALL_NOTES);
-        self.forget_idle(now);
-        let busy = self.reported().map(|(_, replica)| replica);
-        let busy = busy.filter(|replica| replica.own.active > 0 || is_left_out(replica, now));
-        let loads = busy.map(|replica| load_of(replica, replica.own, is_left_out(replica, now)));
-        let demands = self.services.iter().map(|(name, state)| (short_id(name), state.meter.demand(now)));
+        let requests = self.crashes.notes(Listeners::HallPeers, daemons, now);
+        let mut reads = std::mem::take(&mut self.prompt_notes);
+        reads.truncate(MAX_PROMPT_NOTES);
+        limit_parts(&mut reads);
+        self.hall_prompt_notes.extend(reads.iter().cloned());
+        self.hall_prompt_notes.truncate(MAX_HALL_PROMPT_NOTES);
+        self.prune_reportable(now);
+        let busy = self.reportable_replicas().map(|(_, replica)| replica);
+        let busy = busy.filter(|replica| replica.own_load.active > 0 || is_ejected(replica, now));
+        let loads = busy.map(|replica| to_replica_load(replica, replica.own_load, is_ejected(replica, now)));
+        let demands = self.services.iter().map(|(name, state)| (short_id(name), state.demand_meter.demand(now)));
         LoadReport {
             loads: loads.collect(),
             reads,
-            demands: demands.filter_map(reported_as).collect(),
+            demands: demands.filter_map(to_service_demand).collect(),
             changing: self.changing(now, |replica| replica.ordered_here),
             learned,
             requests,
@@ -196,17 +196,18 @@
 
     /// What all daemons of this hall have to report now, for other halls; and how many they are.
     pub fn hall_summary(&mut self, now: Time) -> (LoadReport, u32) {
-        let hall_peers: Vec<&PeerLoads> = self.peers.values().filter(|peer| peer.is_hall_peer(self.hall_id)).collect();
+        let hall_peers: Vec<&PeerState> =
+            self.peers.values().filter(|peer| peer.is_hall_peer(self.hall_hash)).collect();
         let mut demands: HashMap<u32, Demand> = HashMap::new();
-        let own = self.services.iter().map(|(name, state)| (short_id(name), state.meter.demand(now)));
+        let own = self.services.iter().map(|(name, state)| (short_id(name), state.demand_meter.demand(now)));
         for (service, demand) in own.chain(hall_peers.iter().flat_map(|peer| peer.demands.clone())) {
             demands.entry(service).or_default().add(demand);
         }
         let mut sums: HashMap<ReplicaKey, (Load, bool)> = HashMap::new();
-        for (key, replica) in self.reported() {
-            let left_out = is_left_out(replica, now);
-            if replica.own.active > 0 || left_out {
-                sums.insert(key, (replica.own, left_out));
+        for (key, replica) in self.reportable_replicas() {
+            let ejected = is_ejected(replica, now);
+            if replica.own_load.active > 0 || ejected {
+                sums.insert(key, (replica.own_load, ejected));
             }
         }
         for (key, load) in hall_peers.iter().flat_map(|peer| &peer.loads) {
@@ -217,19 +218,19 @@
             sums.entry(*key).or_default().1 = true;
         }
         let reported = sums.into_iter().filter(|(_, (load, unreachable))| load.active > 0 || *unreachable);
-        let loads =
-            reported.filter_map(|(key, (load, unreachable))| Some(load_of(self.replicas.get(key)?, load, unreachable)));
+        let loads = reported
+            .filter_map(|(key, (load, unreachable))| Some(to_replica_load(self.replicas.get(key)?, load, unreachable)));
         let loads = loads.collect();
         let daemons = hall_peers.len() as u32 + 1;
-        let mut reads = std::mem::take(&mut self.hall_notes);
-        shorten(&mut reads);
+        let mut reads = std::mem::take(&mut self.hall_prompt_notes);
+        limit_parts(&mut reads);
         let report = LoadReport {
             loads,
             reads,
-            demands: demands.into_iter().filter_map(reported_as).collect(),
+            demands: demands.into_iter().filter_map(to_service_demand).collect(),
             changing: self.changing(now, |replica| replica.ordered_here || replica.ordered_in_hall),
             learned: Vec::new(),
-            requests: self.endings.notes(Listeners::Halls, daemons as usize, now),
+            requests: self.crashes.notes(Listeners::Halls, daemons as usize, now),
             rate_limits: self.rate_limits(true, now),
         };
         (report, daemons)
@@ -237,34 +238,34 @@
 
     /// Apply a report; returns the replicas whose rate limits changed.
     pub fn apply_report(&mut self, id: ReportId, report: &LoadReport, now: Time) -> Vec<ReplicaKey> {
-        let in_hall = id.hall == self.hall_id;
-        self.endings.apply_notes(&report.requests, in_hall, now);
+        let in_hall = id.hall == self.hall_hash;
+        self.crashes.apply_notes(&report.requests, in_hall, now);
         if self.is_covered(&id) {
             return Vec::new();
         }
         let mut limits_changed = Vec::new();
-        let overtaken = self.peers.get(&id.source).is_some_and(|peer| peer.id.overtakes(&id));
-        if !overtaken {
-            self.drop_covered(&id, now);
+        let is_outdated = self.peers.get(&id.source).is_some_and(|peer| peer.id.supersedes(&id));
+        if !is_outdated {
+            self.remove_covered(&id, now);
             self.replace_peer(id, &report.loads, now);
             if let Some(peer) = self.peers.get_mut(&id.source) {
-                peer.demands = report.demands.iter().map(ServiceDemand::read).collect();
+                peer.demands = report.demands.iter().map(ServiceDemand::demand).collect();
             }
-            self.peer_changes(&report.changing, in_hall, now);
+            self.apply_role_changes(&report.changing, in_hall, now);
             limits_changed = self.apply_rate_limits(&report.rate_limits, in_hall, now);
         }
         self.apply_learned(&report.learned);
         if in_hall {
-            self.hall_notes.extend(report.reads.iter().cloned());
-            self.hall_notes.truncate(MAX_HALL_NOTES);
+            self.hall_prompt_notes.extend(report.reads.iter().cloned());
+            self.hall_prompt_notes.truncate(MAX_HALL_PROMPT_NOTES);
         }
         for note in &report.reads {
-            let Some(key) = self.by_hash.get(&note.replica).copied() else { continue };
+            let Some(key) = self.by_start_id.get(&note.replica).copied() else { continue };
             if let Some(replica) = self.replicas.get_mut(key) {
                 let parts: Vec<Part> =
                     note.parts.iter().map(|(chain, tokens)| Part { chain: *chain, tokens: *tokens }).collect();
-                replica.cache.read(&parts);
-                self.candidates.read(key, &parts);
+                replica.cache.insert(&parts);
+                self.candidates.record_prompt(key, &parts);
             }
         }
         limits_changed
@@ -272,7 +273,7 @@
 
     /// Rate limits to report within this hall, or to other halls if `to_halls` is set.
     fn rate_limits(&self, to_halls: bool, now: Time) -> Vec<RateLimitNote> {
-        let rows = self.reported().map(|(_, replica)| replica);
+        let rows = self.reportable_replicas().map(|(_, replica)| replica);
         let reportable = rows.filter(|replica| replica.rate_limit.is_reportable(to_halls, now));
         reportable.take(MAX_LIMIT_NOTES).map(|replica| replica.rate_limit.note(replica.start_id, now)).collect()
     }
@@ -285,7 +286,7 @@
         let share = self.slot_share;
         let mut changed = Vec::new();
         for note in notes {
-            let Some(key) = self.by_hash.get(&note.replica).copied() else { continue };
+            let Some(key) = self.by_start_id.get(&note.replica).copied() else { continue };
             let Some(replica) = self.replicas.get_mut(key) else { continue };
             if replica.rate_limit.update_from_report(note, in_hall, share, now) {
                 changed.push(key);
@@ -297,15 +298,15 @@
 
     /// What this daemon has learned, when it is time to report it again.
     fn learned_report(&mut self, now: Time) -> Vec<ServiceLearned> {
-        if !self.report_learned_at.is_past(now) {
+        if !self.next_learned_report.is_past(now) {
             return Vec::new();
         }
-        self.report_learned_at = now + LEARNED_INTERVAL;
-        let reported_as = |(name, state): (&Arc<str>, &ServiceState)| {
+        self.next_learned_report = now + LEARNED_INTERVAL;
+        let to_learned = |(name, state): (&Arc<str>, &ServiceState)| {
             let learned = state.engine.shared()?;
             Some(ServiceLearned { service: short_id(name), learned })
         };
-        self.services.iter().filter_map(reported_as).collect()
+        self.services.iter().filter_map(to_learned).collect()
     }
 
     fn apply_learned(&mut self, all: &[ServiceLearned]) {
@@ -323,74 +324,74 @@
     /// Whether a summary of a daemon's hall covers its own report.
     fn is_covered(&self, id: &ReportId) -> bool {
         match id.source {
-            Source::Daemon(_) => id.hall != self.hall_id && self.peers.contains_key(&Source::Hall(id.hall)),
-            Source::Hall(hall) => hall == self.hall_id,
+            Source::Daemon(_) => id.hall != self.hall_hash && self.peers.contains_key(&Source::Hall(id.hall)),
+            Source::Hall(hall) => hall == self.hall_hash,
         }
     }
 
     /// Forget reports of single daemons that a summary of their hall covers now.
-    fn drop_covered(&mut self, id: &ReportId, now: Time) {
+    fn remove_covered(&mut self, id: &ReportId, now: Time) {
         let Source::Hall(hall) = id.source else {
             return;
         };
         let covered: Vec<Source> =
             self.peers.values().filter(|peer| peer.is_hall_peer(hall)).map(|peer| peer.id.source).collect();
         for source in covered {
-            self.forget_peer(source, now);
+            self.remove_peer(source, now);
         }
     }
 
     /// Replicas of which there may be something to report.
-    fn reported(&self) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
+    fn reportable_replicas(&self) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         self.reportable.iter().filter_map(|key| Some((*key, self.replicas.get(*key)?)))
     }
 
     /// Forget those of which there is nothing to report any more.
-    fn forget_idle(&mut self, now: Time) {
+    fn prune_reportable(&mut self, now: Time) {
         let replicas = &self.replicas;
         self.reportable.retain(|key| {
             replicas.get(*key).is_some_and(|replica| {
-                replica.own.active > 0
-                    || is_left_out(replica, now)
-                    || !replica.changing_until.is_past(now)
+                replica.own_load.active > 0
+                    || is_ejected(replica, now)
+                    || !replica.role_change_until.is_past(now)
                     || replica.rate_limit.is_reportable(true, now)
             })
         });
     }
 
     fn changing(&self, now: Time, by: impl Fn(&Replica) -> bool) -> Vec<ChangingEngine> {
-        let rows = self.reported().map(|(_, replica)| replica);
-        let changing = rows.filter(|replica| by(replica) && !replica.changing_until.is_past(now));
+        let rows = self.reportable_replicas().map(|(_, replica)| replica);
+        let changing = rows.filter(|replica| by(replica) && !replica.role_change_until.is_past(now));
         let changing = changing.map(|replica| ChangingEngine {
             replica: replica.start_id,
-            to_prefill: replica.changing_to == Role::Prefill,
-            left_ms: replica.changing_until.since(now).as_millis() as u32,
+            to_prefill: replica.next_role == Role::Prefill,
+            left_ms: replica.role_change_until.since(now).as_millis() as u32,
         });
         changing.collect()
     }
 
-    fn peer_changes(&mut self, changing: &[ChangingEngine], in_hall: bool, now: Time) {
+    fn apply_role_changes(&mut self, changing: &[ChangingEngine], in_hall: bool, now: Time) {
         for change in changing {
             let to = if change.to_prefill { Role::Prefill } else { Role::Decode };
             let until = now + Span::millis(u64::from(change.left_ms));
-            let Some(key) = self.by_hash.get(&change.replica).copied() else { continue };
+            let Some(key) = self.by_start_id.get(&change.replica).copied() else { continue };
             if let Some(replica) = self.replicas.get_mut(key)
                 && replica.facts.role != to
             {
                 self.reportable.insert(key);
-                replica.changing_until = until;
-                replica.changing_to = to;
+                replica.role_change_until = until;
+                replica.next_role = to;
                 replica.ordered_in_hall = in_hall;
             }
         }
     }
 
     /// Forget daemons and halls that have been silent for long; returns the runs of those that spoke.
-    pub fn forget_silent(&mut self, now: Time) -> Vec<u64> {
+    pub fn remove_expired_peers(&mut self, now: Time) -> Vec<u64> {
         let silent: Vec<ReportId> =
-            self.peers.values().filter(|peer| now.since(peer.heard) > SILENT).map(|peer| peer.id).collect();
+            self.peers.values().filter(|peer| now.since(peer.heard_at) > PEER_TIMEOUT).map(|peer| peer.id).collect();
         for id in &silent {
-            self.forget_peer(id.source, now);
+            self.remove_peer(id.source, now);
         }
         silent.into_iter().map(|id| id.sender).collect()
     }
@@ -404,10 +405,10 @@
     /// Age of the oldest view that a peer gave, in milliseconds.
     #[must_use]
     pub fn peers_age_ms(&self, now: Time) -> u64 {
-        self.peers.values().map(|peer| now.since(peer.heard).as_millis()).max().unwrap_or(0)
+        self.peers.values().map(|peer| now.since(peer.heard_at).as_millis()).max().unwrap_or(0)
     }
 
-    fn forget_peer(&mut self, source: Source, now: Time) {
+    fn remove_peer(&mut self, source: Source, now: Time) {
         if let Some(peer) = self.peers.get(&source) {
             self.replace_peer(peer.id, &[], now);
             self.peers.remove(&source);
@@ -418,42 +419,43 @@
         let before = self.peers.remove(&id.source).map(|peer| peer.loads).unwrap_or_default();
         for (key, load) in before {
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.peers = replica.peers.minus(load);
+                replica.peer_load = replica.peer_load.minus(load);
             }
         }
         let mut after = HashMap::with_capacity(loads.len());
         let mut unreachable = Vec::new();
         for load in loads {
-            let Some(key) = self.by_hash.get(&load.replica).copied() else {
+            let Some(key) = self.by_start_id.get(&load.replica).copied() else {
                 continue;
             };
             let value = Load {
-                reading_ms: f64::from(load.reading_ms),
+                prefill_ms: f64::from(load.reading_ms),
                 late_ms: f64::from(load.late_ms),
                 active: load.active,
                 streams: load.streams,
             };
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.peers = replica.peers.plus(value);
+                replica.peer_load = replica.peer_load.plus(value);
                 if load.unreachable {
-                    replica.doubted_until = now + DOUBT;
+                    replica.unreachable_until = now + UNREACHABLE_PERIOD;
                     unreachable.push(key);
                 }
             }
             after.insert(key, value);
         }
-        self.peers.insert(id.source, PeerLoads { id, heard: now, loads: after, unreachable, demands: HashMap::new() });
+        self.peers
+            .insert(id.source, PeerState { id, heard_at: now, loads: after, unreachable, demands: HashMap::new() });
     }
 }
 
 impl ReportId {
     /// Whether `other` is an older message of the same daemon.
-    const fn overtakes(&self, other: &Self) -> bool {
+    const fn supersedes(&self, other: &Self) -> bool {
         self.sender == other.sender && self.number >= other.number
     }
 }
 
-impl PeerLoads {
+impl PeerState {
     /// Whether this is a single daemon of that hall.
     const fn is_hall_peer(&self, hall: u32) -> bool {
         matches!(self.id.source, Source::Daemon(_)) && self.id.hall == hall
@@ -461,33 +463,33 @@
 }
 
 impl ServiceDemand {
-    const fn read(&self) -> (u32, Demand) {
+    const fn demand(&self) -> (u32, Demand) {
         let demand = Demand {
-            reading: self.reading as f64,
+            prefill: self.reading as f64,
             urgent: self.urgent as f64,
             slots: self.slots as f64,
             tokens: self.tokens as f64,
-            moving: self.moving as f64,
+            transfer: self.moving as f64,
         };
         (self.service, demand)
     }
 }
 
 /// How a demand is reported, if there is any.
-fn reported_as((service, demand): (u32, Demand)) -> Option<ServiceDemand> {
-    let reported_as = ServiceDemand {
+fn to_service_demand((service, demand): (u32, Demand)) -> Option<ServiceDemand> {
+    let reported = ServiceDemand {
         service,
-        reading: demand.reading as f32,
+        reading: demand.prefill as f32,
         urgent: demand.urgent as f32,
         slots: demand.slots as f32,
         tokens: demand.tokens as f32,
-        moving: demand.moving as f32,
+        moving: demand.transfer as f32,
     };
-    (reported_as.reading > 0.0 || reported_as.slots > 0.0).then_some(reported_as)
+    (reported.reading > 0.0 || reported.slots > 0.0).then_some(reported)
 }
 
 /// Leave out the last notes, so that the parts of all together fit into a message.
-fn shorten(notes: &mut Vec<ReadNote>) {
+fn limit_parts(notes: &mut Vec<PromptNote>) {
     let mut parts = 0;
     notes.retain(|note| {
         parts += note.parts.len();
@@ -495,14 +497,14 @@
     });
 }
 
-fn is_left_out(replica: &Replica, now: Time) -> bool {
+fn is_ejected(replica: &Replica, now: Time) -> bool {
     replica.health.ejected_until(now).is_some()
 }
 
-fn load_of(replica: &Replica, load: Load, unreachable: bool) -> ReplicaLoad {
+fn to_replica_load(replica: &Replica, load: Load, unreachable: bool) -> ReplicaLoad {
     ReplicaLoad {
         replica: replica.start_id,
-        reading_ms: load.reading_ms as u32,
+        reading_ms: load.prefill_ms as u32,
         late_ms: load.late_ms as u32,
         active: load.active,
         streams: load.streams,
--- a/crates/core/src/fleet/plan.rs
+++ b/crates/core/src/fleet/plan.rs
@@ -20,11 +20,11 @@
     /// Time left in which the first event would be in time.
     pub objective_left: Span,
     /// Time left until its caller leaves if nothing has come.
-    pub silence_left: Span,
+    pub first_event_left: Span,
     /// Time left at all.
     pub time_left: Span,
     /// Whether its caller seems to have been refused before.
-    pub returned: bool,
+    pub was_refused: bool,
     /// Whether to refuse what cannot be in time.
     pub may_refuse: bool,
     /// Milliseconds that this VM's link takes to send the request once.
@@ -34,18 +34,18 @@
     /// Replicas that were tried.
     pub tried: &'a [ReplicaKey],
     /// How it is kept apart from others, if it is.
-    pub apart: Option<Apart>,
+    pub isolation: Option<Isolation>,
     /// A number drawn for this request.
     pub draw: u64,
 }
 
 /// How a request is kept apart from others under which replicas ended as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Apart {
+pub struct Isolation {
     /// The request; it draws the replica that answers it.
     pub content: ContentHash,
     /// Whether one replica is to do it all, so that it reaches no other.
-    pub whole: bool,
+    pub single_replica: bool,
 }
 
 /// One replica's part in serving a request.
@@ -66,7 +66,7 @@
     /// An engine that holds more of the prompt, to copy that from.
     pub copy_from: Option<ReplicaKey>,
     /// Tokens to be copied from it.
-    pub copied: u32,
+    pub copy_tokens: u32,
     /// Whether its answer will keep a slot for seconds.
     pub long: bool,
     /// Whether it is known to be late, and goes behind all that can still be in time.
@@ -85,7 +85,7 @@
             reading: Reading::default(),
             moved: None,
             copy_from: None,
-            copied: 0,
+            copy_tokens: 0,
             long: false,
             late: false,
         }
@@ -96,25 +96,25 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Plan {
     /// One replica does it all.
-    Whole(Step),
+    Single(Step),
     /// One engine reads the prompt, another one answers.
-    TwoSteps {
+    Disaggregated {
         /// The reading engine.
-        read: Step,
+        prefill: Step,
         /// The answering engine.
-        write: Step,
+        decode: Step,
     },
 }
 
 /// Why a request is not served.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NoPlan {
+pub enum PlanError {
     /// No replica of the service takes work.
     NoReplica,
     /// Replicas are available, but their rate limits or retry times do not let this daemon send now.
     RateLimited {
         /// Time after which the caller should retry.
-        come_back: Span,
+        retry_after: Span,
     },
     /// No replica would be in time.
     TooLate {
@@ -123,16 +123,16 @@
         /// Predicted milliseconds to the first event.
         predicted_ms: u64,
         /// When the caller may come back.
-        come_back: Span,
+        retry_after: Span,
     },
 }
 
 impl Plan {
     /// The step that reads the prompt.
     #[must_use]
-    pub const fn reading(&self) -> &Step {
+    pub const fn prefill_step(&self) -> &Step {
         match self {
-            Self::Whole(step) | Self::TwoSteps { read: step, .. } => step,
+            Self::Single(step) | Self::Disaggregated { prefill: step, .. } => step,
         }
     }
 
@@ -140,22 +140,24 @@
     #[must_use]
     pub const fn is_long(&self) -> bool {
         match self {
-            Self::Whole(step) | Self::TwoSteps { write: step, .. } => step.long,
+            Self::Single(step) | Self::Disaggregated { decode: step, .. } => step.long,
         }
     }
 
     /// Whether it is known to be late.
     #[must_use]
     pub const fn is_late(&self) -> bool {
-        self.reading().late
+        self.prefill_step().late
     }
 
     /// Predicted milliseconds to the first event.
     #[must_use]
     pub fn predicted_ms(&self) -> f64 {
         match self {
-            Self::Whole(step) => step.wait_ms + step.work_ms,
-            Self::TwoSteps { read, write } => read.wait_ms + read.work_ms + write.wait_ms + write.work_ms,
+            Self::Single(step) => step.wait_ms + step.work_ms,
+            Self::Disaggregated { prefill, decode } => {
+                prefill.wait_ms + prefill.work_ms + decode.wait_ms + decode.work_ms
+            }
         }
     }
 }
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -16,15 +16,15 @@
 };
 
 /// Time for which the highest demand counts in full. Swings of the mix come back within it.
-const PEAK_HOLDS: Span = Span::millis(30_000);
+const PEAK_HOLD: Span = Span::millis(30_000);
 /// Time from the first demand on for which more is expected than was seen: the averages of demand and of how long
 /// answers take must have settled.
-const EXPECTED_HOLDS: Span = Span::millis(8_000);
+const EXPECTED_HOLD: Span = Span::millis(8_000);
 /// Time in which a peak that is no longer held falls to half.
-const PEAK_HALVES: Span = Span::millis(15_000);
+const PEAK_HALF_LIFE: Span = Span::millis(15_000);
 /// Part of the number wanted by which a smaller demand must fall below it before anything is given back:
 /// an engine that is given back and had again loses its memory and takes its time to start.
-const GIVE_BACK: f64 = 0.15;
+const SCALE_DOWN_MARGIN: f64 = 0.15;
 
 /// What operators say of a service whose size may be chosen.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
     /// Engines of a hall at most, of both kinds together.
     pub max: u32,
     /// Time until a new engine serves.
-    pub start: Span,
+    pub start_time: Span,
     /// What an engine that may be taken away costs, as a part of one that stays; absent if there are none.
     pub reclaimable_price: Option<f64>,
     /// What an engine costs, by hall.
@@ -53,7 +53,7 @@
 impl HallSize {
     /// Both kinds.
     #[must_use]
-    pub const fn all(self) -> u32 {
+    pub const fn total(self) -> u32 {
         self.staying + self.reclaimable
     }
 }
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Peak {
     engines: f64,
-    at: Time,
+    observed_at: Time,
     expected: f64,
     expected_until: Time,
 }
@@ -73,42 +73,42 @@
 impl Peak {
     /// A peak that another daemon has seen.
     #[must_use]
-    pub const fn seen_before(engines: f64, now: Time) -> Self {
-        Self { engines, at: now, expected: 0.0, expected_until: Time(0) }
+    pub const fn observed(engines: f64, now: Time) -> Self {
+        Self { engines, observed_at: now, expected: 0.0, expected_until: Time(0) }
     }
 
     /// A peak that another daemon expects.
     #[must_use]
     pub fn expected(engines: f64, now: Time) -> Self {
-        Self { expected: engines, expected_until: now + EXPECTED_HOLDS, ..Self::default() }
+        Self { expected: engines, expected_until: now + EXPECTED_HOLD, ..Self::default() }
     }
 
     /// Take in the demand now. What is less than expected is not counted while averages settle: the first figures may
     /// be far too high and would hold.
-    pub fn note(&mut self, engines: f64, now: Time) {
-        let settles = !self.expected_until.is_past(now) && engines <= self.expected;
-        if !settles && engines >= self.seen_at(now) {
+    pub fn observe(&mut self, engines: f64, now: Time) {
+        let is_settling = !self.expected_until.is_past(now) && engines <= self.expected;
+        if !is_settling && engines >= self.decayed_at(now) {
             self.engines = engines;
-            self.at = now;
+            self.observed_at = now;
         }
     }
 
     /// Expect a demand that was not seen yet; it counts until some while after the last time that it was expected.
-    pub fn expect(&mut self, engines: f64, now: Time) {
+    pub fn set_expected(&mut self, engines: f64, now: Time) {
         self.expected = engines;
-        self.expected_until = now + EXPECTED_HOLDS;
+        self.expected_until = now + EXPECTED_HOLD;
     }
 
     /// Engines that the demand needs.
     #[must_use]
     pub fn at(&self, now: Time) -> f64 {
         let expected = if self.expected_until.is_past(now) { 0.0 } else { self.expected };
-        self.seen_at(now).max(expected)
+        self.decayed_at(now).max(expected)
     }
 
-    fn seen_at(&self, now: Time) -> f64 {
-        let beyond = now.since(self.at + PEAK_HOLDS).as_seconds();
-        self.engines * (-beyond / PEAK_HALVES.as_seconds()).exp2()
+    fn decayed_at(&self, now: Time) -> f64 {
+        let past_hold = now.since(self.observed_at + PEAK_HOLD).as_seconds();
+        self.engines * (-past_hold / PEAK_HALF_LIFE.as_seconds()).exp2()
     }
 }
 
@@ -122,9 +122,9 @@
         let per_hall = |engines: f64| (engines / halls).ceil() as u32;
         // After one hall's are gone the others have this part of them.
         let left = (halls - 1.0) / halls;
-        let is_worth_it = self.reclaimable_price.is_some_and(|price| left > 0.0 && price / left < 1.0);
-        let staying = if is_worth_it { needed * policy.pool_staying_share } else { needed };
-        let reclaimable = if is_worth_it { (needed * policy.pool_headroom - staying).max(0.0) / left } else { 0.0 };
+        let is_cheaper = self.reclaimable_price.is_some_and(|price| left > 0.0 && price / left < 1.0);
+        let staying = if is_cheaper { needed * policy.pool_staying_share } else { needed };
+        let reclaimable = if is_cheaper { (needed * policy.pool_headroom - staying).max(0.0) / left } else { 0.0 };
         let staying = per_hall(staying).clamp(self.min, self.max);
         let reclaimable = per_hall(reclaimable).min(self.max - staying);
         let size = HallSize { staying, reclaimable };
@@ -136,20 +136,20 @@
     /// Engines that stay are given back only as far as those that serve, in all halls together, are as many as are left
     /// in the end after one hall lost all that may be taken away; the others come within the limit that both kinds share.
     #[must_use]
-    pub fn next(&self, wanted: &PoolSize, there: &PoolSize, ordered: &PoolSize) -> PoolSize {
+    pub fn next_order(&self, wanted: &PoolSize, running: &PoolSize, ordered: &PoolSize) -> PoolSize {
         let size = |pool: &PoolSize, hall| pool.get(hall).copied().unwrap_or_default();
         // Those that were given back may still be seen.
-        let staying = |hall| size(there, hall).staying.min(size(ordered, hall).staying);
-        let serving: u32 = wanted.keys().map(|hall| staying(hall) + size(there, hall).reclaimable).sum();
-        let most_lost = wanted.values().map(|hall| hall.reclaimable).max().unwrap_or_default();
-        let enough = wanted.values().map(|hall| hall.all()).sum::<u32>() - most_lost;
+        let staying = |hall| size(running, hall).staying.min(size(ordered, hall).staying);
+        let serving: u32 = wanted.keys().map(|hall| staying(hall) + size(running, hall).reclaimable).sum();
+        let max_lost = wanted.values().map(|hall| hall.reclaimable).max().unwrap_or_default();
+        let enough = wanted.values().map(|hall| hall.total()).sum::<u32>() - max_lost;
         let mut spare = serving.saturating_sub(enough);
         let next = wanted.iter().map(|(hall, wanted)| {
             let surplus = size(ordered, hall).staying.saturating_sub(wanted.staying);
-            let given_back = surplus.min(spare);
-            spare -= given_back;
-            let staying = wanted.staying + surplus - given_back;
-            let room = self.max.saturating_sub(staying.max(size(there, hall).staying));
+            let released = surplus.min(spare);
+            spare -= released;
+            let staying = wanted.staying + surplus - released;
+            let room = self.max.saturating_sub(staying.max(size(running, hall).staying));
             (Arc::clone(hall), HallSize { staying, reclaimable: wanted.reclaimable.min(room) })
         });
         next.collect()
@@ -158,16 +158,16 @@
 
 /// Whether a size should replace the one that is wanted at present: more at once, less only if it is worth it.
 #[must_use]
-pub fn replaces(new: &PoolSize, present: &PoolSize) -> bool {
-    let all = |size: &PoolSize| f64::from(size.values().map(|hall| hall.all()).sum::<u32>());
-    let (new, present) = (all(new), all(present));
-    new > present || new < present * (1.0 - GIVE_BACK)
+pub fn should_replace(new: &PoolSize, present: &PoolSize) -> bool {
+    let total = |size: &PoolSize| f64::from(size.values().map(|hall| hall.total()).sum::<u32>());
+    let (new, present) = (total(new), total(present));
+    new > present || new < present * (1.0 - SCALE_DOWN_MARGIN)
 }
 
 impl Fleet {
     /// Engines of a service that serve and do not leave, by hall and kind.
     #[must_use]
-    pub fn pool(&self, service: &str, now: Time) -> PoolSize {
+    pub fn pool_size(&self, service: &str, now: Time) -> PoolSize {
         let mut pool = PoolSize::new();
         let serving = self.replicas.values().filter(|replica| {
             &*replica.facts.service == service && !replica.facts.draining && !replica.gone_at.is_past(now)
@@ -187,7 +187,7 @@
     #[must_use]
     pub fn needed_engines(&self, service: &str, demand: Demand, now: Time) -> Option<f64> {
         let engines: Vec<_> = self.replicas.iter().filter(|(_, r)| &*r.facts.service == service).collect();
-        let need = self.need(service, &engines, demand, now)?;
+        let need = self.required_engines(service, &engines, demand, now)?;
         Some(need.prefill + need.decode)
     }
 }
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -8,7 +8,7 @@
     eject::Health,
     endpoint::Role,
     fleet::{
-        cache::Cache,
+        cache::PrefixCache,
         distance::HallKey,
         engine::{answer_pace::AnswerPace, running_mean::RunningMean},
         rate_limit::{RateLimit, SlotShare},
@@ -29,7 +29,7 @@
     /// Its identifier, which it may keep when it starts again.
     pub id: Arc<str>,
     /// Unix millisecond of its start, which tells two starts under one identifier apart; an older replica does not say it.
-    pub born: Option<u64>,
+    pub start_time_ms: Option<u64>,
     /// The service that it belongs to.
     pub service: Arc<str>,
     /// Where it listens.
@@ -50,8 +50,8 @@
     /// Hash that names this start of the replica in messages between daemons.
     #[must_use]
     pub fn start_id(&self) -> u32 {
-        match self.born {
-            Some(born) => rendezvous(u64::from(short_id(&self.id)), born) as u32,
+        match self.start_time_ms {
+            Some(start_time_ms) => rendezvous(u64::from(short_id(&self.id)), start_time_ms) as u32,
             None => short_id(&self.id),
         }
     }
@@ -59,7 +59,7 @@
     /// Whether this and another are the same start of a replica.
     #[must_use]
     pub fn is_same_start(&self, other: &Self) -> bool {
-        self.id == other.id && self.born == other.born
+        self.id == other.id && self.start_time_ms == other.start_time_ms
     }
 }
 
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Milliseconds of reading that an idle replica would need for it.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// The part of that which is known to be late, and read behind all else.
     pub late_ms: f64,
     /// Requests under way, those being read included.
@@ -81,7 +81,7 @@
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
-            reading_ms: self.reading_ms + other.reading_ms,
+            prefill_ms: self.prefill_ms + other.prefill_ms,
             late_ms: self.late_ms + other.late_ms,
             active: self.active + other.active,
             streams: self.streams + other.streams,
@@ -92,7 +92,7 @@
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
-            reading_ms: (self.reading_ms - other.reading_ms).max(0.0),
+            prefill_ms: (self.prefill_ms - other.prefill_ms).max(0.0),
             late_ms: (self.late_ms - other.late_ms).max(0.0),
             active: self.active.saturating_sub(other.active),
             streams: self.streams.saturating_sub(other.streams),
@@ -101,17 +101,17 @@
 }
 
 /// Weight of a new observation in the slowness.
-const LEARN_SLOWNESS: f64 = 0.15;
+const SLOWNESS_WEIGHT: f64 = 0.15;
 /// Bounds of the slowness.
-const SLOWNESS: (f64, f64) = (0.7, 12.0);
+const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 12.0);
 /// Least weight of a new observation of how fast its answers go on: each stream tells once a second, and
 /// an engine's speed is its own, so some seconds of a few streams count.
-const LEARN_ANSWERS: f64 = 0.03;
+const MIN_ANSWER_SLOWNESS_WEIGHT: f64 = 0.03;
 /// Part of an observation of that which is taken to be usual. Without it, what is usual and how many times as
 /// long each replica takes drift apart, to half and twice in a minute, as only their product is seen.
-const USUAL_PULL: f64 = 0.1;
+const ANSWER_SLOWNESS_PULL: f64 = 0.1;
 /// Time after which a slow replica is believed half as slow, so that it is tried again.
-const FORGET: Span = Span::millis(3_000);
+const SLOWNESS_HALF_LIFE: Span = Span::millis(3_000);
 
 /// One replica's row.
 #[derive(Clone, Debug)]
@@ -129,23 +129,23 @@
     /// What this daemon saw of its failures.
     pub health: Health,
     /// Until when another daemon's failure to reach it counts.
-    pub doubted_until: Time,
+    pub unreachable_until: Time,
     /// What this daemon has under way there.
-    pub own: Load,
+    pub own_load: Load,
     /// What other daemons said that they have under way there.
-    pub peers: Load,
+    pub peer_load: Load,
     /// What its memory probably holds.
-    pub cache: Cache,
+    pub cache: PrefixCache,
     /// When an order to change its role will be over; no new work until then.
-    pub changing_until: Time,
+    pub role_change_until: Time,
     /// The role that it takes by that order.
-    pub changing_to: Role,
+    pub next_role: Role,
     /// Whether this daemon gave that order, and so tells the others.
     pub ordered_here: bool,
     /// Whether a daemon of this hall gave that order.
     pub ordered_in_hall: bool,
     /// From when on it may get an order; later than now while one may still take effect.
-    pub orders_from: Time,
+    pub orders_held_until: Time,
     /// Its rate limit, shared by all daemons.
     pub(super) rate_limit: RateLimit,
     /// Time from which it accepts requests from this daemon again; the latest that it has stated.
@@ -159,7 +159,7 @@
 impl Replica {
     /// A replica that was just discovered, with a memory of `memory_tokens`.
     #[must_use]
-    pub fn new(facts: ReplicaFacts, revision: i64, memory_tokens: u64) -> Self {
+    pub fn new(facts: ReplicaFacts, revision: i64, kv_capacity_tokens: u64) -> Self {
         Self {
             start_id: facts.start_id(),
             hall: HallKey::default(),
@@ -167,25 +167,25 @@
             revision,
             gone_at: Time::NEVER,
             health: Health::default(),
-            doubted_until: Time(0),
-            own: Load::default(),
-            peers: Load::default(),
-            cache: Cache::new(memory_tokens),
-            changing_until: Time(0),
-            changing_to: Role::Plain,
+            unreachable_until: Time(0),
+            own_load: Load::default(),
+            peer_load: Load::default(),
+            cache: PrefixCache::new(kv_capacity_tokens),
+            role_change_until: Time(0),
+            next_role: Role::Plain,
             ordered_here: false,
             ordered_in_hall: false,
-            orders_from: Time(0),
+            orders_held_until: Time(0),
             rate_limit: RateLimit::default(),
             retry_at: Time(0),
-            answer_slowness: RunningMean::new(1.0, LEARN_ANSWERS),
+            answer_slowness: RunningMean::new(1.0, MIN_ANSWER_SLOWNESS_WEIGHT),
             slowness: 1.0,
             slowness_at: Time(0),
         }
     }
 
     /// Take over what belongs to the machine from the start before: how slow it is.
-    pub(super) const fn inherit(&mut self, before: &Self) {
+    pub(super) const fn inherit_speed(&mut self, before: &Self) {
         self.answer_slowness = before.answer_slowness;
         self.slowness = before.slowness;
         self.slowness_at = before.slowness_at;
@@ -194,7 +194,7 @@
     /// Whether new work may be sent there at all.
     #[must_use]
     pub fn is_open(&self, now: Time) -> bool {
-        !self.facts.draining && !self.gone_at.is_past(now) && self.changing_until.is_past(now)
+        !self.facts.draining && !self.gone_at.is_past(now) && self.role_change_until.is_past(now)
     }
 
     /// Requests per second that it accepts from all daemons combined, or `None` if it states no limit.
@@ -215,40 +215,40 @@
 
     /// Whether it may not be there: its entry lapsed, or a peer could not reach it.
     #[must_use]
-    pub fn is_doubted(&self, now: Time) -> bool {
-        self.gone_at != Time::NEVER || !self.doubted_until.is_past(now)
+    pub fn may_be_gone(&self, now: Time) -> bool {
+        self.gone_at != Time::NEVER || !self.unreachable_until.is_past(now)
     }
 
     /// Requests under way there, as far as known.
     #[must_use]
     pub const fn active(&self) -> u32 {
-        self.own.active + self.peers.active
+        self.own_load.active + self.peer_load.active
     }
 
     /// Long answers under way there, as far as known.
     #[must_use]
     pub const fn streams(&self) -> u32 {
-        self.own.streams + self.peers.streams
+        self.own_load.streams + self.peer_load.streams
     }
 
     /// Milliseconds until what is known to be there has been read.
     #[must_use]
-    pub fn reading_ms(&self, now: Time) -> f64 {
-        (self.own.reading_ms + self.peers.reading_ms) * self.slowness(now)
+    pub fn prefill_ms(&self, now: Time) -> f64 {
+        (self.own_load.prefill_ms + self.peer_load.prefill_ms) * self.slowness(now)
     }
 
     /// Milliseconds until what goes before a request that can be in time has been read.
     #[must_use]
-    pub fn urgent_ms(&self, now: Time) -> f64 {
-        let late = self.own.late_ms + self.peers.late_ms;
-        (self.reading_ms(now) - late * self.slowness(now)).max(0.0)
+    pub fn urgent_prefill_ms(&self, now: Time) -> f64 {
+        let late = self.own_load.late_ms + self.peer_load.late_ms;
+        (self.prefill_ms(now) - late * self.slowness(now)).max(0.0)
     }
 
     /// How many times as long as its service's usual it takes.
     #[must_use]
     pub fn slowness(&self, now: Time) -> f64 {
-        let halvings = now.since(self.slowness_at).as_seconds() / FORGET.as_seconds();
-        1.0 + (self.slowness - 1.0) * 0.5_f64.powf(halvings)
+        let half_lives = now.since(self.slowness_at).as_seconds() / SLOWNESS_HALF_LIFE.as_seconds();
+        1.0 + (self.slowness - 1.0) * 0.5_f64.powf(half_lives)
     }
 
     /// Milliseconds between two events of long answers if it has so many of them.
@@ -257,16 +257,16 @@
     }
 
     /// Learn from a part of a long answer that took so many times as long as the usual replica's.
-    pub(super) fn learn_answers(&mut self, slowness: f64) {
-        self.answer_slowness.learn(slowness + USUAL_PULL * (1.0 - slowness));
+    pub(super) fn learn_answer_slowness(&mut self, slowness: f64) {
+        self.answer_slowness.learn(slowness + ANSWER_SLOWNESS_PULL * (1.0 - slowness));
     }
 
     /// Learn from work that took `took` where `expected_ms` was predicted for a usual replica.
     pub fn learn_slowness(&mut self, expected_ms: f64, took: Span, now: Time) {
         let seen = took.in_millis() / expected_ms.max(1.0);
         let before = self.slowness(now);
-        let next = before + LEARN_SLOWNESS * (seen - before);
-        self.slowness = next.clamp(SLOWNESS.0, SLOWNESS.1);
+        let next = before + SLOWNESS_WEIGHT * (seen - before);
+        self.slowness = next.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         self.slowness_at = now;
     }
 }
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -17,64 +17,64 @@
 
 /// Time over which demand is averaged. Longer than a role change takes the engine away, shorter
 /// than most swings of the mix.
-const AVERAGE: Span = Span::millis(2_500);
+const AVERAGING_PERIOD: Span = Span::millis(2_500);
 /// Seconds of a short answer before any was seen.
-const SHORT_GUESS: f64 = 0.5;
+const INITIAL_SHORT_SECONDS: f64 = 0.5;
 /// Seconds of a long answer before any was seen.
-const LONG_GUESS: f64 = 3.0;
+const INITIAL_LONG_SECONDS: f64 = 3.0;
 /// Weight of a new observation of an answer's time, once there are many.
-const LEARN: f64 = 0.05;
+const ANSWER_TIME_WEIGHT: f64 = 0.05;
 /// Engines of a service below which roles are left alone.
-const FEWEST: usize = 4;
+const MIN_ENGINES: usize = 4;
 /// Decode engines that are kept at least: one may be lost at any time.
-const LEAST_DECODE: usize = 2;
+const MIN_DECODE: usize = 2;
 /// Share of a service's engines that stay decode engines at least. When the store is away roles
 /// cannot change back, and without decode engines nothing is answered; an idle one still reads.
-const LEAST_DECODE_SHARE: f64 = 0.25;
+const MIN_DECODE_SHARE: f64 = 0.25;
 /// Share of a decode engine's memory that running answers take when it is well used; the rest keeps
 /// parts of earlier prompts.
-const ANSWERS_MEMORY_SHARE: f64 = 0.5;
+const ANSWER_KV_SHARE: f64 = 0.5;
 /// Share of its time that a decode engine's link takes over prompts when it is well used: they
 /// queue, and come in bursts.
-const LINK_SHARE: f64 = 0.5;
+const LINK_UTILIZATION: f64 = 0.5;
 /// How many times as many decode engines as there are must be needed before one is taken from
 /// reading that is itself short of them.
-const OVERFULL: f64 = 1.25;
+const SHORTAGE_FACTOR: f64 = 1.25;
 /// How many times as many decode engines as the demand needs are kept when one is taken from them:
 /// answers take longer the more of them an engine has, so what is left would be needed twice over,
 /// and engines that are full reject prompts that were read.
 const DECODE_MARGIN: f64 = 2.2;
 /// Part of a service's engines by which one side must have more than its part of the need before one is taken
 /// from it though neither lacks any.
-const UNEVEN: f64 = 0.05;
+const MIN_IMBALANCE: f64 = 0.05;
 /// Part of the decode engines that must be needed for that: the mix of a small demand says little of the next one.
-const USED: f64 = 0.5;
+const MIN_UTILIZATION: f64 = 0.5;
 /// Share of the engines that change at once at most, rounded up. Each is away for seconds, so a
 /// demand that turns again would find too few.
-const MOST_CHANGING: f64 = 0.1;
+const MAX_CHANGING_SHARE: f64 = 0.1;
 /// Prefill engines that are kept at least.
-const LEAST_PREFILL: usize = 2;
+const MIN_PREFILL: usize = 2;
 
 /// A rate of work that fades with time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fading {
+struct DecayingSum {
     sum: f64,
     at: Time,
 }
 
-impl Fading {
+impl DecayingSum {
     fn add(&mut self, amount: f64, now: Time) {
         self.sum = self.sum_at(now) + amount;
         self.at = now;
     }
 
     fn sum_at(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.at).as_seconds() / AVERAGE.as_seconds()).exp()
+        self.sum * (-now.since(self.at).as_seconds() / AVERAGING_PERIOD.as_seconds()).exp()
     }
 
     /// The amount a second.
     fn rate(&self, now: Time) -> f64 {
-        self.sum_at(now) / AVERAGE.as_seconds()
+        self.sum_at(now) / AVERAGING_PERIOD.as_seconds()
     }
 }
 
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Engines that would be reading all the time.
-    pub reading: f64,
+    pub prefill: f64,
     /// The part of that which can be in time, and goes before the rest.
     pub urgent: f64,
     /// Slots that answers would take.
@@ -90,60 +90,64 @@
     /// Tokens of memory that answers would take.
     pub tokens: f64,
     /// Engines that would be taking over prompts all the time.
-    pub moving: f64,
+    pub transfer: f64,
 }
 
 impl Demand {
     /// Add another demand for the same service.
     pub fn add(&mut self, other: Self) {
-        self.reading += other.reading;
+        self.prefill += other.prefill;
         self.urgent += other.urgent;
         self.slots += other.slots;
         self.tokens += other.tokens;
-        self.moving += other.moving;
+        self.transfer += other.transfer;
     }
 }
 
 /// Answers of one kind: how many begin, what memory they hold, and how long they take.
 #[derive(Clone, Copy, Debug)]
 struct AnswerMeter {
-    begun: Fading,
-    tokens: Fading,
+    started: DecayingSum,
+    tokens: DecayingSum,
     seconds: RunningMean,
 }
 
 impl AnswerMeter {
     fn new(seconds: f64) -> Self {
-        Self { begun: Fading::default(), tokens: Fading::default(), seconds: RunningMean::new(seconds, LEARN) }
+        Self {
+            started: DecayingSum::default(),
+            tokens: DecayingSum::default(),
+            seconds: RunningMean::new(seconds, ANSWER_TIME_WEIGHT),
+        }
     }
 
-    fn offered(&mut self, tokens: u32, now: Time) {
-        self.begun.add(1.0, now);
+    fn record_request(&mut self, tokens: u32, now: Time) {
+        self.started.add(1.0, now);
         self.tokens.add(f64::from(tokens), now);
     }
 
-    fn answered(&mut self, took: Span) {
+    fn record_answer(&mut self, took: Span) {
         self.seconds.learn(took.as_seconds());
     }
 
     /// Slots that are taken on average.
     fn slots(&self, now: Time) -> f64 {
-        self.begun.rate(now) * self.seconds.value()
+        self.started.rate(now) * self.seconds.value()
     }
 
     /// Tokens of memory that are held on average.
-    fn held(&self, now: Time) -> f64 {
+    fn held_tokens(&self, now: Time) -> f64 {
         self.tokens.rate(now) * self.seconds.value()
     }
 }
 
 /// What a request asks of engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Offer {
+pub struct RequestDemand {
     /// Milliseconds of reading.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Milliseconds of a link for handing it over.
-    pub moving_ms: f64,
+    pub transfer_ms: f64,
     /// Tokens of its prompt.
     pub tokens: u32,
     /// Whether its answer keeps a slot for seconds.
@@ -155,23 +159,23 @@
 /// Measures the demand that this daemon sees.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandMeter {
-    reading: Fading,
-    urgent: Fading,
+    prefill: DecayingSum,
+    urgent: DecayingSum,
     short: AnswerMeter,
     long: AnswerMeter,
     /// Engine-seconds of handing prompts over.
-    moving: Fading,
+    transfer: DecayingSum,
     seen: bool,
 }
 
 impl Default for DemandMeter {
     fn default() -> Self {
         Self {
-            reading: Fading::default(),
-            urgent: Fading::default(),
-            short: AnswerMeter::new(SHORT_GUESS),
-            long: AnswerMeter::new(LONG_GUESS),
-            moving: Fading::default(),
+            prefill: DecayingSum::default(),
+            urgent: DecayingSum::default(),
+            short: AnswerMeter::new(INITIAL_SHORT_SECONDS),
+            long: AnswerMeter::new(INITIAL_LONG_SECONDS),
+            transfer: DecayingSum::default(),
             seen: false,
         }
     }
@@ -179,39 +183,39 @@
 
 impl DemandMeter {
     /// Note a request.
-    pub fn offered(&mut self, offer: &Offer, now: Time) {
+    pub fn record_request(&mut self, request: &RequestDemand, now: Time) {
         self.seen = true;
-        self.reading.add(offer.reading_ms / 1_000.0, now);
-        if !offer.late {
-            self.urgent.add(offer.reading_ms / 1_000.0, now);
+        self.prefill.add(request.prefill_ms / 1_000.0, now);
+        if !request.late {
+            self.urgent.add(request.prefill_ms / 1_000.0, now);
         }
-        self.moving.add(offer.moving_ms / 1_000.0, now);
-        let kind = if offer.long { &mut self.long } else { &mut self.short };
-        kind.offered(offer.tokens, now);
+        self.transfer.add(request.transfer_ms / 1_000.0, now);
+        let kind = if request.long { &mut self.long } else { &mut self.short };
+        kind.record_request(request.tokens, now);
     }
 
     /// Note that an answer took so long, and whether it was a long one.
-    pub fn answered(&mut self, took: Span, long: bool) {
+    pub fn record_answer(&mut self, took: Span, long: bool) {
         let kind = if long { &mut self.long } else { &mut self.short };
-        kind.answered(took);
+        kind.record_answer(took);
     }
 
     /// The demand now.
     #[must_use]
     pub fn demand(&self, now: Time) -> Demand {
         Demand {
-            reading: self.reading.rate(now),
+            prefill: self.prefill.rate(now),
             urgent: self.urgent.rate(now),
             slots: self.short.slots(now) + self.long.slots(now),
-            tokens: self.short.held(now) + self.long.held(now),
-            moving: self.moving.rate(now),
+            tokens: self.short.held_tokens(now) + self.long.held_tokens(now),
+            transfer: self.transfer.rate(now),
         }
     }
 }
 
 /// A change of one engine's role.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shift {
+pub struct RoleChange {
     /// The engine.
     pub key: ReplicaKey,
     /// The role that it is to take.
@@ -225,71 +229,73 @@
 impl Fleet {
     /// The next change of a role that is worth it, for a service and a demand on all daemons.
     #[must_use]
-    pub fn next_shift(&self, service: &str, demand: Demand, now: Time) -> Option<Shift> {
+    pub fn next_role_change(&self, service: &str, demand: Demand, now: Time) -> Option<RoleChange> {
         let engines: Vec<(ReplicaKey, &Replica)> = self
             .replicas
             .iter()
             .filter(|(_, replica)| &*replica.facts.service == service && is_serving(replica, now))
             .collect();
-        let with = |role| engines.iter().filter(|(_, replica)| role_to_be(replica, now) == role).count();
+        let with = |role| engines.iter().filter(|(_, replica)| target_role(replica, now) == role).count();
         let (prefill, decode) = (with(Role::Prefill), with(Role::Decode));
-        if prefill + decode < FEWEST {
+        if prefill + decode < MIN_ENGINES {
             return None;
         }
-        let shift = |key, to| Shift { key, to, demand, before: (prefill, decode) };
+        let change = |key, to| RoleChange { key, to, demand, before: (prefill, decode) };
         if demand == Demand::default() {
             let wanted = ((prefill + decode) as f64 * self.policy.first_read_share) as usize;
-            let lacks = prefill < wanted && decode > LEAST_DECODE && !self.saw_demand(service);
-            return idle_engine(&engines, Role::Decode, now).filter(|_| lacks).map(|key| shift(key, Role::Prefill));
+            let lacks_prefill = prefill < wanted && decode > MIN_DECODE && !self.has_seen_demand(service);
+            return least_loaded_engine(&engines, Role::Decode, now)
+                .filter(|_| lacks_prefill)
+                .map(|key| change(key, Role::Prefill));
         }
         let all = prefill + decode;
-        let changing = engines.iter().filter(|(_, replica)| !replica.changing_until.is_past(now)).count();
-        if changing >= (all as f64 * MOST_CHANGING).ceil() as usize {
+        let changing = engines.iter().filter(|(_, replica)| !replica.role_change_until.is_past(now)).count();
+        if changing >= (all as f64 * MAX_CHANGING_SHARE).ceil() as usize {
             return None;
         }
-        let need = self.need(service, &engines, demand, now)?;
-        let least = least_decode(all);
+        let need = self.required_engines(service, &engines, demand, now)?;
+        let min_decode = min_decode(all);
         // Without readers nothing larger is served at all, whatever memory it would then take.
-        let margin = if prefill < LEAST_PREFILL { 0.0 } else { DECODE_MARGIN };
-        let kept = ((need.decode * margin).ceil() as usize).max(least);
+        let margin = if prefill < MIN_PREFILL { 0.0 } else { DECODE_MARGIN };
+        let kept = ((need.decode * margin).ceil() as usize).max(min_decode);
         if need.prefill > prefill as f64 && decode > kept {
-            return idle_engine(&engines, Role::Decode, now).map(|key| shift(key, Role::Prefill));
+            return least_loaded_engine(&engines, Role::Decode, now).map(|key| change(key, Role::Prefill));
         }
-        let spare = need.prefill <= prefill.saturating_sub(1) as f64;
-        let overfull = need.decode > decode as f64 * OVERFULL;
-        let wanted = (need.decode.ceil() as usize).max(least);
-        let even = all as f64 * need.in_time / (need.prefill + need.in_time).max(f64::MIN_POSITIVE);
-        let is_used = need.in_time >= decode as f64 * USED;
-        let uneven = is_used && even - decode as f64 >= (all as f64 * UNEVEN).max(1.0);
-        let lacks = wanted > decode && (spare || overfull);
-        if prefill > LEAST_PREFILL && (lacks || (uneven && spare)) {
-            return idle_engine(&engines, Role::Prefill, now).map(|key| shift(key, Role::Decode));
+        let prefill_to_spare = need.prefill <= prefill.saturating_sub(1) as f64;
+        let is_short = need.decode > decode as f64 * SHORTAGE_FACTOR;
+        let wanted = (need.decode.ceil() as usize).max(min_decode);
+        let balanced = all as f64 * need.decode_in_time / (need.prefill + need.decode_in_time).max(f64::MIN_POSITIVE);
+        let is_utilized = need.decode_in_time >= decode as f64 * MIN_UTILIZATION;
+        let is_imbalanced = is_utilized && balanced - decode as f64 >= (all as f64 * MIN_IMBALANCE).max(1.0);
+        let lacks_decode = wanted > decode && (prefill_to_spare || is_short);
+        if prefill > MIN_PREFILL && (lacks_decode || (is_imbalanced && prefill_to_spare)) {
+            return least_loaded_engine(&engines, Role::Prefill, now).map(|key| change(key, Role::Decode));
         }
         None
     }
 
     /// Engines that a demand needs on each side, each used as well as the policy wants.
-    pub(super) fn need(
+    pub(super) fn required_engines(
         &self,
         service: &str,
         engines: &[(ReplicaKey, &Replica)],
         demand: Demand,
         now: Time,
-    ) -> Option<Need> {
+    ) -> Option<RequiredEngines> {
         let slots = f64::from(engines.iter().map(|(_, replica)| replica.facts.slots).min()?);
         let state = self.services.get(service);
-        let memory = state.map_or(super::MEMORY_GUESS, |state| state.memory_tokens) as f64;
-        let bearable = state.and_then(|state| self.bearable_answers(state, now)).unwrap_or(f64::INFINITY);
-        let answering = engines.iter().filter(|(_, replica)| replica.facts.role == Role::Decode);
-        let active: u32 = answering.map(|(_, replica)| replica.active()).sum();
+        let kv_capacity = state.map_or(super::DEFAULT_KV_CAPACITY, |state| state.kv_capacity_tokens) as f64;
+        let max_answers = state.and_then(|state| self.max_answers(state, now)).unwrap_or(f64::INFINITY);
+        let decode_engines = engines.iter().filter(|(_, replica)| replica.facts.role == Role::Decode);
+        let active: u32 = decode_engines.map(|(_, replica)| replica.active()).sum();
         let answers = demand.slots.max(f64::from(active));
-        let well_used = slots * self.policy.slot_share;
-        let for_memory = demand.tokens / (memory * ANSWERS_MEMORY_SHARE);
-        let for_moves = demand.moving / LINK_SHARE;
-        Some(Need {
-            prefill: demand.reading / self.policy.read_share,
-            decode: (answers / well_used).max(for_memory).max(for_moves),
-            in_time: (answers / well_used.min(bearable)).max(for_memory).max(for_moves),
+        let usable_slots = slots * self.policy.slot_share;
+        let for_kv = demand.tokens / (kv_capacity * ANSWER_KV_SHARE);
+        let for_transfers = demand.transfer / LINK_UTILIZATION;
+        Some(RequiredEngines {
+            prefill: demand.prefill / self.policy.read_share,
+            decode: (answers / usable_slots).max(for_kv).max(for_transfers),
+            decode_in_time: (answers / usable_slots.min(max_answers)).max(for_kv).max(for_transfers),
         })
     }
 
@@ -300,46 +306,46 @@
     }
 
     /// Whether this daemon was ever asked for the service.
-    fn saw_demand(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|state| state.meter.seen)
+    fn has_seen_demand(&self, service: &str) -> bool {
+        self.services.get(service).is_some_and(|state| state.demand_meter.seen)
     }
 
     /// Keep new work from an engine until `until`, because its role is to change to `to`.
-    pub fn set_changing(&mut self, key: ReplicaKey, to: Role, until: Time) {
+    pub fn start_role_change(&mut self, key: ReplicaKey, to: Role, until: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.changing_until = until;
-            replica.changing_to = to;
+            replica.role_change_until = until;
+            replica.next_role = to;
             replica.ordered_here = true;
             self.reportable.insert(key);
         }
     }
 
     /// Give an engine no orders until `from`.
-    pub fn no_orders_until(&mut self, key: ReplicaKey, from: Time) {
+    pub fn hold_orders_until(&mut self, key: ReplicaKey, from: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.orders_from = from;
+            replica.orders_held_until = from;
         }
     }
 
     /// Note that an answer took so long, and whether it was a long one.
-    pub fn answered(&mut self, service: &str, took: Span, long: bool) {
+    pub fn record_answer(&mut self, service: &str, took: Span, long: bool) {
         if let Some(state) = self.services.get_mut(service) {
-            state.meter.answered(took, long);
+            state.demand_meter.record_answer(took, long);
         }
     }
 
     /// How long a long answer of a service usually takes.
     #[must_use]
-    pub fn usual_answer(&self, service: &str) -> Span {
+    pub fn mean_answer_time(&self, service: &str) -> Span {
         self.services
             .get(service)
-            .map_or(Span::seconds(LONG_GUESS), |state| Span::seconds(state.meter.long.seconds.value()))
+            .map_or(Span::seconds(INITIAL_LONG_SECONDS), |state| Span::seconds(state.demand_meter.long.seconds.value()))
     }
 
     /// The demand that this daemon and its peers see for a service.
     #[must_use]
     pub fn demand(&self, service: &str, now: Time) -> Demand {
-        let own = self.services.get(service).map_or_else(Demand::default, |state| state.meter.demand(now));
+        let own = self.services.get(service).map_or_else(Demand::default, |state| state.demand_meter.demand(now));
         let key = super::short_id(service);
         let mut sum = own;
         for demand in self.peers.values().filter_map(|peer| peer.demands.get(&key)) {
@@ -351,27 +357,29 @@
 
 /// Engines that are needed on each side.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Need {
+pub(super) struct RequiredEngines {
     pub(super) prefill: f64,
     pub(super) decode: f64,
     /// Decode engines at which the longest answers end in time, too.
-    pub(super) in_time: f64,
+    pub(super) decode_in_time: f64,
 }
 
 /// Decode engines that are kept at least, of so many engines.
-fn least_decode(engines: usize) -> usize {
-    LEAST_DECODE.max((engines as f64 * LEAST_DECODE_SHARE) as usize)
+fn min_decode(engines: usize) -> usize {
+    MIN_DECODE.max((engines as f64 * MIN_DECODE_SHARE) as usize)
 }
 
 /// The engine with this role that a change disturbs least.
-fn idle_engine(engines: &[(ReplicaKey, &Replica)], role: Role, now: Time) -> Option<ReplicaKey> {
+fn least_loaded_engine(engines: &[(ReplicaKey, &Replica)], role: Role, now: Time) -> Option<ReplicaKey> {
     engines
         .iter()
         .filter(|(_, replica)| {
-            replica.facts.role == role && replica.changing_until.is_past(now) && replica.orders_from.is_past(now)
+            replica.facts.role == role
+                && replica.role_change_until.is_past(now)
+                && replica.orders_held_until.is_past(now)
         })
         .filter(|(_, replica)| replica.streams() == 0)
-        .min_by(|a, b| load_of(a.1).total_cmp(&load_of(b.1)))
+        .min_by(|a, b| load(a.1).total_cmp(&load(b.1)))
         .map(|(key, _)| *key)
 }
 
@@ -379,10 +387,10 @@
     !replica.facts.draining && !replica.gone_at.is_past(now)
 }
 
-fn role_to_be(replica: &Replica, now: Time) -> Role {
-    if replica.changing_until.is_past(now) { replica.facts.role } else { replica.changing_to }
+fn target_role(replica: &Replica, now: Time) -> Role {
+    if replica.role_change_until.is_past(now) { replica.facts.role } else { replica.next_role }
 }
 
-fn load_of(replica: &Replica) -> f64 {
-    f64::from(replica.active()) + replica.own.reading_ms + replica.peers.reading_ms
+fn load(replica: &Replica) -> f64 {
+    f64::from(replica.active()) + replica.own_load.prefill_ms + replica.peer_load.prefill_ms
 }
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -206,7 +206,7 @@
             Standing::Refused(refused) => self.refused(asked, refused.until),
             standing => {
                 let is_apart = matches!(standing, Standing::Apart(_));
-                let is_whole = matches!(standing, Standing::Apart(apart) if apart.whole);
+                let is_whole = matches!(standing, Standing::Apart(apart) if apart.single_replica);
                 let drawn = is_apart && self.set.apart;
                 let Some(engine) = self.place(&asked, drawn) else {
                     return self.come_back(asked);
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -16,9 +16,9 @@
 use dahliaseam_core::{
     endpoint::Role,
     fleet::{
-        Fleet, Sent, StepEnd,
+        Fleet, SentStep, StepEnd,
         engine::read_time::Reading,
-        plan::{NoPlan, Plan, RouteRequest, Step},
+        plan::{Plan, PlanError, RouteRequest, Step},
         replica::{ReplicaFacts, ReplicaKey},
     },
     prompt::Prompt,
@@ -26,20 +26,20 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::{SERVICE, ask, facts, fleet, normal, now};
+use crate::{SERVICE, facts, fleet, now, req, standard_normal};
 
 /// Time in which the first event is in time.
 const OBJECTIVE: Span = Span::millis(200);
 /// Time that a caller stays.
-const PATIENCE: Span = Span::millis(2_000);
+const CALLER_TIMEOUT: Span = Span::millis(2_000);
 /// Subjects that prompts share.
 const SUBJECTS: u64 = 300;
 /// Tokens that an engine's memory holds.
-const MEMORY: u64 = 305_000;
+const KV_CAPACITY: u64 = 305_000;
 /// Long answers on each engine that answers.
-const ANSWERS: usize = 20;
+const ANSWERS_PER_ENGINE: usize = 20;
 /// Engines that read.
-const READERS: usize = 3;
+const PREFILL_ENGINES: usize = 3;
 /// Seconds that are played, and those at first that do not count.
 const SECONDS: f64 = 40.0;
 /// See [`SECONDS`].
@@ -47,13 +47,13 @@
 /// How often large ones are to be served at least, as a part of how often all are: the users' own bound. Before there was any
 /// relief it was 0.11 to 0.51 here; evening sizes out up to 0.75 cost 0.06 and 0.08 of worth on two of ten days
 /// that were played, up to 0.6 it cost 0.035 at most.
-const LEAST: f64 = 0.5;
+const MIN_RELATIVE_SHARE: f64 = 0.5;
 /// Milliseconds of reading that a prompt takes here in the mean, by which the load is set.
-const MEAN_MS: f64 = 20.6;
+const MEAN_PREFILL_MS: f64 = 20.6;
 
 /// A prompt that waits at an engine or is read there.
-struct Waiting {
-    sent: Sent,
+struct QueuedPrompt {
+    sent: SentStep,
     step: Step,
     /// Where it is answered, if another engine does that.
     output: Option<Step>,
@@ -62,39 +62,39 @@
     counts: bool,
 }
 
-struct Emulation {
+struct Simulation {
     fleet: Fleet,
     /// What waits at each engine, and when what it reads is done.
-    queues: Vec<(ReplicaKey, Vec<Waiting>, Option<Time>)>,
+    queues: Vec<(ReplicaKey, Vec<QueuedPrompt>, Option<Time>)>,
     served: Vec<(u32, bool)>,
     rng: SmallRng,
-    asked: u64,
+    arrivals: u64,
 }
 
-impl Emulation {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut fleet = fleet();
-        fleet.set_memory(&Arc::from(SERVICE), MEMORY);
+        fleet.set_kv_capacity(&Arc::from(SERVICE), KV_CAPACITY);
         for (name, role) in [("r", Role::Prefill), ("w", Role::Decode)] {
-            for n in 0..READERS {
+            for n in 0..PREFILL_ENGINES {
                 fleet.put(ReplicaFacts { slots: 48, ..facts(&format!("{name}{n}"), role) }, 1);
             }
         }
         let queues: Vec<_> = fleet.replicas().map(|(key, _)| (key, Vec::new(), None)).collect();
-        for n in 0..READERS {
+        for n in 0..PREFILL_ENGINES {
             let key = fleet.key(&format!("w{n}")).expect("it is known");
-            for _ in 0..ANSWERS {
+            for _ in 0..ANSWERS_PER_ENGINE {
                 // Long answers are on it all the time.
                 fleet.begin(key, &Step { long: true, ..Step::at(key) }, None, now());
             }
         }
-        Self { queues, fleet, served: Vec::new(), rng: SmallRng::seed_from_u64(seed), asked: 0 }
+        Self { queues, fleet, served: Vec::new(), rng: SmallRng::seed_from_u64(seed), arrivals: 0 }
     }
 
     fn run(&mut self, load: f64) {
         let begun = now();
         let mut now = begun;
-        let per_ms = load * READERS as f64 / MEAN_MS;
+        let per_ms = load * PREFILL_ENGINES as f64 / MEAN_PREFILL_MS;
         while now.since(begun).as_seconds() < SECONDS {
             now = now + Span::millis(1);
             let counts = now.since(begun).as_seconds() > WARM_UP;
@@ -102,37 +102,37 @@
                 self.arrive(counts, now);
             }
             for engine in 0..self.queues.len() {
-                self.read(engine, now);
+                self.advance(engine, now);
             }
         }
     }
 
     fn arrive(&mut self, counts: bool, now: Time) {
-        self.asked += 1;
+        self.arrivals += 1;
         let own = lognormal(&mut self.rng, 2_890.0, 1.0).clamp(50.0, 18_300.0) as u32;
         let subject = self.rng.random_range(0..SUBJECTS);
         let shared = lognormal(&mut SmallRng::seed_from_u64(subject), 3_780.0, 0.7).clamp(100.0, 11_300.0) as u32;
-        let parts = [(1, 2_520), (1_000 + subject, shared), (1_000_000 + self.asked, own)];
+        let parts = [(1, 2_520), (1_000 + subject, shared), (1_000_000 + self.arrivals, own)];
         let tokens = 2_520 + shared + own;
         let prompt = Prompt::new("m", parts.into_iter(), tokens, 354);
         let draw = self.rng.random();
-        let ask = RouteRequest {
+        let req = RouteRequest {
             objective_left: OBJECTIVE,
-            silence_left: PATIENCE,
-            time_left: PATIENCE,
+            first_event_left: CALLER_TIMEOUT,
+            time_left: CALLER_TIMEOUT,
             draw,
-            ..ask(Some(&prompt), &[])
+            ..req(Some(&prompt), &[])
         };
-        let chosen = self.fleet.choose(&ask, now);
+        let chosen = self.fleet.choose(&req, now);
         let plan = match &chosen {
             Ok(plan) => *plan,
-            Err(NoPlan::TooLate { plan, .. }) => **plan,
-            Err(NoPlan::NoReplica | NoPlan::RateLimited { .. }) => panic!("there are replicas"),
+            Err(PlanError::TooLate { plan, .. }) => **plan,
+            Err(PlanError::NoReplica | PlanError::RateLimited { .. }) => panic!("there are replicas"),
         };
-        self.fleet.offered(&Arc::from(SERVICE), &ask, &plan, chosen.is_ok(), now);
+        self.fleet.record_demand(&Arc::from(SERVICE), &req, &plan, chosen.is_ok(), now);
         let (step, output) = match chosen {
-            Ok(Plan::TwoSteps { read, write }) => (read, Some(write)),
-            Ok(Plan::Whole(step)) => (step, None),
+            Ok(Plan::Disaggregated { prefill, decode }) => (prefill, Some(decode)),
+            Ok(Plan::Single(step)) => (step, None),
             Err(_) => {
                 if counts {
                     self.served.push((tokens, false));
@@ -142,18 +142,18 @@
         };
         let sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("it is known");
         let queue = self.queues.iter_mut().find(|(key, ..)| *key == step.key).expect("it is an engine");
-        queue.1.push(Waiting { sent, step, output, prompt, tokens, counts });
+        queue.1.push(QueuedPrompt { sent, step, output, prompt, tokens, counts });
     }
 
     /// One engine goes on: what is in time before what is late, in the order of arrival.
-    fn read(&mut self, engine: usize, now: Time) {
+    fn advance(&mut self, engine: usize, now: Time) {
         let (_, waiting, done) = &mut self.queues[engine];
         if done.is_some_and(|done| !done.is_past(now)) {
             return;
         }
         if done.take().is_some() {
             let over = waiting.remove(0);
-            self.over(over, now);
+            self.finish(over, now);
         }
         let (_, waiting, done) = &mut self.queues[engine];
         if waiting.is_empty() {
@@ -162,21 +162,21 @@
         let next = waiting.iter().position(|waiting| !waiting.step.late).unwrap_or(0);
         let first = waiting.remove(next);
         let factor = if first.output.is_some() { 1.0 } else { 2.0 };
-        *done = Some(now + Span::seconds(truth_ms(first.step.reading) * factor / 1_000.0));
+        *done = Some(now + Span::seconds(actual_prefill_ms(first.step.reading) * factor / 1_000.0));
         waiting.insert(0, first);
     }
 
-    fn over(&mut self, mut over: Waiting, now: Time) {
-        self.fleet.reading_over(&mut over.sent, StepEnd::Done, now);
+    fn finish(&mut self, mut over: QueuedPrompt, now: Time) {
+        self.fleet.prefill_ended(&mut over.sent, StepEnd::Done, now);
         self.fleet.end(&over.sent, StepEnd::Done, now);
-        let in_patience = now.since(over.sent.at) < PATIENCE;
+        let in_time = now.since(over.sent.at) < CALLER_TIMEOUT;
         if over.counts {
-            self.served.push((over.tokens, in_patience));
+            self.served.push((over.tokens, in_time));
         }
         if let Some(output) = over.output
             && let Some(mut sent) = self.fleet.begin(output.key, &output, Some(&over.prompt), now)
         {
-            self.fleet.reading_over(&mut sent, StepEnd::Done, now);
+            self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
             self.fleet.end(&sent, StepEnd::Done, now);
         }
     }
@@ -191,27 +191,27 @@
 }
 
 /// What a reading takes.
-fn truth_ms(reading: Reading) -> f64 {
+fn actual_prefill_ms(reading: Reading) -> f64 {
     let (uncached, held) = (f64::from(reading.uncached), f64::from(reading.held));
     5.0 + uncached / 307.0 + 0.147 * uncached * (held + uncached / 2.0) / 1e6
 }
 
 fn lognormal(rng: &mut SmallRng, mean: f64, spread: f64) -> f64 {
-    mean * (spread * normal(rng) - spread * spread / 2.0).exp()
+    mean * (spread * standard_normal(rng) - spread * spread / 2.0).exp()
 }
 
 #[test]
-fn the_largest_prompts_are_served_like_others_where_there_are_too_many() {
-    for (load, with_all) in [(1.3, 0.85), (1.7, 0.73), (2.2, 0.63)] {
+fn the_largest_prompts_are_served_about_as_often_as_others_under_overload() {
+    for (load, min_share) in [(1.3, 0.85), (1.7, 0.73), (2.2, 0.63)] {
         for seed in 0..3 {
-            let mut emulation = Emulation::new(seed);
-            emulation.run(load);
-            let (largest, below, all) = emulation.shares();
+            let mut simulation = Simulation::new(seed);
+            simulation.run(load);
+            let (largest, below, all) = simulation.shares();
             println!("load {load}, seed {seed}: largest {largest:.2}, below {below:.2}, all {all:.2}");
             let shown =
                 || format!("load {load}, seed {seed}: {largest:.2} and {below:.2} of the largest, of all {all:.2}");
-            assert!(largest > LEAST * all && below > LEAST * all, "{}", shown());
-            assert!(all > with_all, "{}", shown());
+            assert!(largest > MIN_RELATIVE_SHARE * all && below > MIN_RELATIVE_SHARE * all, "{}", shown());
+            assert!(all > min_share, "{}", shown());
         }
     }
 }
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -16,7 +16,7 @@
 use dahliaseam_core::{
     endpoint::Role,
     fleet::{
-        Fleet, Sent, StepEnd, StreamPart,
+        Fleet, SentStep, StepEnd, StreamPart,
         plan::{Plan, RouteRequest},
     },
     prompt::Prompt,
@@ -24,24 +24,24 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::{SERVICE, ask, facts, fleet, normal, now};
+use crate::{SERVICE, facts, fleet, now, req, standard_normal};
 
 /// Slots of each engine.
 const SLOTS: u32 = 96;
 /// Milliseconds between two events of an answer that is alone.
 const ALONE_MS: f64 = 44.0;
 /// Milliseconds that each other answer adds.
-const EACH_MS: f64 = 0.34;
+const MS_PER_ANSWER: f64 = 0.34;
 /// Events of an answer at most.
-const MOST_EVENTS: f64 = 214.0;
+const MAX_EVENTS: f64 = 214.0;
 /// Tokens of an answer at most.
-const MOST_TOKENS: u32 = 12_198;
+const MAX_TOKENS: u32 = 12_198;
 /// Time after which a caller takes no more.
-const LIMIT: Span = Span::millis(15_000);
+const CALLER_TIMEOUT: Span = Span::millis(15_000);
 /// How far the emulation goes at once.
 const TICK: Span = Span::millis(10);
 /// How often it is learned how far a stream has come.
-const PART: Span = Span::millis(500);
+const REPORT_INTERVAL: Span = Span::millis(500);
 /// Seconds in which answers begin.
 const SECONDS: u64 = 60;
 
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 struct Answer {
     engine: usize,
-    sent: Sent,
+    sent: SentStep,
     events: f64,
     done: f64,
     ends_at: Time,
@@ -68,76 +68,96 @@
 
 /// How an answer ended.
 #[derive(Clone, Copy, Debug)]
-struct Over {
+struct FinishedAnswer {
     events: f64,
     served: bool,
 }
 
 /// Six engines and a daemon's view of them.
-struct Emulation {
+struct Simulation {
     fleet: Fleet,
     /// How many times as long as usual each engine takes.
-    speeds: Vec<f64>,
+    slowness: Vec<f64>,
     arrivals: Arrivals,
     running: Vec<Answer>,
-    over: Vec<Over>,
+    over: Vec<FinishedAnswer>,
     rng: SmallRng,
-    asked: u64,
+    arrivals_so_far: u64,
 }
 
-impl Emulation {
-    fn new(speeds: &[f64], arrivals: Arrivals, seed: u64) -> Self {
+impl Simulation {
+    fn new(slowness: &[f64], arrivals: Arrivals, seed: u64) -> Self {
         let mut fleet = fleet();
-        for engine in 0..speeds.len() {
+        for engine in 0..slowness.len() {
             let facts = facts(&format!("e{engine}"), Role::Decode);
             fleet.put(dahliaseam_core::fleet::replica::ReplicaFacts { slots: SLOTS, ..facts }, 1);
         }
         let rng = SmallRng::seed_from_u64(seed);
-        Self { fleet, speeds: speeds.to_vec(), arrivals, running: Vec::new(), over: Vec::new(), rng, asked: 0 }
+        Self {
+            fleet,
+            slowness: slowness.to_vec(),
+            arrivals,
+            running: Vec::new(),
+            over: Vec::new(),
+            rng,
+            arrivals_so_far: 0,
+        }
     }
 
     fn run(&mut self) {
         let begun = now();
-        let end = begun + Span::seconds(SECONDS as f64) + LIMIT;
+        let end = begun + Span::seconds(SECONDS as f64) + CALLER_TIMEOUT;
         let mut now = begun;
         while !end.is_past(now) {
             let arrives = self.rng.random_bool(self.arrivals.per_second * TICK.as_seconds());
             if arrives && now.since(begun).as_seconds() < SECONDS as f64 {
                 self.begin(now);
             }
-            self.go_on(now);
+            self.advance(now);
             now = now + TICK;
         }
     }
 
     fn begin(&mut self, now: Time) {
-        self.asked += 1;
-        let parts = [(1, 50), (1_000 + self.asked, 100)];
-        let events = size(&mut self.rng);
-        let guess = self.arrivals.guessed.then(|| guess(&mut self.rng, events));
-        let prompt = Prompt::new("m", parts.into_iter(), 150, MOST_TOKENS).with_guess(guess);
+        self.arrivals_so_far += 1;
+        let parts = [(1, 50), (1_000 + self.arrivals_so_far, 100)];
+        let events = answer_events(&mut self.rng);
+        let guess = self.arrivals.guessed.then(|| caller_guess(&mut self.rng, events));
+        let prompt = Prompt::new("m", parts.into_iter(), 150, MAX_TOKENS).with_guess(guess);
         let draw = self.rng.random();
-        let ask = RouteRequest { time_left: LIMIT, silence_left: Span::millis(2_000), draw, ..ask(Some(&prompt), &[]) };
-        let Ok(Plan::Whole(step)) = self.fleet.choose(&ask, now) else {
+        let req = RouteRequest {
+            time_left: CALLER_TIMEOUT,
+            first_event_left: Span::millis(2_000),
+            draw,
+            ..req(Some(&prompt), &[])
+        };
+        let Ok(Plan::Single(step)) = self.fleet.choose(&req, now) else {
             panic!("one engine does it all");
         };
-        self.fleet.offered(&Arc::from(SERVICE), &ask, &Plan::Whole(step), true, now);
+        self.fleet.record_demand(&Arc::from(SERVICE), &req, &Plan::Single(step), true, now);
         let mut sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("it is known");
-        self.fleet.reading_over(&mut sent, StepEnd::Done, now);
+        self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
         let engine = self.fleet.get(step.key).expect("it is known").facts.id[1..].parse().expect("its number");
-        self.running.push(Answer { engine, sent, events, done: 0.0, ends_at: now + LIMIT, learned: (0.0, now) });
+        self.running.push(Answer {
+            engine,
+            sent,
+            events,
+            done: 0.0,
+            ends_at: now + CALLER_TIMEOUT,
+            learned: (0.0, now),
+        });
     }
 
-    fn go_on(&mut self, now: Time) {
-        let mut answers = vec![0_u32; self.speeds.len()];
+    fn advance(&mut self, now: Time) {
+        let mut answers = vec![0_u32; self.slowness.len()];
         for answer in &self.running {
             answers[answer.engine] += 1;
         }
         for answer in &mut self.running {
             let others = f64::from(answers[answer.engine]);
-            let interval_ms = self.speeds[answer.engine] * (ALONE_MS + EACH_MS * others);
+            let interval_ms = self.slowness[answer.engine] * (ALONE_MS + MS_PER_ANSWER * others);
             answer.done += TICK.in_millis() / interval_ms;
-            if now.since(answer.learned.1) >= PART {
+            if now.since(answer.learned.1) >= REPORT_INTERVAL {
                 answer.learn(&mut self.fleet, now);
             }
         }
@@ -153,14 +173,14 @@
                 self.fleet.learn_answer(&answer.sent, &whole, now);
             }
             self.fleet.end(&answer.sent, StepEnd::Done, now);
-            self.over.push(Over { events: answer.events, served: answer.done >= answer.events });
+            self.over.push(FinishedAnswer { events: answer.events, served: answer.done >= answer.events });
         }
     }
 
     /// Shares that were served: of the longest tenth, and of all.
     fn served(&mut self) -> (f64, f64) {
         self.over.sort_by(|a, b| b.events.total_cmp(&a.events));
-        let share = |over: &[Over]| over.iter().filter(|over| over.served).count() as f64 / over.len() as f64;
+        let share = |over: &[FinishedAnswer]| over.iter().filter(|over| over.served).count() as f64 / over.len() as f64;
         (share(&self.over[..self.over.len() / 10]), share(&self.over))
     }
 }
@@ -180,23 +200,23 @@
 }
 
 /// A size as the answers there have it: lognormal with a mean of 90 events and a spread of 0.84.
-fn size(rng: &mut SmallRng) -> f64 {
+fn answer_events(rng: &mut SmallRng) -> f64 {
     let spread: f64 = 0.84;
-    (90.5 * (spread * normal(rng) - spread * spread / 2.0).exp()).clamp(1.0, MOST_EVENTS)
+    (90.5 * (spread * standard_normal(rng) - spread * spread / 2.0).exp()).clamp(1.0, MAX_EVENTS)
 }
 
 /// A caller's guess of an answer's tokens: right in the median, off by half of it and more in a third.
-fn guess(rng: &mut SmallRng, events: f64) -> u32 {
-    (events * f64::from(MOST_TOKENS) / MOST_EVENTS * (0.5 * normal(rng)).exp()) as u32
+fn caller_guess(rng: &mut SmallRng, events: f64) -> u32 {
+    (events * f64::from(MAX_TOKENS) / MAX_EVENTS * (0.5 * standard_normal(rng)).exp()) as u32
 }
 
 #[test]
-fn the_longest_answers_end_in_time_where_some_engines_are_slow() {
+fn the_longest_answers_end_in_time_when_some_engines_are_slow() {
     let arrivals = Arrivals { per_second: 36.0, guessed: false };
     for seed in 0..5 {
-        let mut emulation = Emulation::new(&[1.0, 1.3, 1.0, 1.0, 1.3, 1.0], arrivals, seed);
-        emulation.run();
-        let (longest, all) = emulation.served();
+        let mut simulation = Simulation::new(&[1.0, 1.3, 1.0, 1.0, 1.3, 1.0], arrivals, seed);
+        simulation.run();
+        let (longest, all) = simulation.served();
         assert!(longest >= 0.95, "seed {seed}: of the longest tenth {longest:.2} were served, of all {all:.2}");
         assert!(all >= 0.99, "seed {seed}: {all:.2} were served");
     }
@@ -206,12 +226,12 @@
 /// theirs will be, the likely short ones fill the slow engines and leave the others to the long. Without
 /// guesses 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
 #[test]
-fn answers_that_are_likely_short_leave_the_fast_engines_to_the_long() {
+fn likely_short_answers_leave_the_fast_engines_to_long_ones() {
     let arrivals = Arrivals { per_second: 48.0, guessed: true };
     for seed in 0..5 {
-        let mut emulation = Emulation::new(&[1.3, 1.0, 1.3, 1.0, 1.3], arrivals, seed);
-        emulation.run();
-        let (longest, all) = emulation.served();
+        let mut simulation = Simulation::new(&[1.3, 1.0, 1.3, 1.0, 1.3], arrivals, seed);
+        simulation.run();
+        let (longest, all) = simulation.served();
         assert!(longest >= 0.55, "seed {seed}: of the longest tenth {longest:.2} were served, of all {all:.2}");
         assert!(all >= 0.95, "seed {seed}: {all:.2} were served");
     }
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -42,7 +42,7 @@
 pub(crate) fn facts(id: &str, role: Role) -> ReplicaFacts {
     ReplicaFacts {
         id: Arc::from(id),
-        born: None,
+        start_time_ms: None,
         service: Arc::from(SERVICE),
         address: "10.0.0.1:80".parse().expect("an address"),
         hall: Arc::from("hall-1"),
@@ -54,16 +54,16 @@
 }
 
 /// Hash of the hall of the fleets of these tests.
-pub(crate) fn hall() -> u32 {
+pub(crate) fn hall_hash() -> u32 {
     short_id("hall-1")
 }
 
 /// A message of a daemon of the same hall.
-pub(crate) fn said(sender: u64, number: u64) -> ReportId {
-    ReportId { source: Source::Daemon(sender), sender, number, hall: hall(), daemons: 1 }
+pub(crate) fn report_id(sender: u64, number: u64) -> ReportId {
+    ReportId { source: Source::Daemon(sender), sender, number, hall: hall_hash(), daemons: 1 }
 }
 
-pub(crate) fn with(replicas: &[(&str, Role)]) -> Fleet {
+pub(crate) fn fleet_with(replicas: &[(&str, Role)]) -> Fleet {
     let mut fleet = fleet();
     for (id, role) in replicas {
         fleet.put(facts(id, *role), 1);
@@ -75,25 +75,25 @@
     Prompt::new("m", [(1, 1_000), (subject, 2_000), (own, 1_000)].into_iter(), 4_000, output)
 }
 
-pub(crate) fn ask<'a>(prompt: Option<&'a Prompt>, tried: &'a [ReplicaKey]) -> RouteRequest<'a> {
+pub(crate) fn req<'a>(prompt: Option<&'a Prompt>, tried: &'a [ReplicaKey]) -> RouteRequest<'a> {
     RouteRequest {
         service: SERVICE,
         prompt,
         objective_left: Span::millis(250),
-        silence_left: Span::millis(1_000),
+        first_event_left: Span::millis(1_000),
         time_left: Span::millis(2_000),
-        returned: false,
+        was_refused: false,
         may_refuse: true,
         send_ms: 0.1,
         link_ms: 0.0,
         tried,
-        apart: None,
+        isolation: None,
         draw: 7,
     }
 }
 
 /// Normally distributed, as near as twelve draws come to it.
-pub(crate) fn normal(rng: &mut SmallRng) -> f64 {
+pub(crate) fn standard_normal(rng: &mut SmallRng) -> f64 {
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
 
@@ -106,13 +106,13 @@
 }
 
 /// A fleet with one replica, in a hall of its own.
-pub(crate) fn in_hall(name: &str) -> Fleet {
+pub(crate) fn fleet_in_hall(name: &str) -> Fleet {
     let mut fleet = Fleet::new(name, FleetPolicy::default(), Time(0));
     fleet.put(facts("a", Role::Plain), 1);
     fleet
 }
 
-pub(crate) fn busy(active: u32) -> LoadReport {
+pub(crate) fn load_at_a(active: u32) -> LoadReport {
     let load = ReplicaLoad {
         replica: short_id("a"),
         reading_ms: 10,
--- a/crates/core/tests/fleet/many_replicas.rs
+++ b/crates/core/tests/fleet/many_replicas.rs
@@ -11,11 +11,11 @@
     fleet::{Fleet, plan::RouteRequest, replica::ReplicaFacts},
 };
 
-use crate::{ask, facts, fleet, id, now, prompt, step};
+use crate::{facts, fleet, id, now, prompt, req, step};
 
 const REPLICAS: usize = 5_000;
 
-fn many(role: Role) -> Fleet {
+fn large_fleet(role: Role) -> Fleet {
     let mut fleet = fleet();
     for n in 0..REPLICAS {
         let hall = Arc::from(format!("hall-{}", 1 + n % 5));
@@ -26,45 +26,45 @@
 
 #[test]
 fn the_engine_that_holds_a_prompt_is_found_among_thousands() {
-    let mut fleet = many(Role::Decode);
+    let mut fleet = large_fleet(Role::Decode);
     for subject in 10..60 {
         let earlier = prompt(subject, 1_000 + subject, 1);
         let holder = fleet.key(&format!("e{}", subject * 5)).expect("it is known");
         let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("it is known");
         fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
         let next = prompt(subject, 2_000 + subject, 1);
-        let plan = fleet.choose(&RouteRequest { draw: subject, ..ask(Some(&next), &[]) }, now()).expect("one is free");
-        assert_eq!(id(&fleet, plan.reading().key), format!("e{}", subject * 5));
+        let plan = fleet.choose(&RouteRequest { draw: subject, ..req(Some(&next), &[]) }, now()).expect("one is free");
+        assert_eq!(id(&fleet, plan.prefill_step().key), format!("e{}", subject * 5));
     }
 }
 
 #[test]
-fn work_spreads_over_thousands_of_idle_replicas_of_the_own_hall() {
-    let mut fleet = many(Role::Plain);
-    let mut sent_to: HashMap<String, u32> = HashMap::new();
+fn requests_spread_over_thousands_of_idle_replicas_of_the_own_hall() {
+    let mut fleet = large_fleet(Role::Plain);
+    let mut requests_by_replica: HashMap<String, u32> = HashMap::new();
     for draw in 0..1_000_u64 {
         let draw = draw.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let plan = fleet.choose(&RouteRequest { draw, ..ask(None, &[]) }, now()).expect("one is free");
-        let key = plan.reading().key;
+        let plan = fleet.choose(&RouteRequest { draw, ..req(None, &[]) }, now()).expect("one is free");
+        let key = plan.prefill_step().key;
         assert_eq!(&*fleet.get(key).expect("it is known").facts.hall, "hall-1");
         fleet.begin(key, &step(key, 1.0, false), None, now());
-        *sent_to.entry(id(&fleet, key)).or_default() += 1;
+        *requests_by_replica.entry(id(&fleet, key)).or_default() += 1;
     }
-    let busiest = sent_to.values().max().copied().unwrap_or_default();
+    let busiest = requests_by_replica.values().max().copied().unwrap_or_default();
     assert!(busiest <= 4, "{busiest} of 1,000 requests at one of 1,000 replicas");
 }
 
 /// A replica that left is not looked at, also where it is remembered to hold a prompt.
 #[test]
-fn replicas_that_left_are_forgotten() {
-    let mut fleet = many(Role::Decode);
+fn removed_replicas_are_not_chosen() {
+    let mut fleet = large_fleet(Role::Decode);
     let earlier = prompt(10, 11, 1);
     let holder = fleet.key("e10").expect("it is known");
     let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("it is known");
     fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
-    fleet.removed("e10", 2, now());
-    assert_eq!(fleet.forget_gone(now()).len(), 1);
+    fleet.mark_removed("e10", 2, now());
+    assert_eq!(fleet.remove_gone(now()).len(), 1);
     let next = prompt(10, 12, 1);
-    let plan = fleet.choose(&ask(Some(&next), &[]), now()).expect("one is free");
-    assert_ne!(id(&fleet, plan.reading().key), "e10");
+    let plan = fleet.choose(&req(Some(&next), &[]), now()).expect("one is free");
+    assert_ne!(id(&fleet, plan.prefill_step().key), "e10");
 }
--- a/crates/core/tests/fleet/pool.rs
+++ b/crates/core/tests/fleet/pool.rs
@@ -5,7 +5,7 @@
 use dahliaseam_core::{
     fleet::{
         policy::FleetPolicy,
-        pool::{HallSize, Peak, PoolSize, Scaling, replaces},
+        pool::{HallSize, Peak, PoolSize, Scaling, should_replace},
     },
     time::{Span, Time},
 };
@@ -17,39 +17,39 @@
     Scaling {
         min: 1,
         max: 38,
-        start: Span::millis(4_000),
+        start_time: Span::millis(4_000),
         reclaimable_price: Some(0.15),
         hall_prices: HALLS.into_iter().zip(prices).map(|(hall, price)| (Arc::from(hall), price)).collect(),
     }
 }
 
-fn all(size: &PoolSize) -> u32 {
-    size.values().map(|hall| hall.all()).sum()
+fn total(size: &PoolSize) -> u32 {
+    size.values().map(|hall| hall.total()).sum()
 }
 
 #[test]
-fn what_is_left_after_one_hall_lost_its_cheap_engines_serves_the_demand() {
+fn the_demand_is_served_after_one_hall_loses_its_reclaimable_engines() {
     for needed in [3.0, 20.0, 57.0, 75.0] {
         let wanted = scaling().wanted(needed, &FleetPolicy::default());
         for lost in HALLS {
-            let left = all(&wanted) - wanted[lost].reclaimable;
+            let left = total(&wanted) - wanted[lost].reclaimable;
             assert!(f64::from(left) >= needed, "{needed} needed, {left} left of {wanted:?}");
         }
     }
 }
 
 #[test]
-fn both_kinds_together_keep_the_limits() {
+fn both_kinds_together_stay_within_the_limits() {
     for needed in [0.0, 0.5, 60.0, 90.0, 114.0, 500.0] {
         for hall in scaling().wanted(needed, &FleetPolicy::default()).values() {
-            assert!((1..=38).contains(&hall.all()), "{needed}: {hall:?}");
+            assert!((1..=38).contains(&hall.total()), "{needed}: {hall:?}");
         }
     }
 }
 
 /// Where cheap engines are none, or hardly cheaper, or all in one hall, engines that stay are bought.
 #[test]
-fn engines_that_may_be_taken_away_are_bought_only_where_they_are_cheaper_in_the_end() {
+fn reclaimable_engines_are_ordered_only_if_they_are_cheaper_overall() {
     let staying =
         |scaling: &Scaling| scaling.wanted(30.0, &FleetPolicy::default()).values().all(|hall| hall.reclaimable == 0);
     assert!(!staying(&scaling()));
@@ -60,131 +60,133 @@
 }
 
 #[test]
-fn a_peak_counts_while_swings_may_bring_it_back_and_then_fades() {
+fn a_peak_is_held_and_then_decays() {
     let at = |seconds: u64| Time(seconds * 1_000_000);
-    let mut peak = Peak::seen_before(10.0, at(0));
-    peak.note(60.0, at(10));
-    peak.note(5.0, at(20));
+    let mut peak = Peak::observed(10.0, at(0));
+    peak.observe(60.0, at(10));
+    peak.observe(5.0, at(20));
     assert!((peak.at(at(39)) - 60.0).abs() < 1e-9);
     assert!((peak.at(at(55)) - 30.0).abs() < 1e-9);
-    peak.note(40.0, at(56));
+    peak.observe(40.0, at(56));
     assert!((peak.at(at(80)) - 40.0).abs() < 1e-9);
 }
 
 /// Ninety engines are given for a demand that needs forty: what was expected ends once averages have settled.
 #[test]
-fn an_expected_demand_gives_way_to_the_one_that_comes() {
+fn observed_demand_replaces_expected_demand() {
     let at = |seconds: u64| Time(seconds * 1_000_000);
     let mut peak = Peak::default();
     for second in 0..10 {
-        peak.expect(90.0, at(second));
+        peak.set_expected(90.0, at(second));
         assert!((peak.at(at(second)) - 90.0).abs() < 1e-9);
     }
-    peak.note(80.0, at(10));
+    peak.observe(80.0, at(10));
     assert!((peak.at(at(12)) - 90.0).abs() < 1e-9, "a few seconds say little");
-    peak.note(40.0, at(18));
+    peak.observe(40.0, at(18));
     assert!((peak.at(at(18)) - 40.0).abs() < 1e-9, "the first figures do not hold");
     let mut next = Peak::expected(90.0, at(20));
-    next.note(40.0, at(21));
+    next.observe(40.0, at(21));
     assert!((next.at(at(22)) - 90.0).abs() < 1e-9);
-    next.note(120.0, at(22));
+    next.observe(120.0, at(22));
     assert!((next.at(at(22)) - 120.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_little_less_demand_gives_nothing_back() {
+fn slightly_lower_demand_releases_no_engines() {
     let wanted = |needed| scaling().wanted(needed, &FleetPolicy::default());
     let (full, less, half) = (wanted(40.0), wanted(37.0), wanted(20.0));
-    assert!(!replaces(&less, &full) && replaces(&half, &full) && replaces(&full, &less));
+    assert!(!should_replace(&less, &full) && should_replace(&half, &full) && should_replace(&full, &less));
 }
 
 /// Engines of a pool, as the platform would have them.
 struct Platform {
     scaling: Scaling,
     ordered: PoolSize,
-    there: PoolSize,
+    running: PoolSize,
     /// Engines that start, by when they are there.
     starting: Vec<(u64, Arc<str>, bool)>,
     /// Until when a hall has none that may be taken away.
-    dry_until_s: BTreeMap<Arc<str>, u64>,
+    unavailable_until_s: BTreeMap<Arc<str>, u64>,
     orders: usize,
 }
 
 impl Platform {
     /// All engines stay at first, as many in each hall.
     fn new(each: u32) -> Self {
-        let there: PoolSize =
+        let running: PoolSize =
             HALLS.iter().map(|hall| (Arc::from(*hall), HallSize { staying: each, reclaimable: 0 })).collect();
         Self {
             scaling: scaling(),
-            ordered: there.clone(),
-            there,
+            ordered: running.clone(),
+            running,
             starting: Vec::new(),
-            dry_until_s: BTreeMap::new(),
+            unavailable_until_s: BTreeMap::new(),
             orders: 0,
         }
     }
 
     /// Take all that may be taken away in a hall, and have none for a while.
-    fn reclaim(&mut self, hall: &str, now_s: u64, dry_s: u64) {
-        self.there.get_mut(hall).expect("a hall").reclaimable = 0;
+    fn reclaim(&mut self, hall: &str, now_s: u64, unavailable_s: u64) {
+        self.running.get_mut(hall).expect("a hall").reclaimable = 0;
         self.starting.retain(|(_, its, reclaimable)| &**its != hall || !reclaimable);
-        self.dry_until_s.insert(Arc::from(hall), now_s + dry_s);
+        self.unavailable_until_s.insert(Arc::from(hall), now_s + unavailable_s);
     }
 
-    fn second(&mut self, now_s: u64, wanted: &PoolSize) {
-        for (hall, next) in self.scaling.next(wanted, &self.there, &self.ordered) {
+    fn advance_second(&mut self, now_s: u64, wanted: &PoolSize) {
+        for (hall, next) in self.scaling.next_order(wanted, &self.running, &self.ordered) {
             let hall = &hall;
             self.orders += usize::from(next != self.ordered[hall]);
             self.ordered.insert(Arc::clone(hall), next);
-            let is_dry = self.dry_until_s.get(hall).is_some_and(|until| now_s < *until);
-            let there = self.there.get_mut(hall).expect("a hall");
-            there.staying = there.staying.min(next.staying);
-            there.reclaimable = there.reclaimable.min(next.reclaimable);
+            let is_unavailable = self.unavailable_until_s.get(hall).is_some_and(|until| now_s < *until);
+            let running = self.running.get_mut(hall).expect("a hall");
+            running.staying = running.staying.min(next.staying);
+            running.reclaimable = running.reclaimable.min(next.reclaimable);
             let starting = |kind| self.starting.iter().filter(|(_, its, k)| its == hall && *k == kind).count() as u32;
-            let lacks = next.staying - (there.staying + starting(false)).min(next.staying);
-            let lacks_reclaimable = next.reclaimable - (there.reclaimable + starting(true)).min(next.reclaimable);
-            let ready_s = now_s + self.scaling.start.as_seconds() as u64;
-            let coming = (0..lacks).map(|_| false).chain((0..lacks_reclaimable).filter(|_| !is_dry).map(|_| true));
+            let missing_staying = next.staying - (running.staying + starting(false)).min(next.staying);
+            let missing_reclaimable = next.reclaimable - (running.reclaimable + starting(true)).min(next.reclaimable);
+            let ready_s = now_s + self.scaling.start_time.as_seconds() as u64;
+            let coming = (0..missing_staying)
+                .map(|_| false)
+                .chain((0..missing_reclaimable).filter(|_| !is_unavailable).map(|_| true));
             self.starting.extend(coming.map(|kind| (ready_s, Arc::clone(hall), kind)).collect::<Vec<_>>());
-            let all = there.all() + self.starting.iter().filter(|(_, its, _)| its == hall).count() as u32;
+            let all = running.total() + self.starting.iter().filter(|(_, its, _)| its == hall).count() as u32;
             assert!(all <= self.scaling.max, "second {now_s}: {all} in {hall}");
         }
         let (ready, still): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.starting).into_iter().partition(|s| s.0 <= now_s);
         self.starting = still;
         for (_, hall, reclaimable) in ready {
-            let there = self.there.get_mut(&hall).expect("a hall");
+            let running = self.running.get_mut(&hall).expect("a hall");
             if reclaimable {
-                there.reclaimable += 1;
+                running.reclaimable += 1;
             } else {
-                there.staying += 1;
+                running.staying += 1;
             }
         }
     }
 
     fn serving(&self) -> f64 {
-        f64::from(all(&self.there))
+        f64::from(total(&self.running))
     }
 }
 
 /// On the way from engines that stay to cheap ones the demand is served in each second.
 #[test]
-fn the_way_to_cheaper_engines_never_has_too_few() {
+fn the_demand_is_served_during_the_switch_to_reclaimable_engines() {
     let mut platform = Platform::new(19);
     let wanted = scaling().wanted(57.0, &FleetPolicy::default());
     for now_s in 0..30 {
-        platform.second(now_s, &wanted);
-        assert!(platform.serving() >= 57.0, "second {now_s}: {:?}", platform.there);
+        platform.advance_second(now_s, &wanted);
+        assert!(platform.serving() >= 57.0, "second {now_s}: {:?}", platform.running);
     }
-    assert_eq!(platform.there, wanted);
+    assert_eq!(platform.running, wanted);
     assert!(platform.orders <= 12, "{} orders", platform.orders);
 }
 
 /// All cheap engines of one hall go at the peak, of another soon after, and none are to be had: in each second
 /// nine tenths of the demand are served, and later all is as it was.
 #[test]
-fn cheap_engines_that_go_twice_and_are_not_to_be_had_leave_enough() {
+fn two_reclaims_without_replacements_leave_enough_engines() {
     let mut platform = Platform::new(19);
     let wanted = scaling().wanted(57.0, &FleetPolicy::default());
     for now_s in 0..90 {
@@ -193,24 +195,24 @@
             50 => platform.reclaim("b", now_s, 11),
             _ => {}
         }
-        platform.second(now_s, &wanted);
-        assert!(platform.serving() >= 57.0 * 0.9, "second {now_s}: {:?}", platform.there);
+        platform.advance_second(now_s, &wanted);
+        assert!(platform.serving() >= 57.0 * 0.9, "second {now_s}: {:?}", platform.running);
     }
-    assert_eq!(platform.there, wanted);
+    assert_eq!(platform.running, wanted);
 }
 
 /// A demand that swings within the time that an engine takes to start moves no engine.
 #[test]
-fn a_demand_that_swings_faster_than_engines_start_changes_nothing() {
+fn demand_that_swings_faster_than_engines_start_changes_nothing() {
     let scaling = scaling();
-    let mut peak = Peak::seen_before(57.0, Time(0));
+    let mut peak = Peak::observed(57.0, Time(0));
     let mut wanted = scaling.wanted(57.0, &FleetPolicy::default());
     let mut changes = 0;
     for second in 0..120_u64 {
         let now = Time(second * 1_000_000);
-        peak.note(if second % 6 < 3 { 20.0 } else { 57.0 }, now);
+        peak.observe(if second % 6 < 3 { 20.0 } else { 57.0 }, now);
         let new = scaling.wanted(peak.at(now), &FleetPolicy::default());
-        if replaces(&new, &wanted) {
+        if should_replace(&new, &wanted) {
             wanted = new;
             changes += 1;
         }
@@ -220,18 +222,18 @@
 
 /// A demand that falls to nothing ends at the least that operators allow, in a few steps.
 #[test]
-fn a_demand_that_ends_gives_all_back_but_the_least() {
+fn a_pool_shrinks_to_its_minimum_when_demand_ends() {
     let scaling = scaling();
-    let peak = Peak::seen_before(57.0, Time(0));
+    let peak = Peak::observed(57.0, Time(0));
     let mut wanted = scaling.wanted(57.0, &FleetPolicy::default());
     let mut changes = 0;
     for second in 0..300_u64 {
         let new = scaling.wanted(peak.at(Time(second * 1_000_000)), &FleetPolicy::default());
-        if replaces(&new, &wanted) {
+        if should_replace(&new, &wanted) {
             wanted = new;
             changes += 1;
         }
     }
-    assert!(all(&wanted) <= 6, "{wanted:?}");
+    assert!(total(&wanted) <= 6, "{wanted:?}");
     assert!(changes <= 20, "{changes} changes");
 }
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -5,13 +5,13 @@
     fleet::{
         Fleet,
         peers::{ReportId, Source},
-        plan::{NoPlan, Plan},
+        plan::{Plan, PlanError},
     },
     time::{Span, Time},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::{ask, facts, hall, id, in_hall, now, prompt, said, step, with};
+use crate::{facts, fleet_in_hall, fleet_with, hall_hash, id, now, prompt, report_id, req, step};
 
 /// Length of the windows in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
@@ -35,8 +35,8 @@
     fn new(count: usize, limit: f64) -> Self {
         let mut daemons = Self { fleets: Vec::new(), limit: Some(limit), arrived: Vec::new() };
         for rank in 0..count {
-            let mut fleet = with(&[("a", Role::Plain)]);
-            fleet.set_listed(count);
+            let mut fleet = fleet_with(&[("a", Role::Plain)]);
+            fleet.set_listed_daemons(count);
             fleet.set_slot_share(rank, Span(0), now());
             daemons.fleets.push(fleet);
         }
@@ -125,7 +125,7 @@
             for ms in (start_ms..start_ms + 1_000).step_by(10) {
                 for rank in 0..next.max(listed) {
                     let known = if ms >= learned[rank] { next } else { listed };
-                    daemons.fleets[rank].set_listed(known);
+                    daemons.fleets[rank].set_listed_daemons(known);
                     daemons.fleets[rank].set_slot_share(rank, clocks[rank], Daemons::time(ms));
                     if rank < known {
                         daemons.send(rank, ms);
@@ -163,7 +163,7 @@
 /// Guards against a rate-limited replica that gets no requests until a clock that was set back has caught up.
 #[test]
 fn a_rate_limited_replica_gets_requests_after_the_clock_is_set_back() {
-    let mut fleet = with(&[("a", Role::Plain)]);
+    let mut fleet = fleet_with(&[("a", Role::Plain)]);
     fleet.set_slot_share(0, Span::millis(3_600_000), now());
     assert!(set_limit(&mut fleet, Some(2.0), 0, 0));
     assert!(accepts(&mut fleet, 1_000));
@@ -183,7 +183,7 @@
 /// Guards against lifting a limit because of a delayed answer that predates it.
 #[test]
 fn only_an_answer_to_a_later_request_lifts_a_rate_limit() {
-    let mut fleet = with(&[("a", Role::Plain)]);
+    let mut fleet = fleet_with(&[("a", Role::Plain)]);
     assert!(set_limit(&mut fleet, Some(0.5), 0, 10));
     assert!(!set_limit(&mut fleet, None, 5, 20));
     assert!(!accepts(&mut fleet, 30));
@@ -206,16 +206,17 @@
 /// Guards against daemons that ignore reported limits, and against reports that reinstate a lifted limit.
 #[test]
 fn daemons_report_new_and_lifted_rate_limits_to_each_other() {
-    let mut here = in_hall("hall-1");
-    let mut peer = in_hall("hall-1");
-    let mut far = in_hall("hall-2");
-    let summary = |number, daemons| ReportId { source: Source::Hall(hall()), sender: 1, number, hall: hall(), daemons };
+    let mut here = fleet_in_hall("hall-1");
+    let mut peer = fleet_in_hall("hall-1");
+    let mut far = fleet_in_hall("hall-2");
+    let summary =
+        |number, daemons| ReportId { source: Source::Hall(hall_hash()), sender: 1, number, hall: hall_hash(), daemons };
     let mut number = 0;
     let mut exchange = |here: &mut Fleet, peer: &mut Fleet, far: &mut Fleet, ms| {
         number += 1;
         let time = Daemons::time(ms);
-        peer.apply_report(said(2, number), &here.own_report(time), time);
-        here.apply_report(said(3, number), &peer.own_report(time), time);
+        peer.apply_report(report_id(2, number), &here.own_report(time), time);
+        here.apply_report(report_id(3, number), &peer.own_report(time), time);
         let (sum, daemons) = peer.hall_summary(time);
         far.apply_report(summary(number, daemons), &sum, time);
     };
@@ -237,12 +238,12 @@
 /// Guards against choosing an engine whose rate limit has no slot for this daemon.
 #[test]
 fn requests_beyond_an_engines_rate_limit_go_to_another_engine() {
-    let mut fleet = with(&[("a", Role::Decode), ("b", Role::Decode)]);
+    let mut fleet = fleet_with(&[("a", Role::Decode), ("b", Role::Decode)]);
     set_limit(&mut fleet, Some(0.5), 0, 0);
     let prompt = prompt(10, 11, 1);
     for draw in 0..50 {
-        let req = dahliaseam_core::fleet::plan::RouteRequest { draw, ..ask(Some(&prompt), &[]) };
-        let Ok(Plan::Whole(step)) = fleet.choose(&req, now()) else { panic!("engine b is available") };
+        let req = dahliaseam_core::fleet::plan::RouteRequest { draw, ..req(Some(&prompt), &[]) };
+        let Ok(Plan::Single(step)) = fleet.choose(&req, now()) else { panic!("engine b is available") };
         assert_eq!(id(&fleet, step.key), "b");
     }
 }
@@ -250,24 +251,24 @@
 /// Guards against requests that wait for a rate-limited replica until their deadline.
 #[test]
 fn requests_that_no_replica_accepts_are_refused_with_a_retry_time() {
-    let mut fleet = with(&[("a", Role::Plain)]);
+    let mut fleet = fleet_with(&[("a", Role::Plain)]);
     set_limit(&mut fleet, Some(4.0), 0, 0);
-    let Err(NoPlan::RateLimited { come_back }) = fleet.choose(&ask(None, &[]), now()) else {
+    let Err(PlanError::RateLimited { retry_after }) = fleet.choose(&req(None, &[]), now()) else {
         panic!("the request must be refused")
     };
-    assert!(come_back >= Span::millis(60) && come_back <= Span::millis(660), "{come_back:?}");
+    assert!(retry_after >= Span::millis(60) && retry_after <= Span::millis(660), "{retry_after:?}");
 }
 
 /// Guards against a later answer that shortens the retry time, and against a restarted replica that inherits it.
 #[test]
 fn a_replica_gets_no_requests_before_its_retry_time() {
-    let mut fleet = with(&[("a", Role::Plain)]);
+    let mut fleet = fleet_with(&[("a", Role::Plain)]);
     assert!(fleet.set_retry_at(&facts("a", Role::Plain), Daemons::time(3_000)));
     assert!(!fleet.set_retry_at(&facts("a", Role::Plain), Daemons::time(1_000)));
     assert!(!accepts(&mut fleet, 2_999));
-    assert!(matches!(fleet.choose(&ask(None, &[]), Daemons::time(2_000)), Err(NoPlan::RateLimited { .. })));
-    assert!(accepts(&mut fleet, 3_000) && fleet.choose(&ask(None, &[]), Daemons::time(3_000)).is_ok());
-    let restarted = dahliaseam_core::fleet::replica::ReplicaFacts { born: Some(2), ..facts("a", Role::Plain) };
+    assert!(matches!(fleet.choose(&req(None, &[]), Daemons::time(2_000)), Err(PlanError::RateLimited { .. })));
+    assert!(accepts(&mut fleet, 3_000) && fleet.choose(&req(None, &[]), Daemons::time(3_000)).is_ok());
+    let restarted = dahliaseam_core::fleet::replica::ReplicaFacts { start_time_ms: Some(2), ..facts("a", Role::Plain) };
     fleet.set_retry_at(&facts("a", Role::Plain), Daemons::time(9_000));
     fleet.put(restarted, 2);
     assert!(accepts(&mut fleet, 4_000));
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -14,38 +14,41 @@
     time::Span,
 };
 
-use crate::{SERVICE, ask, facts, fleet, id, now, step, with};
+use crate::{SERVICE, facts, fleet, fleet_with, id, now, req, step};
 
 #[test]
-fn decode_engines_are_kept_for_answers_of_any_length() {
+fn enough_decode_engines_are_kept_for_answers() {
     let roles: Vec<(String, Role)> =
         (0..12).map(|n| (format!("e{n}"), if n < 4 { Role::Prefill } else { Role::Decode })).collect();
     let roles: Vec<(&str, Role)> = roles.iter().map(|(id, role)| (id.as_str(), *role)).collect();
-    let mut fleet = with(&roles);
+    let mut fleet = fleet_with(&roles);
     // Ten slots each: 25 short answers take more than three engines, and twice that is kept.
-    let demand = Demand { reading: 9.0, slots: 25.0, ..Demand::default() };
+    let demand = Demand { prefill: 9.0, slots: 25.0, ..Demand::default() };
     let mut changed = 0;
     let mut at = now();
-    while let Some(shift) = fleet.next_shift(SERVICE, demand, at) {
-        assert_eq!(shift.to, Role::Prefill);
-        fleet.put(facts(&id(&fleet, shift.key), Role::Prefill), 2);
+    while let Some(change) = fleet.next_role_change(SERVICE, demand, at) {
+        assert_eq!(change.to, Role::Prefill);
+        fleet.put(facts(&id(&fleet, change.key), Role::Prefill), 2);
         at = at + Span::millis(3_000);
         changed += 1;
     }
     assert!((0..=1).contains(&changed), "{changed} were taken");
-    let mut fleet = with(&roles);
-    let demand = Demand { reading: 9.0, slots: 5.0, ..Demand::default() };
-    let first = fleet.next_shift(SERVICE, demand, now()).expect("there are some to spare");
-    fleet.set_changing(first.key, first.to, now() + Span::millis(3_000));
-    let second = fleet.next_shift(SERVICE, demand, now()).expect("two of twelve may change at once");
-    fleet.set_changing(second.key, second.to, now() + Span::millis(3_000));
-    assert_eq!(fleet.next_shift(SERVICE, demand, now()), None, "no more than two");
-    let moving = Demand { moving: 7.0, reading: 0.1, ..Demand::default() };
-    assert_eq!(with(&roles).next_shift(SERVICE, moving, now()).map(|shift| shift.to), Some(Role::Decode));
+    let mut fleet = fleet_with(&roles);
+    let demand = Demand { prefill: 9.0, slots: 5.0, ..Demand::default() };
+    let first = fleet.next_role_change(SERVICE, demand, now()).expect("there are some to spare");
+    fleet.start_role_change(first.key, first.to, now() + Span::millis(3_000));
+    let second = fleet.next_role_change(SERVICE, demand, now()).expect("two of twelve may change at once");
+    fleet.start_role_change(second.key, second.to, now() + Span::millis(3_000));
+    assert_eq!(fleet.next_role_change(SERVICE, demand, now()), None, "no more than two");
+    let transfer = Demand { transfer: 7.0, prefill: 0.1, ..Demand::default() };
+    assert_eq!(
+        fleet_with(&roles).next_role_change(SERVICE, transfer, now()).map(|change| change.to),
+        Some(Role::Decode)
+    );
 }
 
 #[test]
-fn roles_follow_the_demand_and_never_leave_one_side_empty() {
+fn roles_follow_demand_and_a_minimum_of_each_role_is_kept() {
     let roles = [
         ("p1", Role::Prefill),
         ("p2", Role::Prefill),
@@ -54,48 +57,50 @@
         ("d3", Role::Decode),
         ("d4", Role::Decode),
     ];
-    let mut fleet = with(&roles);
-    let reading = Demand { reading: 9.0, slots: 2.0, ..Demand::default() };
+    let mut fleet = fleet_with(&roles);
+    let prefill = Demand { prefill: 9.0, slots: 2.0, ..Demand::default() };
     let mut changed = 0;
-    while let Some(shift) = fleet.next_shift(SERVICE, reading, now()) {
-        assert_eq!(shift.to, Role::Prefill);
-        fleet.set_changing(shift.key, shift.to, now() + Span::millis(3_000));
-        assert_eq!(fleet.next_shift(SERVICE, reading, now()), None, "one at a time of so few");
-        fleet.put(facts(&id(&fleet, shift.key), Role::Prefill), 2);
+    while let Some(change) = fleet.next_role_change(SERVICE, prefill, now()) {
+        assert_eq!(change.to, Role::Prefill);
+        fleet.start_role_change(change.key, change.to, now() + Span::millis(3_000));
+        assert_eq!(fleet.next_role_change(SERVICE, prefill, now()), None, "one at a time of so few");
+        fleet.put(facts(&id(&fleet, change.key), Role::Prefill), 2);
         changed += 1;
     }
     assert_eq!(changed, 2, "two decode engines are kept");
-    let calm = Demand { reading: 0.1, slots: 2.0, ..Demand::default() };
-    assert_eq!(with(&roles).next_shift(SERVICE, calm, now()), None);
-    let answers = Demand { reading: 0.1, slots: 90.0, ..Demand::default() };
-    assert_eq!(with(&roles).next_shift(SERVICE, answers, now()), None, "two prefill engines are kept");
+    let calm = Demand { prefill: 0.1, slots: 2.0, ..Demand::default() };
+    assert_eq!(fleet_with(&roles).next_role_change(SERVICE, calm, now()), None);
+    let answers = Demand { prefill: 0.1, slots: 90.0, ..Demand::default() };
+    assert_eq!(fleet_with(&roles).next_role_change(SERVICE, answers, now()), None, "two prefill engines are kept");
 }
 
 #[test]
-fn an_engine_whose_order_is_uncertain_gets_no_other() {
-    let mut fleet = with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
-    let reading = Demand { reading: 9.0, slots: 2.0, ..Demand::default() };
-    let first = fleet.next_shift(SERVICE, reading, now()).expect("one is worth it");
-    fleet.no_orders_until(first.key, now() + Span::millis(13_000));
-    let second = fleet.next_shift(SERVICE, reading, now()).expect("another one can change");
+fn an_engine_with_an_unconfirmed_order_gets_no_other() {
+    let mut fleet =
+        fleet_with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
+    let prefill = Demand { prefill: 9.0, slots: 2.0, ..Demand::default() };
+    let first = fleet.next_role_change(SERVICE, prefill, now()).expect("one is worth it");
+    fleet.hold_orders_until(first.key, now() + Span::millis(13_000));
+    let second = fleet.next_role_change(SERVICE, prefill, now()).expect("another one can change");
     assert_ne!(first.key, second.key);
 }
 
 #[test]
 fn an_engine_with_long_answers_keeps_its_role() {
-    let mut fleet = with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
+    let mut fleet =
+        fleet_with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
     for id in ["d1", "d2", "d3"] {
         let key = fleet.key(id).expect("it is known");
         fleet.begin(key, &step(key, 0.0, true), None, now());
     }
-    assert_eq!(fleet.next_shift(SERVICE, Demand { reading: 9.0, slots: 2.0, ..Demand::default() }, now()), None);
+    assert_eq!(fleet.next_role_change(SERVICE, Demand { prefill: 9.0, slots: 2.0, ..Demand::default() }, now()), None);
 }
 
 /// Few engines answer and many read: streams of some seconds fill the engines that answer up to where the
 /// longest run into their callers' limit, while two thirds of the others have nothing to read. By slots alone, of
 /// which a quarter is taken, neither side lacks engines.
 #[test]
-fn engines_without_work_to_read_answer_where_answers_go_on_too_slowly() {
+fn idle_prefill_engines_become_decode_engines_if_answers_are_too_slow() {
     let roles: Vec<(String, Role)> =
         (0..60).map(|n| (format!("e{n}"), if n < 42 { Role::Prefill } else { Role::Decode })).collect();
     let mut fleet = fleet();
@@ -103,12 +108,12 @@
         fleet.put(ReplicaFacts { slots: 64, ..facts(id, *role) }, 1);
     }
     learn_streams(&mut fleet, "e50");
-    let demand = Demand { reading: 10.0, slots: 450.0, ..Demand::default() };
+    let demand = Demand { prefill: 10.0, slots: 450.0, ..Demand::default() };
     let mut at = now() + Span::millis(20_000);
     let mut answering = 18;
-    while let Some(shift) = fleet.next_shift(SERVICE, demand, at) {
-        assert_eq!(shift.to, Role::Decode);
-        let id = id(&fleet, shift.key);
+    while let Some(change) = fleet.next_role_change(SERVICE, demand, at) {
+        assert_eq!(change.to, Role::Decode);
+        let id = id(&fleet, change.key);
         fleet.put(ReplicaFacts { slots: 64, ..facts(&id, Role::Decode) }, 2);
         at = at + Span::millis(3_000);
         answering += 1;
@@ -120,9 +125,9 @@
 fn learn_streams(fleet: &mut Fleet, id: &str) {
     let key = fleet.key(id).expect("it is known");
     let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
-    let ask = RouteRequest { time_left: Span::millis(8_000), ..ask(Some(&prompt), &[]) };
+    let req = RouteRequest { time_left: Span::millis(8_000), ..req(Some(&prompt), &[]) };
     let long = step(key, 1.0, true);
-    fleet.offered(&Arc::from(SERVICE), &ask, &Plan::Whole(long), true, now());
+    fleet.record_demand(&Arc::from(SERVICE), &req, &Plan::Single(long), true, now());
     let mut running = Vec::new();
     for n in 0..40_u64 {
         let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("it is known");
@@ -139,11 +144,11 @@
 
 /// Answers of less than a thousand tokens can keep their slots for seconds, as their engines have shown.
 #[test]
-fn answers_count_as_long_by_the_time_that_they_take() {
-    let mut fleet = with(&[("d1", Role::Decode), ("d2", Role::Decode)]);
+fn answers_are_classified_as_long_by_their_duration() {
+    let mut fleet = fleet_with(&[("d1", Role::Decode), ("d2", Role::Decode)]);
     let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
     let is_long = |fleet: &Fleet, prompt: &Prompt| {
-        let plan = fleet.choose(&ask(Some(prompt), &[]), now() + Span::millis(20_000)).expect("an engine is free");
+        let plan = fleet.choose(&req(Some(prompt), &[]), now() + Span::millis(20_000)).expect("an engine is free");
         plan.is_long()
     };
     assert!(!is_long(&fleet, &prompt), "nothing is known yet");
@@ -156,27 +161,27 @@
 /// Engines that pause now and then for three times as long as usual: an answer whose events come 60 ms apart on
 /// average then pauses for 180, and the more answers an engine has the fewer of them keep a pause of 250.
 #[test]
-fn engines_that_pause_for_long_are_taken_to_bear_fewer_answers() {
-    let asked = |factor: u64| {
+fn engines_with_long_pauses_are_given_fewer_answers() {
+    let next_role = |factor: u64| {
         let mut fleet = fleet();
         for n in 0..60 {
             let role = if n < 30 { Role::Prefill } else { Role::Decode };
             fleet.put(ReplicaFacts { slots: 64, ..facts(&format!("d{n}"), role) }, 1);
         }
         learn_streams(&mut fleet, "d31");
-        fleet.set_pause(&Arc::from(SERVICE), Some(Span::millis(250)));
+        fleet.set_max_pause(&Arc::from(SERVICE), Some(Span::millis(250)));
         let key = fleet.key("d31").expect("it is known");
         let long = step(key, 1.0, true);
         let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
         let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("it is known");
-        let longest = Span::millis(60 * factor);
-        let whole = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest };
+        let longest_interval = Span::millis(60 * factor);
+        let whole = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest_interval };
         for _ in 0..200 {
             fleet.learn_answer(&sent, &whole, now() + Span::millis(9_000));
         }
-        let demand = Demand { reading: 10.0, slots: 700.0, ..Demand::default() };
-        fleet.next_shift(SERVICE, demand, now() + Span::millis(20_000)).map(|shift| shift.to)
+        let demand = Demand { prefill: 10.0, slots: 700.0, ..Demand::default() };
+        fleet.next_role_change(SERVICE, demand, now() + Span::millis(20_000)).map(|change| change.to)
     };
-    assert_eq!(asked(1), None);
-    assert_eq!(asked(4), Some(Role::Decode));
+    assert_eq!(next_role(1), None);
+    assert_eq!(next_role(4), Some(Role::Decode));
 }
