--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -14,15 +14,15 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
-use crate::{fleet, hall, now, prompt, step};
+use crate::{fleet, hall_hash, now, prompt, step};
 
 const ID: &str = "a";
 
-fn start(born: u64) -> ReplicaFacts {
-    ReplicaFacts { born: Some(born), ..crate::facts(ID, Role::Decode) }
+fn start(start_time_ms: u64) -> ReplicaFacts {
+    ReplicaFacts { start_time_ms: Some(start_time_ms), ..crate::facts(ID, Role::Decode) }
 }
 
-fn with(facts: ReplicaFacts) -> Fleet {
+fn fleet_with(facts: ReplicaFacts) -> Fleet {
     let mut fleet = fleet();
     fleet.put(facts, 1);
     fleet
@@ -38,30 +38,30 @@
 }
 
 /// A daemon with work at a start, that it tells of.
-fn told_by_one_with_work(born: u64) -> LoadReport {
-    let mut fleet = with(start(born));
+fn report_with_load(start_time_ms: u64) -> LoadReport {
+    let mut fleet = fleet_with(start(start_time_ms));
     let key = fleet.key(ID).expect("it is known");
     fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now());
     fleet.own_report(now())
 }
 
 #[test]
-fn what_is_believed_of_one_start_ends_with_it() {
-    let mut fleet = with(ReplicaFacts { draining: true, ..start(1_000) });
+fn the_state_of_a_replica_is_discarded_when_it_restarts() {
+    let mut fleet = fleet_with(ReplicaFacts { draining: true, ..start(1_000) });
     let key = fleet.key(ID).expect("it is known");
     let sent = fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("it is known");
-    fleet.nobody_listens(&start(1_000), now());
-    fleet.set_changing(key, Role::Prefill, now() + Span::millis(9_000));
-    fleet.no_orders_until(key, now() + Span::millis(9_000));
+    fleet.mark_unreachable(&start(1_000), now());
+    fleet.start_role_change(key, Role::Prefill, now() + Span::millis(9_000));
+    fleet.hold_orders_until(key, now() + Span::millis(9_000));
     assert!(fleet.put(start(5_000), 2), "it is another one");
     let next = fleet.key(ID).expect("it is known");
     assert_ne!(next, key, "nothing that was planned for the one before reaches it");
     let row = fleet.get(next).expect("it is known");
-    assert!(row.is_open(now()) && row.health.allows(now()) && row.orders_from.is_past(now()));
+    assert!(row.is_open(now()) && row.health.allows(now()) && row.orders_held_until.is_past(now()));
     assert_eq!((row.active(), held_tokens(&fleet)), (0, 0));
     assert!(fleet.get(key).is_none());
     assert!(fleet.is_replaced(&start(1_000)) && !fleet.is_replaced(&start(5_000)));
-    assert!(!fleet.nobody_listens(&start(1_000), now()), "that was the one before");
+    assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the one before");
     // Work that was under way ends without a trace at the new one.
     assert!(!fleet.end(&sent, StepEnd::Silent, now()));
     let row = fleet.get(next).expect("it is known");
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn one_that_does_not_say_when_it_started_still_works() {
-    let mut fleet = with(crate::facts(ID, Role::Decode));
+fn a_replica_without_a_start_time_is_supported() {
+    let mut fleet = fleet_with(crate::facts(ID, Role::Decode));
     let key = fleet.key(ID).expect("it is known");
     assert!(!fleet.put(crate::facts(ID, Role::Decode), 2));
     assert_eq!(fleet.key(ID), Some(key));
@@ -84,12 +84,17 @@
 }
 
 #[test]
-fn an_older_starts_news_undoes_nothing_in_any_order() {
-    let (old, new) = (told_by_one_with_work(1_000), told_by_one_with_work(5_000));
+fn updates_from_an_older_start_have_no_effect_in_any_order() {
+    let (old, new) = (report_with_load(1_000), report_with_load(5_000));
     for seed in 0..10_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let id =
-            |sender: u64, number| ReportId { source: Source::Daemon(sender), sender, number, hall: hall(), daemons: 1 };
+        let id = |sender: u64, number| ReportId {
+            source: Source::Daemon(sender),
+            sender,
+            number,
+            hall: hall_hash(),
+            daemons: 1,
+        };
         let mut arrivals = vec![
             Arrival::Entry(start(1_000), 3),
             Arrival::Entry(start(1_000), 5),
@@ -107,12 +112,12 @@
         for arrival in arrivals {
             match arrival {
                 Arrival::Entry(facts, revision) => drop(fleet.put(facts, revision)),
-                Arrival::Removed(revision) => drop(fleet.removed(ID, revision, Time(0))),
-                Arrival::Peer(id, news) => drop(fleet.apply_report(id, &news, now())),
+                Arrival::Removed(revision) => drop(fleet.mark_removed(ID, revision, Time(0))),
+                Arrival::Peer(id, report) => drop(fleet.apply_report(id, &report, now())),
             }
         }
         let key = fleet.key(ID).expect("it is known");
-        assert_eq!(fleet.get(key).expect("it is known").facts.born, Some(5_000), "seed {seed}");
+        assert_eq!(fleet.get(key).expect("it is known").facts.start_time_ms, Some(5_000), "seed {seed}");
         assert!(fleet.get(key).expect("it is known").is_open(now()), "seed {seed}");
         // What a mate has at the start before is not there; what it has at this one is told again and again.
         fleet.apply_report(id(1, 2), &old, now());
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -135,11 +135,11 @@
     /// Try a plan; the answer's head has come when this returns one.
     pub(super) async fn attempt(&self, plan: &Plan) -> Result<Answer, Failed> {
         match plan {
-            Plan::Whole(step) => self
+            Plan::Single(step) => self
                 .serve(step, &Task::Serve { copy_from: self.copy_from(step) })
                 .await
                 .map_err(|why| Failed { why, reading: false, at: step.key }),
-            Plan::TwoSteps { read, write } => self.two_steps(read, write).await,
+            Plan::Disaggregated { prefill: read, decode: write } => self.two_steps(read, write).await,
         }
     }
 
@@ -150,7 +150,7 @@
         let mut refused = 0;
         let mut credit = self.credit();
         loop {
-            if self.gw.fleet().endings.is_refused(self.content) {
+            if self.gw.fleet().crashes.is_refused(self.content) {
                 let why = CallFailure::NotTried("replicas end under it");
                 return Err(Failed { why, reading: false, at: write.key });
             }
@@ -182,7 +182,7 @@
         let now = self.gw.now();
         let fleet = self.gw.fleet();
         let req = RouteRequest { tried, ..self.route_request(now) };
-        fleet.choose_writer(&req, read, planned.long, now).unwrap_or(*planned)
+        fleet.choose_decode_step(&req, read, planned.long, now).unwrap_or(*planned)
     }
 
     /// Whether another engine may answer instead: the prompt's memory is still there if this one
@@ -192,7 +192,7 @@
             return false;
         }
         let now = self.gw.now();
-        !why.arrived() || self.gw.fleet().take_repeats(1, &self.service, &self.gw.budget(), now)
+        !why.arrived() || self.gw.fleet().take_retries(1, &self.service, &self.gw.budget(), now)
     }
 
     /// Have a request answered.
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -146,7 +146,7 @@
         let now = gw.now();
         let mut next = self.stored.clone();
         for (service, scaling) in scaled(gw) {
-            let there = gw.fleet().pool(&service, now);
+            let there = gw.fleet().pool_size(&service, now);
             if there.is_empty() {
                 continue;
             }
@@ -156,7 +156,7 @@
                 needed: None,
             });
             self.want(gw, &service, &scaling, pool, &there, now);
-            let ordered = scaling.next(&pool.wanted, &there, &pool.ordered);
+            let ordered = scaling.next_order(&pool.wanted, &there, &pool.ordered);
             self.note_due(&service, &scaling, &there, &pool.ordered, &ordered, now);
             pool.ordered = ordered;
         }
@@ -176,24 +176,24 @@
         there: &PoolSize,
         now: Time,
     ) {
-        let there_all = there.values().map(|hall| f64::from(hall.all())).sum::<f64>();
+        let there_all = there.values().map(|hall| f64::from(hall.total())).sum::<f64>();
         let known = pool.needed;
         let peak = self.peaks.entry(Arc::clone(service)).or_insert_with(|| match known {
-            Some(Needed { engines, seen: true }) => Peak::seen_before(engines, now),
+            Some(Needed { engines, seen: true }) => Peak::observed(engines, now),
             Some(Needed { engines, seen: false }) => Peak::expected(engines, now),
             None => Peak::default(),
         });
         let demand = gw.fleet().demand(service, now);
         let needed = gw.fleet().needed_engines(service, demand, gw.now()).unwrap_or_default();
         if needed > 0.0 {
-            peak.note(needed, now);
+            peak.observe(needed, now);
         } else if !known.is_some_and(|known| known.seen) {
             // Before any demand was seen the engines that operators gave say what they expect.
             let given = there.values().map(|hall| f64::from(hall.staying)).sum();
-            peak.expect(known.map_or(given, |known| known.engines), now);
+            peak.set_expected(known.map_or(given, |known| known.engines), now);
         }
         let wanted = scaling.wanted(peak.at(now), &gw.settings.policy);
-        if pool::replaces(&wanted, &pool.wanted) {
+        if pool::should_replace(&wanted, &pool.wanted) {
             let hall = wanted.values().next().copied().unwrap_or_default();
             emit!(
                 info,
@@ -201,7 +201,7 @@
                 service = %service,
                 needed,
                 peak = peak.at(now),
-                reading = demand.reading,
+                reading = demand.prefill,
                 slots = demand.slots,
                 there = there_all,
                 halls = wanted.len(),
@@ -233,7 +233,7 @@
             if ordered != count(before, &subject) {
                 self.due.insert(subject, now);
             } else if count(there, &subject) < ordered {
-                self.due.entry(subject).or_insert(now + scaling.start + EFFECT_TIMEOUT);
+                self.due.entry(subject).or_insert(now + scaling.start_time + EFFECT_TIMEOUT);
             }
         }
     }
--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -116,13 +116,13 @@
                 let age = Span::millis(wall_millis().saturating_sub(stored.since_ms));
                 let left = Span::millis(stored.until_ms.saturating_sub(wall_millis()));
                 if left > Span(0) {
-                    gw.fleet().endings.hear_stored(content, stored.ends, age, left, now);
+                    gw.fleet().crashes.hear_stored(content, stored.ends, age, left, now);
                 }
             }
         }
         Blame::Suspected => {
             if let Ok(stored) = serde_json::from_str::<StoredSuspicion>(&entry.value) {
-                gw.fleet().endings.hear_suspicion(content, &stored.read(), now);
+                gw.fleet().crashes.hear_suspicion(content, &stored.read(), now);
             }
         }
     }
@@ -133,7 +133,7 @@
 pub(super) fn removed(gw: &Gateway, key: &str) {
     if let Some((Blame::Refused, content)) = Blame::named(&gw.settings.keyspace, key) {
         let now = gw.now();
-        gw.fleet().endings.lift(content, now);
+        gw.fleet().crashes.lift(content, now);
     }
 }
 
@@ -224,7 +224,7 @@
     async fn look(&mut self, gw: &Arc<Gateway>) {
         let now = gw.now();
         let (blamed, lapsed) = {
-            let endings = &mut gw.fleet().endings;
+            let endings = &mut gw.fleet().crashes;
             let lapsed: HashSet<ContentHash> = endings.sweep(now).into_iter().collect();
             (Blamed { refused: endings.refused().collect(), suspected: endings.suspected(now).collect() }, lapsed)
         };
--- a/crates/daemon/src/gateway/ending.rs
+++ b/crates/daemon/src/gateway/ending.rs
@@ -64,7 +64,7 @@
     pub(super) fn stream(&mut self, answer: &Answer) {
         let passed = self.stream.as_ref().map_or_else(|| Passed::new(self.gw.now()), |stream| stream.passed);
         let replica = Arc::clone(&answer.replica.id);
-        self.stream = Some(StreamEnding { replica, beside: answer.work.sent().beside, passed });
+        self.stream = Some(StreamEnding { replica, beside: answer.work.sent().other_streams, passed });
     }
 
     /// Another event of the stream was passed on; returns a part of it when there is one to learn from.
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -29,18 +29,18 @@
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        self.gw.fleet().endings.end_trial(self.content);
+        self.gw.fleet().crashes.end_trial(self.content);
     }
 }
 
 impl Job {
     /// Begin a run that tells whether it is to blame, if it is in such doubt.
     pub(super) fn begin_trial(&self) -> Option<Trial> {
-        if !self.apart.is_some_and(|apart| apart.whole) {
+        if !self.apart.is_some_and(|apart| apart.single_replica) {
             return None;
         }
         let now = self.gw.now();
-        self.gw.fleet().endings.begin_trial(self.content, now);
+        self.gw.fleet().crashes.begin_trial(self.content, now);
         Some(Trial { gw: Arc::clone(&self.gw), content: self.content })
     }
 
@@ -110,7 +110,7 @@
     }
     let (ends, left_out) = {
         let mut fleet = gw.fleet();
-        (fleet.endings.ended(content, replica.start_id(), at), fleet.nobody_listens(&replica, gw.now()))
+        (fleet.crashes.ended(content, replica.start_id(), at), fleet.mark_unreachable(&replica, gw.now()))
     };
     gw.load_changed.notify_one();
     if left_out {
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -12,7 +12,7 @@
     once,
 };
 use dahliaseam_core::{
-    fleet::{replica::ReplicaFacts, split::Shift},
+    fleet::{replica::ReplicaFacts, split::RoleChange},
     time::{Span, Time},
 };
 use http::{Request, StatusCode};
@@ -72,14 +72,14 @@
         ROLE_SHIFT,
         replica = %replica.id,
         to = ?shift.to,
-        reading = shift.demand.reading,
+        reading = shift.demand.prefill,
         slots = shift.demand.slots,
         prefill = shift.before.0,
         decode = shift.before.1,
         fence = lease.fence()
     );
     let change = role_change_time(gw, &replica);
-    gw.fleet().set_changing(shift.key, shift.to, now + change + DRAIN_TIME);
+    gw.fleet().start_role_change(shift.key, shift.to, now + change + DRAIN_TIME);
     gw.load_changed.notify_one();
     tokio::time::sleep(REPORT_DELAY).await;
     let answer = send_order(gw, lease, &shift, &replica).await;
@@ -88,34 +88,34 @@
 }
 
 /// What an order's answer means for the engine.
-fn settle(gw: &Gateway, shift: &Shift, change: Span, answer: Option<&OrderAnswer>) {
+fn settle(gw: &Gateway, shift: &RoleChange, change: Span, answer: Option<&OrderAnswer>) {
     let now = gw.now();
     let mut fleet = gw.fleet();
     match answer {
         Some(OrderAnswer::Accepted) => {
-            fleet.set_changing(shift.key, shift.to, now + change + DRAIN_TIME);
-            fleet.no_orders_until(shift.key, now + change + REFUSED_PAUSE);
+            fleet.start_role_change(shift.key, shift.to, now + change + DRAIN_TIME);
+            fleet.hold_orders_until(shift.key, now + change + REFUSED_PAUSE);
         }
         Some(_) => {
-            fleet.set_changing(shift.key, shift.to, now);
-            fleet.no_orders_until(shift.key, now + REFUSED_PAUSE);
+            fleet.start_role_change(shift.key, shift.to, now);
+            fleet.hold_orders_until(shift.key, now + REFUSED_PAUSE);
         }
         None => {
-            fleet.set_changing(shift.key, shift.to, now);
-            fleet.no_orders_until(shift.key, now + LATE_ORDER_TIME);
+            fleet.start_role_change(shift.key, shift.to, now);
+            fleet.hold_orders_until(shift.key, now + LATE_ORDER_TIME);
         }
     }
     drop(fleet);
     gw.load_changed.notify_one();
 }
 
-fn next_shift(gw: &Gateway, now: Time) -> Option<(Shift, ReplicaFacts)> {
+fn next_shift(gw: &Gateway, now: Time) -> Option<(RoleChange, ReplicaFacts)> {
     let table = gw.table()?;
     let fleet = gw.fleet();
     let engines = table.services().filter(|service| service.engine.is_some());
     let mut shifts = engines.filter_map(|service| {
         let demand = fleet.demand(&service.name, now);
-        fleet.next_shift(&service.name, demand, now)
+        fleet.next_role_change(&service.name, demand, now)
     });
     let shift = shifts.next()?;
     let facts = fleet.get(shift.key)?.facts.clone();
@@ -131,11 +131,11 @@
 async fn send_order(
     gw: &Gateway,
     lease: &LeaderLease,
-    shift: &Shift,
+    shift: &RoleChange,
     replica: &ReplicaFacts,
 ) -> Result<OrderAnswer, CallError> {
     let report = report(gw, replica).await?;
-    if report.born.is_some() && report.born != replica.born {
+    if report.born.is_some() && report.born != replica.start_time_ms {
         // An order for the start before is not for this one, whose count of orders began anew.
         return Ok(OrderAnswer::OtherReplica);
     }
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -44,7 +44,7 @@
             events: self.count,
             total: self.count,
             took: self.last_at.since(self.first_at),
-            longest: self.longest,
+            longest_interval: self.longest,
         }
     }
 
@@ -54,7 +54,7 @@
         if took < PART {
             return None;
         }
-        let part = StreamPart { events: self.count - self.learned, total: self.count, took, longest: Span(0) };
+        let part = StreamPart { events: self.count - self.learned, total: self.count, took, longest_interval: Span(0) };
         self.learned = self.count;
         self.learned_at = self.last_at;
         Some(part)
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -137,7 +137,7 @@
     let rank = gw.peers.rank(&registration_key(gw, &gw.settings.vm));
     let time_of_day = Time(wall_millis() * MICROS_PER_MILLI);
     let mut fleet = gw.fleet();
-    fleet.set_listed(gw.peers.count_registered());
+    fleet.set_listed_daemons(gw.peers.count_registered());
     fleet.set_slot_share(rank, time_of_day.since(now), now);
 }
 
@@ -274,7 +274,7 @@
         gw.peers.note_aggregator(report.seen(now));
     } else if gw.peers.note_peer(from, report.seen(now)) {
         emit!(info, PEER_HEARD, peer = %from, sender = report.sender, revision = report.revision);
-        gw.fleet().endings.resend_all(now);
+        gw.fleet().crashes.resend_all(now);
         gw.load_changed.notify_one();
     }
     if report.revision > gw.store_cache().revision {
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -92,7 +92,7 @@
     if !gw.store_cache().is_complete() {
         return Vec::new();
     }
-    let is_blind = gw.fleet().is_blind(now);
+    let is_blind = gw.fleet().is_warming_up(now);
     let claims = lock(&gw.quotas.claims).clone();
     let mut due = Vec::new();
     let mut vms = None;
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -129,7 +129,7 @@
         loop {
             let asked = tokio::time::timeout(duration(SILENT), orders::report(&self.gw, replica)).await;
             match asked {
-                Ok(Ok(report)) if report.born.is_none() || report.born == replica.born => {}
+                Ok(Ok(report)) if report.born.is_none() || report.born == replica.start_time_ms => {}
                 _ => return,
             }
             emit!(debug, READ_OVERDUE, request = self.caller.id, replica = %replica.id);
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -228,7 +228,7 @@
         if !self.answer.work.was_suspended() {
             let mut fleet = self.job.gw.fleet();
             if self.job.caller.prompt.is_some() {
-                fleet.answered(&self.job.service, self.answer.work.age(), self.answer.work.is_long());
+                fleet.record_answer(&self.job.service, self.answer.work.age(), self.answer.work.is_long());
             }
             fleet.learn_answer(self.answer.work.sent(), &self.ending.passed(), self.job.gw.now());
         }
@@ -298,6 +298,6 @@
     /// A replica answered it to its end.
     fn answered(&self) {
         let now = self.gw.now();
-        self.gw.fleet().endings.answered(self.content, now);
+        self.gw.fleet().crashes.answered(self.content, now);
     }
 }
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -8,7 +8,7 @@
     content::ContentHash,
     fleet::{
         Fleet, StepEnd,
-        plan::{Apart, NoPlan, Plan, RouteRequest, Step},
+        plan::{Isolation, Plan, PlanError, RouteRequest, Step},
         replica::ReplicaKey,
     },
     quota::Credit,
@@ -65,7 +65,7 @@
     /// The last event that the caller has, where an answer goes on from there.
     pub(super) last_event: Option<String>,
     /// How it is kept apart from others, if replicas ended under it.
-    pub(super) apart: Option<Apart>,
+    pub(super) apart: Option<Isolation>,
     /// The run under way, if it tells whether the request is to blame for these ends.
     pub(super) trial: Option<Trial>,
     /// Replicas that are not to be tried again.
@@ -107,7 +107,7 @@
 async fn run(mut job: Job) -> Response<AnswerBody> {
     let mut ending = Ending::new(&job);
     let now = job.gw.now();
-    job.gw.fleet().request(&job.service, &job.gw.budget(), now);
+    job.gw.fleet().record_request(&job.service, &job.gw.budget(), now);
     loop {
         let plan = match job.next_plan().await {
             Ok(plan) => plan,
@@ -223,7 +223,7 @@
         }
         self.note_offered(&plan);
         let repeats = self.repeats(&plan).saturating_sub(self.taken);
-        if repeats > 0 && !self.gw.fleet().take_repeats(repeats, &self.service, &self.gw.budget(), now) {
+        if repeats > 0 && !self.gw.fleet().take_retries(repeats, &self.service, &self.gw.budget(), now) {
             emit!(info, BUDGET_SPENT, request = self.caller.id, service = %self.service);
             return Err(self.last_word());
         }
@@ -237,10 +237,10 @@
         let req = self.route_request(now);
         let chosen = fleet.choose(&req, now);
         let is_new = self.tried.is_empty();
-        if is_new && let Err(NoPlan::TooLate { plan, .. }) = &chosen {
-            fleet.offered(&self.service, &req, plan, false, now);
+        if is_new && let Err(PlanError::TooLate { plan, .. }) = &chosen {
+            fleet.record_demand(&self.service, &req, plan, false, now);
         }
-        let usual = fleet.usual_answer(&self.service);
+        let usual = fleet.mean_answer_time(&self.service);
         match chosen {
             Ok(plan) if is_new && plan.is_long() && !self.gw.stop.takes_long(usual, now) => {
                 emit!(info, REFUSED_STOPPING, request = self.caller.id, route = %self.route.name);
@@ -250,16 +250,16 @@
                 self.log_plan(&fleet, &plan, now);
                 Ok(plan)
             }
-            Err(NoPlan::TooLate { predicted_ms, come_back, .. }) => {
+            Err(PlanError::TooLate { predicted_ms, retry_after: come_back, .. }) => {
                 self.log_too_late(&fleet, predicted_ms, come_back, now);
                 Err(Refusal::TooLate { come_back })
             }
-            Err(NoPlan::RateLimited { come_back }) if is_new => {
+            Err(PlanError::RateLimited { retry_after: come_back }) if is_new => {
                 self.log_rate_limited(come_back);
                 Err(Refusal::ReplicasLimited { come_back })
             }
-            Err(NoPlan::NoReplica) if is_new => Err(Refusal::NoReplica),
-            Err(NoPlan::NoReplica | NoPlan::RateLimited { .. }) => Err(self.last_word()),
+            Err(PlanError::NoReplica) if is_new => Err(Refusal::NoReplica),
+            Err(PlanError::NoReplica | PlanError::RateLimited { .. }) => Err(self.last_word()),
         }
     }
 
@@ -267,7 +267,7 @@
     fn note_offered(&self, plan: &Plan) {
         if self.tried.is_empty() {
             let now = self.gw.now();
-            self.gw.fleet().offered(&self.service, &self.route_request(now), plan, true, now);
+            self.gw.fleet().record_demand(&self.service, &self.route_request(now), plan, true, now);
         }
     }
 
@@ -301,12 +301,12 @@
             service: &self.service,
             prompt: self.caller.prompt.as_ref(),
             objective_left: (self.arrived + self.route.objective).since(now),
-            silence_left: (self.arrived + self.route.silence).since(now),
+            first_event_left: (self.arrived + self.route.silence).since(now),
             time_left: self.deadline.since(now),
-            returned: self.returned(),
+            was_refused: self.returned(),
             may_refuse: self.tried.is_empty() && self.last_event.is_none(),
             tried: &self.tried,
-            apart: self.apart,
+            isolation: self.apart,
             send_ms: self.gw.link.send_ms(self.body.len()),
             link_ms: self.gw.link.wait_ms(now),
             draw: self.draw,
@@ -348,8 +348,8 @@
     fn log_plan(&self, fleet: &Fleet, plan: &Plan, now: Time) {
         let name = |key: ReplicaKey| fleet.get(key).map_or("", |replica| &*replica.facts.id);
         let (read, write, first) = match plan {
-            Plan::Whole(step) => ("", name(step.key), step),
-            Plan::TwoSteps { read, write } => (name(read.key), name(write.key), read),
+            Plan::Single(step) => ("", name(step.key), step),
+            Plan::Disaggregated { prefill: read, decode: write } => (name(read.key), name(write.key), read),
         };
         emit!(
             info,
@@ -381,21 +381,21 @@
         } else {
             self.tries += 1;
         }
-        if failed.why.arrived() || (matches!(plan, Plan::TwoSteps { .. }) && !failed.reading) {
+        if failed.why.arrived() || (matches!(plan, Plan::Disaggregated { .. }) && !failed.reading) {
             self.taken = 0;
         }
         self.tried.push(failed.at);
         if failed.reading {
             // The engine may have waited for the one that it was to copy from.
-            self.tried.extend(plan.reading().copy_from);
+            self.tried.extend(plan.prefill_step().copy_from);
         }
-        let read_before = matches!(plan, Plan::TwoSteps { .. }) && !failed.reading;
+        let read_before = matches!(plan, Plan::Disaggregated { .. }) && !failed.reading;
         self.read_once |= read_before || (failed.reading && failed.why.arrived());
         self.served_once |= !failed.reading && failed.why.arrived();
         if failed.reading && matches!(failed.why, CallFailure::Rejected(_)) {
             // The first call that reads a prompt is free only if the replica takes it up.
             let now = self.gw.now();
-            self.gw.fleet().charge_repeat(&self.service, &self.gw.budget(), now);
+            self.gw.fleet().charge_retry(&self.service, &self.gw.budget(), now);
         }
         if failed.why.may_have_run() && !failed.reading {
             self.credit = None;
@@ -431,7 +431,7 @@
 
     /// Calls of a plan that repeat earlier ones.
     fn repeats(&self, plan: &Plan) -> u32 {
-        let reads = matches!(plan, Plan::TwoSteps { .. });
+        let reads = matches!(plan, Plan::Disaggregated { .. });
         u32::from(reads && self.read_once) + u32::from(self.served_once)
     }
 
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -11,7 +11,7 @@
 
 use dahliaseam_border::{dialect::SharedDialect, feed::ChangeFeed, kv::KeyValue};
 use dahliaseam_core::{
-    fleet::{Fleet, budget::BudgetTerms, short_id},
+    fleet::{Fleet, budget::RetryBudgetTerms, short_id},
     route::RouteTable,
     time::{Span, Time},
     usage::Windows,
@@ -204,7 +204,7 @@
     }
 
     /// Bounds on repeated sends.
-    pub(super) fn budget(&self) -> BudgetTerms {
+    pub(super) fn budget(&self) -> RetryBudgetTerms {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner).terms()
     }
 
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -80,7 +80,7 @@
 fn is_elected(gw: &Gateway, election: &mut Election, terms: Terms) -> bool {
     let now = gw.now();
     let is_alone = gw.seeds().is_empty() && !gw.peers.has_hall_peers(gw.hall);
-    if !is_alone && gw.fleet().is_blind(now) {
+    if !is_alone && gw.fleet().is_warming_up(now) {
         // It has just begun to hear its peers, and cannot know which of them watch. Daemons that start together would
         // all call the store.
         return false;
@@ -248,8 +248,8 @@
             for service in table.services() {
                 if let Some(engine) = &service.engine {
                     let mut fleet = gw.fleet();
-                    fleet.set_memory(&service.name, engine.memory_tokens);
-                    fleet.set_pause(&service.name, table.pause(&service.name));
+                    fleet.set_kv_capacity(&service.name, engine.memory_tokens);
+                    fleet.set_max_pause(&service.name, table.pause(&service.name));
                 }
             }
             if gw.set_table(table) {
@@ -271,7 +271,7 @@
     match gw.outside.dialect.replica(&id, &entry.value) {
         Ok((facts, _)) => {
             let (draining, role) = (facts.draining, facts.role);
-            let (service, address, born) = (Arc::clone(&facts.service), facts.address, facts.born);
+            let (service, address, born) = (Arc::clone(&facts.service), facts.address, facts.start_time_ms);
             if gw.fleet().is_replaced(&facts) {
                 gw.upstream.forget(address);
             }
@@ -291,7 +291,7 @@
         }
         Err(e) => {
             // It names no replica, so the one that the entry before it named gets nothing more.
-            gw.fleet().removed(&id, entry.revision, gw.now());
+            gw.fleet().mark_removed(&id, entry.revision, gw.now());
             emit!(error, REPLICA_UNREADABLE, replica = id, revision = entry.revision, why = %e);
         }
     }
@@ -307,7 +307,7 @@
         }
         cache.gone_at(revision, now)
     };
-    if gw.fleet().removed(id, revision, gone_at) {
+    if gw.fleet().mark_removed(id, revision, gone_at) {
         emit!(info, REPLICA_LEFT, replica = id, revision, grace_ms = gone_at.since(now).as_millis());
     }
 }
@@ -318,10 +318,10 @@
         let now = gw.now();
         gw.upstream.sweep();
         let mut fleet = gw.fleet();
-        for sender in fleet.forget_silent(now) {
+        for sender in fleet.remove_expired_peers(now) {
             emit!(info, PEER_SILENT, sender);
         }
-        for id in fleet.forget_gone(now) {
+        for id in fleet.remove_gone(now) {
             emit!(info, REPLICA_FORGOTTEN, replica = %id);
         }
     }
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -40,7 +40,7 @@
     emit!(warn, MACHINE_RESUMED, away_ms = away.as_millis());
     let now = gw.now();
     // What others said before is too old to act on.
-    let silent = gw.fleet().forget_silent(now);
+    let silent = gw.fleet().remove_expired_peers(now);
     for sender in silent {
         emit!(info, PEER_SILENT, sender);
     }
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use dahliaseam_core::{
-    fleet::{Sent, StepEnd, plan::Step, replica::ReplicaKey},
+    fleet::{SentStep, StepEnd, plan::Step, replica::ReplicaKey},
     prompt::Prompt,
     time::Span,
 };
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(super) struct Work {
     gw: Arc<Gateway>,
-    sent: Sent,
+    sent: SentStep,
     end: StepEnd,
     away: Away,
 }
@@ -45,7 +45,7 @@
     pub(super) fn reading_over(&mut self, end: StepEnd) {
         let end = if self.was_suspended() { StepEnd::Unknown } else { end };
         let now = self.gw.now();
-        self.gw.fleet().reading_over(&mut self.sent, end, now);
+        self.gw.fleet().prefill_ended(&mut self.sent, end, now);
         self.gw.load_changed.notify_one();
     }
 
@@ -55,7 +55,7 @@
             return;
         }
         let now = self.gw.now();
-        self.gw.fleet().learn_plain(&self.sent, now.since(self.sent.at), now);
+        self.gw.fleet().learn_plain_call(&self.sent, now.since(self.sent.at), now);
     }
 
     /// Where it is done.
@@ -70,11 +70,11 @@
 
     /// Whether the replica had nothing else to read.
     pub(super) const fn was_alone(&self) -> bool {
-        self.sent.alone
+        self.sent.had_no_prefill
     }
 
     /// What was sent, as it is counted.
-    pub(super) const fn sent(&self) -> &Sent {
+    pub(super) const fn sent(&self) -> &SentStep {
         &self.sent
     }
 
@@ -86,7 +86,7 @@
     /// The replica is no longer the one that was known.
     pub(super) fn replica_replaced(&self) {
         let now = self.gw.now();
-        self.gw.fleet().replaced(self.sent.key, now);
+        self.gw.fleet().mark_replaced(self.sent.key, now);
     }
 }
 
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, path::Path};
 
 use dahliaseam_core::{
-    fleet::{budget::BudgetTerms, policy::FleetPolicy},
+    fleet::{budget::RetryBudgetTerms, policy::FleetPolicy},
     quota::terms::Tolerance,
     time::Span,
     usage::Windows,
@@ -80,8 +80,8 @@
 impl RetrySettings {
     /// The terms that the budget works by.
     #[must_use]
-    pub fn terms(&self) -> BudgetTerms {
-        BudgetTerms { ratio: self.ratio, slack: self.slack, window: Span::seconds(self.window_s) }
+    pub fn terms(&self) -> RetryBudgetTerms {
+        RetryBudgetTerms { ratio: self.ratio, slack: self.slack, window: Span::seconds(self.window_s) }
     }
 }
 
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -81,7 +81,7 @@
     for n in 0..replicas {
         let facts = ReplicaFacts {
             id: Arc::from(format!("i-{n}")),
-            born: None,
+            start_time_ms: None,
             service: Arc::from("pool"),
             address: SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 8_080)),
             hall: Arc::from(format!("hall-{}", n % 5)),
@@ -110,18 +110,18 @@
                     service: "pool",
                     prompt: Some(&prompt),
                     objective_left: Span::millis(250),
-                    silence_left: Span::millis(1_000),
+                    first_event_left: Span::millis(1_000),
                     time_left: Span::millis(2_000),
-                    returned: false,
+                    was_refused: false,
                     may_refuse: true,
                     send_ms: 0.1,
                     link_ms: 0.0,
                     tried: &[],
-                    apart: None,
+                    isolation: None,
                     draw: n.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 };
                 let Ok(plan) = fleet.choose(&ask, now) else { return };
-                let (Plan::Whole(step) | Plan::TwoSteps { read: step, .. }) = plan;
+                let (Plan::Single(step) | Plan::Disaggregated { prefill: step, .. }) = plan;
                 if let Some(sent) = fleet.begin(step.key, &step, Some(&prompt), now) {
                     fleet.end(&sent, StepEnd::Done, now);
                 }
