--- a/crates/core/src/fleet/endings/answered.rs
+++ b/crates/core/src/fleet/endings/answered.rs
@@ -1,4 +1,4 @@
-//! The requests that were answered whole lately.
+//! Recent complete answers.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,13 +7,15 @@
     time::{Span, Time},
 };
 
-/// Time for which a whole answer speaks for a request: popular look-ups come several times in it, and a change
-/// that makes a request end replicas is noticed so much later.
+/// Time for which a complete answer clears a request.
+///
+/// Popular look-ups are requested several times in this period. A change that makes a request crash replicas is
+/// noticed later by this period.
 pub(super) const ANSWER_VALIDITY: Span = Span::millis(60_000);
-/// Answers that are remembered, of some 40 bytes: a minute of seventy a second.
+/// Maximum number of answers kept, of some 40 bytes each: one minute at seventy answers a second.
 const MAX_ANSWERS: usize = 4_096;
 
-/// The latest whole answers of this daemon.
+/// The latest complete answers of this daemon.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentAnswers {
     latest: HashMap<ContentHash, Time>,
@@ -21,7 +23,6 @@
 }
 
 impl RecentAnswers {
-    /// Note an answer.
     pub(super) fn record(&mut self, content: ContentHash, now: Time) {
         self.latest.insert(content, now);
         self.order.push_back((content, now));
@@ -36,7 +37,7 @@
         }
     }
 
-    /// When a request was last answered, if that still speaks for it.
+    /// Time of the last complete answer to a request, if it still clears the request.
     pub(super) fn last_answer(&self, content: ContentHash, now: Time) -> Option<Time> {
         self.latest.get(&content).copied().filter(|at| !(*at + ANSWER_VALIDITY).is_past(now))
     }
--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -1,19 +1,21 @@
-//! Requests under which replicas ended, and which of them is to blame.
+//! Detection of requests that crash the replicas that run them.
 //!
-//! A request may end each replica that begins to run it, and its caller asks again at any daemon. So
-//! daemons tell each other which requests a replica had when it ended ([`notes`]). All that it had are
-//! equal at first; most only stood beside the one that did it. What tells them apart:
+//! A request may crash each replica that begins to run it, and its caller may retry at any daemon. Daemons therefore
+//! report to each other which requests a replica was running when it crashed ([`notes`]). At first all of these
+//! are equally suspect, though most merely ran beside the one at fault. These rules tell them apart:
 //!
-//! - An answer that comes whole clears a request everywhere, and speaks for it for a while after: popular look-ups
-//!   are often at several replicas that end together.
-//! - From two ends on, requests are kept apart: each goes to the replica that its content draws, so two that
-//!   were together do not end together again.
-//! - From three ends on one is refused, unless others explain them as well: one that was at all of these replicas,
-//!   or several that were at two of them at least each; or unless others ended meanwhile that nothing explains, as
-//!   when a rack fails. In that doubt it runs again, alone among its like, and is refused from five ends on.
-//! - The ends of a request that is refused without doubt count little against others.
+//! - A complete answer clears a request on all daemons, and crashes shortly after the answer do not count either:
+//!   popular look-ups often run on several replicas that crash together.
+//! - After two crashes, requests are isolated from each other: each goes to a replica chosen by its content hash, so
+//!   that two that ran together are not lost together again.
+//! - After three crashes a request is refused, unless the case is ambiguous. It is ambiguous if other requests
+//!   explain the crashes as well: one that ran on all of these replicas, or several with at least two crashes each.
+//!   It is also ambiguous if other replicas crashed at about the same time without an explanation, as when a rack
+//!   fails. An ambiguous request runs again, one run at a time (a trial), and is refused after five crashes.
+//! - The crashes of a request that was refused unambiguously count little against others.
 //!
-//! What is known lapses (`KEEP`, `REFUSE_SHORTLY`), since a replica's next version may survive it.
+//! A crash is any end of a replica that was running requests, whatever the cause. Records and refusals expire
+//! (`RETENTION`, `SHORT_REFUSAL`), since the replica's next version may survive the request.
 
 use std::collections::HashMap;
 
@@ -37,81 +39,85 @@
 pub mod notes;
 mod record;
 
-/// Ends from which on a request is refused if nothing speaks against it: one end is chance and two happen
-/// when a request's second try follows a replica that fails too.
+/// Crashes after which a request is refused unless the case is ambiguous. One crash is chance, and two occur if
+/// the second attempt of a request meets a replica that fails too.
 const CRASHES_TO_REFUSE: usize = 3;
-/// Ends that another request explains count as one: that other one may have been blamed wrongly, and hide this.
+/// Number of explained crashes that together count as one. They are not ignored, because the request that explains
+/// them may have been refused wrongly and hide this one.
 const EXPLAINED_CRASH_DIVISOR: usize = 3;
-/// Ends from which on it is refused in doubt, too: its runs since the doubt ended replicas as well. With four, of those
-/// that lost three engines beside others one in fourteen was refused, with five one in seventy (emulation of five
-/// full engines and callers that repeat at once).
+/// Crashes after which a request is refused in an ambiguous case too: its trials have crashed replicas as well. With
+/// four, one in fourteen of the innocent requests that had lost three engines was refused, with five one in seventy
+/// (simulation of five full engines and callers that retry at once).
 const CRASHES_TO_REFUSE_AMBIGUOUS: usize = 5;
-/// Ends from which on a daemon refuses that hears no other: it knows only a part of them.
+/// Crashes after which a daemon that is cut off from all others refuses a request: it knows only part of the crashes.
 const CRASHES_TO_REFUSE_CUT_OFF: usize = 2;
-/// Ends from which on requests are kept apart.
+/// Crashes after which a request is isolated from other suspects.
 const CRASHES_TO_ISOLATE: usize = 2;
-/// Time for which anything is kept after it was last heard of, and for which a request is refused: longer than callers
-/// come again by themselves. An operator lets one through that was blamed wrongly before that.
+/// Time for which a record is kept after the last news of it, and for which a request is refused.
+///
+/// It is longer than callers retry on their own. An operator can lift a wrong refusal before it expires.
 pub const RETENTION: Span = Span::millis(600_000);
-/// Time for which a request is refused at first where other replicas ended meanwhile, so that it may only have stood
-/// beside another one: as long as a caller may think that it was never answered.
+/// Time of a first refusal if other replicas crashed at about the same time, so that the request may merely have run
+/// beside the one at fault: as long as a caller may think that it was never answered.
 const SHORT_REFUSAL: Span = Span::millis(60_000);
-/// Doublings of the time for which a request is refused again at most.
+/// Maximum number of times that the refusal period doubles when a request is refused again.
 const MAX_DOUBLINGS: u32 = 6;
-/// Time for which it is remembered that something speaks for a request, so that older news does not count. One that
-/// was refused is remembered for as long as it was: a daemon that was cut off may still say so.
+/// Time for which the clearance of a request is kept, so that older reports do not count. If the request was refused,
+/// its clearance is kept for [`RETENTION`]: a daemon that was cut off may still report the refusal.
 const CLEARANCE_RETENTION: Span = Span::millis(60_000);
-/// Time in which what other daemons saw of an end is heard, and what is added for each daemon.
+/// Time in which the reports of other daemons about a crash arrive, not counting [`REPORT_DELAY_PER_DAEMON`].
 const REPORT_DELAY: Span = Span::millis(60);
-/// See [`REPORT_DELAY`]: reports reach hall peers sooner than other halls.
+/// Added to [`REPORT_DELAY`] for each daemon: reports reach hall peers sooner than other halls.
 const REPORT_DELAY_PER_DAEMON: Span = Span::millis(1);
-/// Time after which the one run in doubt counts as over, if nothing is heard of it: replicas end within a fifth of
-/// a second under such a request.
+/// Time after which a trial counts as over if its end was not recorded: replicas crash within a fifth of a second
+/// during such a request.
 const TRIAL_TIMEOUT: Span = Span::millis(2_000);
-/// A request is in doubt if for each so many of its ends one other replica ended meanwhile that nothing explains.
+/// A case is ambiguous if other replicas crashed at about the same time without an explanation, at least one for every
+/// this many crashes of the request.
 const CRASHES_PER_UNEXPLAINED: usize = 3;
-/// Time before and after each of a request's ends in which others count as of the same trouble.
+/// Time before and after each crash of a request in which other crashes count as related to it.
 const COINCIDENCE_WINDOW: Span = Span::millis(1_000);
-/// Requests that are kept at most, of some 200 bytes: what a hundred full engines have at once.
+/// Maximum number of records, of some 200 bytes each: the requests that a hundred full engines have at once.
 const MAX_RECORDS: usize = 4_096;
 
-/// How a request is to be treated.
+/// How to treat a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Like any other.
+    /// Like any other request.
     Clear,
-    /// Replicas ended under it: it is kept apart from others like it.
+    /// Replicas crashed during it: it is isolated from other suspects.
     Isolated(Apart),
-    /// Other daemons' news of the last end may be under way; ask again then.
+    /// Other daemons' reports of the last crash may still arrive; ask again at this time.
     Pending(Time),
-    /// It is not sent to a replica.
+    /// It must not be sent to any replica.
     Refused(Refused),
 }
 
-/// Why a request is kept apart.
+/// Why a request is suspected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Replicas that ended under it, by the hash of their identifiers, and how long ago.
+    /// Replicas that crashed during it, by the hash of their identifiers, and the time since each crash.
     pub crashes: Vec<(u32, Span)>,
-    /// For how much longer that counts.
+    /// Time for which the suspicion still counts.
     pub time_left: Span,
-    /// Whether this daemon itself lost it so.
+    /// Whether this daemon itself lost the request in a crash.
     pub observed_here: bool,
 }
 
-/// On what grounds a request is refused.
+/// Grounds for the refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Grounds {
-    /// No other replica ended meanwhile.
+    /// No other replica crashed at about the same time.
     NoOtherCrashes,
-    /// Others did, and other requests explain that.
+    /// Other replicas crashed as well, and other requests explain that.
     OthersExplained,
-    /// Others may be to blame, but it ended a replica in each of its runs since that was seen.
+    /// Other requests may be at fault, but this one crashed a replica in each of its runs since the case became
+    /// ambiguous.
     Ambiguous,
 }
 
 impl Grounds {
-    /// For how long, after it was refused so often before.
+    /// Period of a refusal after `expired_refusals` earlier ones.
     fn refusal_period(self, expired_refusals: u32) -> Span {
         match (expired_refusals, self) {
             (0, Self::NoOtherCrashes) => RETENTION,
@@ -121,19 +127,20 @@
     }
 }
 
-/// What this daemon knows of such requests.
+/// What this daemon knows about requests during which replicas crashed.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTracker {
     records: HashMap<ContentHash, Record>,
-    /// Ends of the requests that are surely to blame.
+    /// Crashes of the requests that were refused unambiguously.
     explained_crashes: Vec<Crash>,
     answers: RecentAnswers,
-    /// When what did not change is told again, for each kind of listeners.
+    /// When unchanged notes are next sent, by kind of recipients.
     resend_at: [Time; 2],
 }
 
 impl CrashTracker {
-    /// Note that a replica ended while it had a request; returns the ends that are known of that.
+    /// Record that a replica crashed while it was running a request; returns the number of unexplained crashes of the
+    /// request.
     pub fn record_crash(&mut self, content: ContentHash, start_id: u32, at: Time) -> usize {
         if let Some(answered) = self.answers.last_answer(content, at) {
             let record = self.record_mut(content, at);
@@ -150,7 +157,7 @@
         self.records.get(&content).map_or(0, |record| self.unexplained_crashes(record).count())
     }
 
-    /// Note that a replica answered a request to its end, so that it is not to blame.
+    /// Record that a replica answered a request completely, which clears the request.
     pub fn record_answer(&mut self, content: ContentHash, now: Time) {
         self.answers.record(content, now);
         if let Some(record) = self.records.get_mut(&content)
@@ -161,7 +168,7 @@
         }
     }
 
-    /// Let a request through again; returns whether it was refused.
+    /// Lift the refusal of a request; returns whether it was refused.
     pub fn lift(&mut self, content: ContentHash, now: Time) -> bool {
         let Some(record) = self.records.get_mut(&content).filter(|record| record.refused.is_some()) else {
             return false;
@@ -171,7 +178,8 @@
         true
     }
 
-    /// Note that the store says that a request is refused, for so long by now; returns whether that is new.
+    /// Apply a refusal from the store that was decided `age` ago and holds for `left` more; returns whether it is
+    /// new.
     pub fn apply_stored_refusal(
         &mut self,
         content: ContentHash,
@@ -182,7 +190,8 @@
     ) -> bool {
         let record = self.record_mut(content, now);
         let since = now - age;
-        // Two daemons may write the same entry; one that comes after an operator removed the other's says nothing new.
+        // Two daemons may write the same entry. If an operator removes one, the other may arrive later and must not
+        // count.
         if record.refused.is_some() || record.refusal_is_over(since) {
             return false;
         }
@@ -193,7 +202,7 @@
         true
     }
 
-    /// Note that the store says that a request is suspected.
+    /// Apply a suspicion from the store.
     pub fn apply_stored_suspicion(&mut self, content: ContentHash, suspicion: &Suspicion, now: Time) {
         if suspicion.time_left == Span(0) {
             return;
@@ -206,7 +215,7 @@
         }
     }
 
-    /// How to treat a request, for one of so many daemons that hears others or not.
+    /// How to treat a request, in a deployment of `daemons` daemons; `cut_off` if this one hears no other.
     pub fn verdict(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Verdict {
         let Some(record) = self.records.get(&content) else {
             return Verdict::Clear;
@@ -236,37 +245,37 @@
         if crashes < CRASHES_TO_ISOLATE {
             return Verdict::Clear;
         }
-        // From here on each replica that it reaches counts.
+        // From here on every further replica that the request reaches matters.
         let whole = crashes >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
         Verdict::Isolated(Apart { content, whole })
     }
 
-    /// Note that a run begins that tells whether a request is to blame.
+    /// Record the start of a trial: a run that shows whether a request is at fault.
     pub fn begin_trial(&mut self, content: ContentHash, now: Time) {
         if let Some(record) = self.records.get_mut(&content) {
             record.trial_until = now + TRIAL_TIMEOUT;
         }
     }
 
-    /// Note that it is over, whatever it told.
+    /// Record the end of a trial, whatever its result.
     pub fn end_trial(&mut self, content: ContentHash) {
         if let Some(record) = self.records.get_mut(&content) {
             record.trial_until = Time(0);
         }
     }
 
-    /// Whether a request is refused, as far as it was decided.
+    /// Whether a request is refused by a decision already made.
     #[must_use]
     pub fn is_refused(&self, content: ContentHash) -> bool {
         self.records.get(&content).is_some_and(|record| record.refused.is_some())
     }
 
-    /// What is refused.
+    /// The refused requests.
     pub fn refused(&self) -> impl Iterator<Item = (ContentHash, Refused)> {
         self.records.iter().filter_map(|(content, record)| Some((*content, record.refused?)))
     }
 
-    /// What is suspected and not refused.
+    /// The requests that are suspected and not refused.
     pub fn suspected(&self, now: Time) -> impl Iterator<Item = (ContentHash, Suspicion)> {
         let suspected = self.records.iter().filter(|(_, record)| {
             record.refused.is_none() && self.unexplained_crashes(record).count() >= CRASHES_TO_ISOLATE
@@ -284,14 +293,14 @@
         })
     }
 
-    /// Forget what is old; returns the requests that are no longer refused.
+    /// Remove expired refusals and records; returns the requests whose refusal expired.
     pub fn expire(&mut self, now: Time) -> Vec<ContentHash> {
         let mut lapsed = Vec::new();
         for (content, record) in &mut self.records {
             if record.refused.is_some_and(|refused| refused.until.is_past(now)) {
                 lapsed.push(*content);
                 record.refused = None;
-                // One more end is enough to refuse it again.
+                // One more crash is enough to refuse it again.
                 record.crashes.truncate(CRASHES_TO_REFUSE - 1);
                 record.expired_refusals += 1;
                 record.refusal_expired_at = now;
@@ -303,19 +312,19 @@
         lapsed
     }
 
-    /// Requests that are kept.
+    /// Number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is kept.
+    /// Whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Decide on all requests that have enough ends, those with the most first.
+    /// Refuse all requests with enough evidence against them, those with the most first.
     fn refuse_culprits(&mut self, now: Time) {
         while let Some((crashes, content, grounds)) = self.next_to_refuse() {
             if let Some(record) = self.records.get_mut(&content) {
@@ -330,7 +339,7 @@
         }
     }
 
-    /// The request with the most ends of those that are to be refused and are not yet.
+    /// The request with the most evidence against it among those to refuse.
     fn next_to_refuse(&self) -> Option<(usize, ContentHash, Grounds)> {
         let candidates = self.records.iter().filter(|(_, record)| record.refused.is_none());
         let blamed = candidates.filter_map(|(content, record)| {
@@ -340,7 +349,7 @@
         blamed.max_by_key(|(crashes, content, _)| (*crashes, *content))
     }
 
-    /// On what grounds a request is refused, if it is.
+    /// Grounds to refuse a request, if there are any.
     fn grounds_to_refuse(&self, content: ContentHash, record: &Record, evidence: usize) -> Option<Grounds> {
         if evidence < CRASHES_TO_REFUSE {
             return None;
@@ -361,12 +370,12 @@
         }
     }
 
-    /// Whether another request was at all the replicas that ended under this one.
+    /// Whether a single other request ran on all the replicas that crashed during this one.
     fn is_covered_by_one(&self, content: ContentHash, crashes: &[Crash]) -> bool {
         self.others(content).any(|other| crashes.iter().all(|crash| other.has_crash(crash)))
     }
 
-    /// Other replicas that ended while these did, as far as no refused request explains that.
+    /// Crashes of other replicas at about the same time that no unambiguously refused request explains.
     fn coinciding_crashes(&self, crashes: &[Crash]) -> Vec<Crash> {
         let coincides = |crash: &Crash| crashes.iter().any(|own| own.is_within(COINCIDENCE_WINDOW, crash));
         let mut others: Vec<Crash> = Vec::new();
@@ -378,23 +387,23 @@
         others
     }
 
-    /// Others that were at two ends at least, and so explain these.
+    /// Other requests with at least two unexplained crashes, which may explain those of this one.
     fn suspects(&self, content: ContentHash) -> Vec<&Record> {
         self.others(content).filter(|other| self.unexplained_crashes(other).count() >= CRASHES_TO_ISOLATE).collect()
     }
 
-    /// All others that are not refused.
+    /// All other requests that are not refused.
     fn others(&self, content: ContentHash) -> impl Iterator<Item = &Record> {
         let others = self.records.iter().filter(move |(other, record)| **other != content && record.refused.is_none());
         others.map(|(_, record)| record)
     }
 
-    /// A request's ends that none explains which is surely to blame.
+    /// Crashes of a request that no unambiguously refused request explains.
     fn unexplained_crashes(&self, record: &Record) -> impl Iterator<Item = Crash> {
         record.unexplained_crashes(&self.explained_crashes)
     }
 
-    /// How many ends count against a request.
+    /// Number of crashes that count against a request.
     fn evidence(&self, record: &Record) -> usize {
         let unexplained = self.unexplained_crashes(record).count();
         unexplained + (record.crash_count() - unexplained) / EXPLAINED_CRASH_DIVISOR
@@ -413,7 +422,7 @@
         self.records.entry(content).or_insert_with(|| Record::new(now))
     }
 
-    /// Forget the request that has the fewest ends, and among those the oldest.
+    /// Remove the record with the fewest crashes, the oldest of these, and a refused request only if all are refused.
     fn evict_least_relevant(&mut self) {
         let least = self.records.iter().min_by_key(|(_, r)| (r.refused.is_some(), r.crash_count(), r.last_crash()));
         if let Some(content) = least.map(|(content, _)| *content) {
@@ -422,7 +431,7 @@
     }
 }
 
-/// Note what speaks for a request, and tell it.
+/// Clear a request, and schedule reports of it to other daemons.
 fn clear_and_report(record: &mut Record, clearance: Clearance, now: Time) {
     let retention = if record.refused.is_some() { RETENTION } else { CLEARANCE_RETENTION };
     record.clear(clearance);
--- a/crates/core/src/fleet/endings/notes.rs
+++ b/crates/core/src/fleet/endings/notes.rs
@@ -1,4 +1,4 @@
-//! What daemons report to each other of requests under which replicas ended.
+//! Notes in the load reports that daemons send each other, about requests during which replicas crashed.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,57 +11,57 @@
     time::{Span, Time},
 };
 
-/// Notes in one message at most: some two kilobytes. What is not sent goes with the next.
+/// Maximum number of changed notes in one message, some two kilobytes. The rest is sent with the next message.
 const MAX_NOTES: usize = 64;
-/// Notes in one message at most that repeat what did not change, for daemons that started since or were cut off.
+/// Maximum number of unchanged notes in one message, for daemons that have started since or were cut off.
 const MAX_RESENT: usize = 8;
-/// Time between two messages with such notes.
+/// Minimum time between two messages with unchanged notes.
 const RESEND_INTERVAL: Span = Span::millis(500);
-/// What is added to that for each daemon, so that what one hears does not grow with their number: fifty
-/// messages a second.
+/// Minimum time between two such messages for each daemon of the deployment, so that what one daemon receives does
+/// not grow with their number: fifty messages a second.
 const RESEND_INTERVAL_PER_DAEMON: Span = Span::millis(20);
 
-/// Two notes that a request was answered whole within this time are of the same answer, told again.
+/// Two clearances of a request within this time are the same one, reported again.
 const SAME_ANSWER_WINDOW: Span = Span::millis(1_000);
 
-/// What is known of one request. Ages and times left are in milliseconds, as clocks differ.
+/// What is known about one request. Times are ages and remaining periods in milliseconds, as clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestNote {
-    /// The request.
+    /// Content hash of the request.
     pub content: ContentHash,
-    /// Replicas that ended under it, by the hash of their identifiers, and how long ago.
+    /// Replicas that crashed during it, by the hash of their identifiers, and the milliseconds since each crash.
     #[serde(rename = "ends")]
     pub crashes: Vec<(u32, u32)>,
-    /// For how much longer the sender keeps that. Who hears it keeps it no longer, or two daemons would tell each other
-    /// for ever what each has just forgotten.
+    /// Milliseconds for which the sender keeps this record. A receiver keeps it no longer, or two daemons would report
+    /// to each other for ever what each has just removed.
     pub left_ms: u32,
-    /// What speaks for it, and since when.
+    /// Why it was cleared, and the milliseconds since.
     #[serde(rename = "sound")]
     pub clearance: Option<(ClearReason, u32)>,
-    /// That it is refused.
+    /// The refusal, if it is refused.
     pub refused: Option<RefusedNote>,
 }
 
-/// That a request is refused.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedNote {
-    /// Ends that were known.
+    /// Number of crashes known at the decision.
     #[serde(rename = "ends")]
     pub crashes: u32,
-    /// For how long.
+    /// Milliseconds since the decision.
     #[serde(rename = "since_ms")]
     pub age_ms: u32,
-    /// For how much longer.
+    /// Milliseconds for which the refusal still holds.
     pub left_ms: u32,
-    /// Whether no other request explains these ends as well.
+    /// Whether no other request explains these crashes as well.
     #[serde(rename = "sure")]
     pub unambiguous: bool,
 }
 
-/// Whom a message goes to.
+/// Recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipients {
-    /// Those that this daemon tells of its own work.
+    /// The daemons to which this one reports its own work.
     HallPeers,
     /// Daemons of other halls.
     OtherHalls,
@@ -84,7 +84,7 @@
 }
 
 impl CrashTracker {
-    /// What is to be sent now, where there are so many daemons.
+    /// Notes to send now; marks them as sent. The interval between unchanged notes grows with `daemons`.
     pub fn due_notes(&mut self, to: Recipients, daemons: usize, now: Time) -> Vec<RequestNote> {
         let changed = self.records.iter().filter(|(_, record)| to.schedule(record).is_due(now));
         let mut due: Vec<(usize, ContentHash)> =
@@ -106,12 +106,13 @@
         notes
     }
 
-    /// Send hall peers again what they must know: one of them has just started.
+    /// Include unchanged notes in the next message to hall peers, since one of them has just started.
     pub fn resend_all(&mut self, now: Time) {
         self.resend_at[Recipients::HallPeers as usize] = now;
     }
 
-    /// Those of the requests that others must know for long which were sent longest ago, the refused before others.
+    /// Crash counts and content hashes of the unchanged records to send again: those sent longest ago, refused requests
+    /// first.
     fn due_resends(&self, to: Recipients) -> Vec<(usize, ContentHash)> {
         let due_resends =
             self.records.iter().filter(|(_, record)| record.needs_resending() && !to.schedule(record).is_running());
@@ -125,7 +126,7 @@
         due_resends.into_iter().map(|(_, _, count, content)| (count, content)).collect()
     }
 
-    /// Apply what another daemon reported; `from_hall_peer` if this daemon's hall must relay it.
+    /// Apply the notes of another daemon; `from_hall_peer` if this daemon's hall must relay them to other halls.
     pub fn apply_notes(&mut self, notes: &[RequestNote], from_hall_peer: bool, now: Time) {
         for note in notes {
             let answered = self.answers.last_answer(note.content, now);
@@ -144,7 +145,7 @@
     }
 }
 
-/// Returns whether something is new.
+/// Apply one note; returns whether it changed the record.
 fn apply_note(record: &mut Record, note: &RequestNote, now: Time) -> bool {
     let before = (record.crash_count(), record.clearance, record.refused);
     if let Some(reported) = note.clearance.map(|(reason, ms)| Clearance { at: ago(ms, now), reason })
@@ -166,7 +167,7 @@
         let until = now + Span::millis(u64::from(reported.left_ms));
         let is_over = record.refusal_is_over(since);
         if is_over && !record.to_hall_peers.is_running() {
-            // The sender was cut off when it was told.
+            // The sender was cut off when the end of this refusal was reported.
             record.schedule_notes(now);
         } else if !is_over && record.refused.is_none() {
             let (crashes, unambiguous) = (reported.crashes, reported.unambiguous);
@@ -180,7 +181,7 @@
 fn to_note(content: ContentHash, record: &Record, now: Time) -> RequestNote {
     RequestNote {
         content,
-        // What only the store says all others read there.
+        // Crashes known only from the store are left out: all daemons read them there.
         crashes: record
             .crashes
             .iter()
--- a/crates/core/src/fleet/endings/record.rs
+++ b/crates/core/src/fleet/endings/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! What is known about one request.
 
 use std::cmp::Reverse;
 
@@ -9,24 +9,25 @@
     time::{Span, Time},
 };
 
-/// Two notes of the same replica within this time are of one end: a replica that ended is back after
-/// some seconds, also where it keeps its identifier.
+/// Two reports on the same replica within this time are about one crash: a replica takes some seconds to restart,
+/// even if it keeps its identifier.
 const SAME_CRASH_WINDOW: Span = Span::millis(1_000);
-/// Ends that are kept of one request, the newest: twice as many as decide on it, since others may explain half.
+/// Maximum number of crashes kept for one request, the newest: twice as many as decide about it, since other requests
+/// may explain half of them.
 const MAX_CRASHES: usize = 8;
-/// Times after a change at which it is sent. A lost message is made good by the next: of one in three
-/// lost, one in eighty is lost four times.
+/// Delays after a change at which it is sent. Each send makes up for a lost one before it: if one in three messages
+/// is lost, one change in eighty is lost four times.
 const SEND_DELAYS: [Span; 4] = [Span(0), Span::millis(50), Span::millis(200), Span::millis(800)];
 
-/// A replica that ended while it had the request.
+/// The crash of a replica that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
     /// Hash of the replica's identifier.
     pub(super) replica: u32,
-    /// When, as well as messages tell it.
+    /// Time of the crash, as exactly as messages state it.
     pub(super) at: Time,
-    /// Whether that is certain to some milliseconds. What stands in the store names times of day, by which machines may be
-    /// seconds apart.
+    /// Whether the time is exact to some milliseconds. Entries in the store have wall-clock times, and the clocks of
+    /// machines may differ by seconds.
     pub(super) precise: bool,
 }
 
@@ -36,7 +37,7 @@
         self.replica == other.replica && (!both_precise || self.is_within(SAME_CRASH_WINDOW, other))
     }
 
-    /// Whether it was at most so long before or after another.
+    /// Whether the other crash was at most `span` earlier or later.
     pub(super) const fn is_within(&self, span: Span, other: &Self) -> bool {
         let apart = self.at.since(other.at).0 + other.at.since(self.at).0;
         apart <= span.0
@@ -46,29 +47,29 @@
 /// Why and for how long a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Ends that were known when it was decided.
+    /// Number of crashes known at the decision.
     pub crashes: u32,
-    /// When that was.
+    /// Time of the decision.
     pub since: Time,
-    /// Until when it holds.
+    /// Time at which the refusal expires.
     pub until: Time,
-    /// Whether no other request explains these ends as well; then they do not count against others.
+    /// Whether no other request explains these crashes as well. If so, they count little against other requests.
     pub unambiguous: bool,
-    /// How this daemon knows.
+    /// How this daemon knows of the refusal.
     pub known_by: KnownBy,
 }
 
-/// What speaks for a request.
+/// Why a request was cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClearReason {
-    /// A replica answered it whole.
+    /// A replica answered it completely.
     Answered,
-    /// An operator lets it through.
+    /// An operator lifted the refusal.
     #[serde(rename = "LetThrough")]
     AllowedByOperator,
 }
 
-/// That something speaks for a request.
+/// Clears a request of earlier crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Clearance {
     pub(super) at: Time,
@@ -76,8 +77,10 @@
 }
 
 impl Clearance {
-    /// Until when ends do not count. One that a replica has just answered is not what ends replicas; one that an
-    /// operator lets through may be.
+    /// Time up to which crashes do not count.
+    ///
+    /// A request that was just answered does not crash replicas, so an answer also covers a period after it. A request
+    /// that an operator allows may still crash them.
     pub(super) fn covers_until(&self) -> Time {
         match self.reason {
             ClearReason::Answered => self.at + ANSWER_VALIDITY,
@@ -89,18 +92,18 @@
 /// How a daemon knows that a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnownBy {
-    /// It decided so, and lost the request at a replica itself.
+    /// This daemon decided it, and itself lost the request in a crash.
     Own,
-    /// It decided so by what others told.
+    /// This daemon decided it from the reports of others.
     Told,
-    /// Another daemon decided so.
+    /// Another daemon decided it.
     Peer,
-    /// It stands in the store.
+    /// It is in the store.
     Store,
 }
 
 impl KnownBy {
-    /// Its name in logs.
+    /// Name in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -112,69 +115,63 @@
     }
 }
 
-/// When a record is sent next.
+/// When a change of a record is sent, and sent again.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Schedule {
     changed_at: Time,
     sends: usize,
-    /// When it was last sent.
     sent_at: Time,
 }
 
 impl Schedule {
-    /// Nothing is to be sent.
+    /// There is nothing to send.
     pub(super) const IDLE: Self = Self { changed_at: Time(0), sends: SEND_DELAYS.len(), sent_at: Time(0) };
 
-    /// Something changed, and is to be sent.
+    /// Start to send a change.
     pub(super) const fn start(&mut self, now: Time) {
         self.changed_at = now;
         self.sends = 0;
     }
 
-    /// Whether a change is still being sent.
+    /// Whether some sends of the last change are still to come.
     pub(super) const fn is_running(&self) -> bool {
         self.sends < SEND_DELAYS.len()
     }
 
-    /// Whether a change is to be sent now.
     pub(super) fn is_due(&self, now: Time) -> bool {
         SEND_DELAYS.get(self.sends).is_some_and(|after| (self.changed_at + *after).is_past(now))
     }
 
-    /// When it was last sent.
     pub(super) const fn sent_at(&self) -> Time {
         self.sent_at
     }
 
-    /// It was sent.
     pub(super) fn mark_sent(&mut self, now: Time) {
         self.sends = (self.sends + 1).min(SEND_DELAYS.len());
         self.sent_at = now;
     }
 }
 
-/// One request under which replicas ended.
+/// What is known about one request during which replicas crashed.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    /// Replicas that ended under it.
     pub(super) crashes: Vec<Crash>,
-    /// Whether this daemon itself lost it so.
+    /// Whether this daemon itself lost the request in a crash.
     pub(super) observed_here: bool,
-    /// Why nothing counts that was known before; absent if nothing speaks for it.
+    /// Why earlier crashes and refusals do not count; `None` if the request was not cleared.
     pub(super) clearance: Option<Clearance>,
-    /// Whether it is refused.
     pub(super) refused: Option<Refused>,
-    /// How often it was refused until the time was over.
+    /// Number of refusals that expired.
     pub(super) expired_refusals: u32,
-    /// When that was last so: who says that it is refused since before has not noticed.
+    /// When a refusal last expired. A daemon that reports an earlier one has not noticed that it is over.
     pub(super) refusal_expired_at: Time,
-    /// Until when a run is under way here that tells whether it is to blame.
+    /// Time until which a trial is running at this daemon.
     pub(super) trial_until: Time,
-    /// When it is forgotten.
+    /// When this record is removed.
     pub(super) expires_at: Time,
-    /// When hall peers get it.
+    /// Reports to hall peers.
     pub(super) to_hall_peers: Schedule,
-    /// When other halls get it.
+    /// Reports to other halls.
     pub(super) to_other_halls: Schedule,
 }
 
@@ -194,7 +191,7 @@
         }
     }
 
-    /// Add an end; returns whether it is new.
+    /// Add a crash; returns whether it is new and counts against the request.
     pub(super) fn add_crash(&mut self, crash: Crash) -> bool {
         let is_covered = self.clearance.is_some_and(|clearance| clearance.covers_until() >= crash.at);
         let was_counted = self.refusal_expired_at > crash.at;
@@ -207,7 +204,7 @@
         self.has_crash(&crash)
     }
 
-    /// Whether it was at a replica that ended.
+    /// Whether the request was running on the replica that crashed.
     pub(super) fn has_crash(&self, crash: &Crash) -> bool {
         self.crashes.iter().any(|known| known.is_same(crash))
     }
@@ -216,24 +213,25 @@
         self.crashes.len()
     }
 
-    /// When the last of its replicas ended.
+    /// Time of the last crash.
     pub(super) fn last_crash(&self) -> Time {
         self.crashes.iter().map(|crash| crash.at).max().unwrap_or_default()
     }
 
-    /// Its ends but for these, which explain all of a request that is surely to blame itself.
+    /// The crashes that are not among `explained`. These include all crashes of a request that was itself refused
+    /// unambiguously.
     pub(super) fn unexplained_crashes(&self, explained: &[Crash]) -> impl Iterator<Item = Crash> {
         let unexplained = self.crashes.iter().filter(move |crash| !explained.iter().any(|other| other.is_same(crash)));
         unexplained.copied()
     }
 
-    /// Something changed that all others must know.
+    /// Schedule reports of a change to all other daemons.
     pub(super) const fn schedule_notes(&mut self, now: Time) {
         self.to_hall_peers.start(now);
         self.to_other_halls.start(now);
     }
 
-    /// Something speaks for it: what was known before does not count.
+    /// Clear the request: drop the crashes and the refusal that the clearance covers.
     pub(super) fn clear(&mut self, clearance: Clearance) {
         self.clearance = Some(clearance);
         self.crashes.retain(|crash| crash.at > clearance.covers_until());
@@ -241,12 +239,12 @@
         self.trial_until = Time(0);
     }
 
-    /// Whether a refusal that holds since then was lifted, or is past its time, since.
+    /// Whether a refusal decided at `since` has been lifted or has expired.
     pub(super) fn refusal_is_over(&self, since: Time) -> bool {
         self.refusal_expired_at >= since || self.clearance.is_some_and(|clearance| clearance.covers_until() >= since)
     }
 
-    /// Whether others must know it for as long as it is known.
+    /// Whether other daemons must know the record for as long as it is kept.
     pub(super) const fn needs_resending(&self) -> bool {
         self.refused.is_some() || self.crash_count() >= 2
     }
