--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -57,12 +57,12 @@
         }
         let packed_share = self.policy.packed_share;
         let unknown = Placement { pace: None, max_interval_ms: f64::INFINITY, packed_share };
-        let Some(state) = self.services.get(req.service).filter(|state| state.engine.answers.is_known()) else {
+        let Some(state) = self.services.get(req.service).filter(|state| state.engine.answer_pace.is_known()) else {
             return Some(unknown);
         };
-        let pace = &state.engine.answers;
+        let pace = &state.engine.answer_pace;
         let lengths_known = state.long_answers.is_some_and(|long| long.lengths_known_from.is_past(now));
-        let likely = req.prompt.and_then(|prompt| pace.likely_events(prompt, lengths_known));
+        let likely = req.prompt.and_then(|prompt| pace.likely_max_events(prompt, lengths_known));
         let max_interval_ms = match likely {
             Some(events) => {
                 (req.time_left.as_millis_f64() * self.policy.answer_share / events).min(Self::max_steady_interval_ms(state))
@@ -76,17 +76,17 @@
 
     /// Milliseconds between two events on average at which single ones hardly pause beyond what is in time.
     fn max_steady_interval_ms(state: &ServiceState) -> f64 {
-        state.max_pause.map_or(f64::INFINITY, |pause| state.engine.answers.steady_ms(pause))
+        state.max_pause.map_or(f64::INFINITY, |pause| state.engine.answer_pace.max_mean_interval_ms(pause))
     }
 
     /// Long answers that a usual engine of a service can have at once so that the longest end in time and none
     /// pauses for too long; absent while their pace or lengths are not known.
     pub(super) fn max_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
-        let pace = &state.engine.answers;
+        let pace = &state.engine.answer_pace;
         let long = state.long_answers.filter(|_| pace.is_known())?;
-        let events = pace.most_events(long.tokens, long.lengths_known_from.is_past(now))?;
+        let events = pace.max_events(long.tokens, long.lengths_known_from.is_past(now))?;
         let in_time_ms = long.limit.as_millis_f64() * self.policy.answer_share / events;
-        Some(pace.answers_within(in_time_ms.min(Self::max_steady_interval_ms(state))))
+        Some(pace.max_answers(in_time_ms.min(Self::max_steady_interval_ms(state))))
     }
 
     /// Whether the longest answers that a replica has end in time though it also reads prompts. Reading
@@ -96,11 +96,11 @@
         let Some(state) = self.services.get(&replica.facts.service) else {
             return true;
         };
-        let pace = &state.engine.answers;
+        let pace = &state.engine.answer_pace;
         let (Some(long), true) = (state.long_answers, pace.is_known()) else {
             return true;
         };
-        let Some(events) = pace.most_events(long.tokens, long.lengths_known_from.is_past(now)) else {
+        let Some(events) = pace.max_events(long.tokens, long.lengths_known_from.is_past(now)) else {
             return true;
         };
         replica.interval_ms(pace, replica.streams()) * events <= long.limit.as_millis_f64() * self.policy.answer_share
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -13,8 +13,8 @@
     endpoint::Role,
     fleet::{
         Fleet, ServiceState,
-        endings::{Listeners, RequestNote},
-        engine::Learned,
+        endings::{Recipients, RequestNote},
+        engine::LearnedModel,
         rate_limit::RateLimitNote,
         replica::{Load, Replica, ReplicaKey},
         short_id,
@@ -135,7 +135,7 @@
     /// Hash of the service's name.
     pub service: u32,
     /// What it has learned.
-    pub learned: Learned,
+    pub learned: LearnedModel,
 }
 
 /// A prompt that was sent to a replica, so that its memory holds it.
@@ -172,7 +172,7 @@
     pub fn own_report(&mut self, now: Time) -> LoadReport {
         let learned = self.learned_report(now);
         let daemons = self.daemons();
-        let requests = self.crashes.notes(Listeners::HallPeers, daemons, now);
+        let requests = self.crashes.due_notes(Recipients::HallPeers, daemons, now);
         let mut reads = std::mem::take(&mut self.prompt_notes);
         reads.truncate(MAX_PROMPT_NOTES);
         limit_parts(&mut reads);
@@ -230,7 +230,7 @@
             demands: demands.into_iter().filter_map(to_service_demand).collect(),
             changing: self.changing(now, |replica| replica.ordered_here || replica.ordered_in_hall),
             learned: Vec::new(),
-            requests: self.crashes.notes(Listeners::Halls, daemons as usize, now),
+            requests: self.crashes.due_notes(Recipients::OtherHalls, daemons as usize, now),
             rate_limits: self.rate_limits(true, now),
         };
         (report, daemons)
@@ -303,7 +303,7 @@
         }
         self.next_learned_report = now + LEARNED_INTERVAL;
         let to_learned = |(name, state): (&Arc<str>, &ServiceState)| {
-            let learned = state.engine.shared()?;
+            let learned = state.engine.learned()?;
             Some(ServiceLearned { service: short_id(name), learned })
         };
         self.services.iter().filter_map(to_learned).collect()
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -17,7 +17,7 @@
     endpoint::Role,
     fleet::{
         Fleet, SentStep, StepEnd,
-        engine::read_time::Reading,
+        engine::read_time::PrefillWork,
         plan::{Plan, PlanError, RouteRequest, Step},
         replica::{ReplicaFacts, ReplicaKey},
     },
@@ -191,8 +191,8 @@
 }
 
 /// What a reading takes.
-fn actual_prefill_ms(reading: Reading) -> f64 {
-    let (uncached, held) = (f64::from(reading.uncached), f64::from(reading.held));
+fn actual_prefill_ms(reading: PrefillWork) -> f64 {
+    let (uncached, held) = (f64::from(reading.uncached), f64::from(reading.cached));
     5.0 + uncached / 307.0 + 0.147 * uncached * (held + uncached / 2.0) / 1e6
 }
 
