--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -41,27 +41,27 @@
 /// Read a request, find its route and judge its key.
 pub(super) async fn admit(gw: &Gateway, mut head: request::Parts, body: Incoming) -> Result<Admitted, NotAdmitted> {
     let arrived = gw.now();
-    hide_keys(&mut head);
+    mark_keys_sensitive(&mut head);
     let caller = gw.outside.dialect.caller(&head).map_err(|e| (Refusal::BadHead(e.to_string()), String::new()))?;
     let refused = |refusal| (refusal, caller.id.clone());
     let table = gw.table().ok_or_else(|| refused(Refusal::NoConfiguration))?;
-    let (route, service) = find(&table, &head, &caller).ok_or_else(|| refused(Refusal::NoRoute))?;
-    let identity = gw.keys.judge(&table, &route, &caller.key, arrived).map_err(refused)?;
-    let patience = caller.patience.unwrap_or(route.timeout).min(route.timeout);
-    let deadline = arrived + patience;
+    let (route, service) = find_route(&table, &head, &caller).ok_or_else(|| refused(Refusal::NoRoute))?;
+    let identity = gw.keys.authenticate(&table, &route, &caller.key, arrived).map_err(refused)?;
+    let timeout = caller.patience.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = arrived + timeout;
     let body = read_body(gw, body, table.limits.body_bytes, deadline).await.map_err(refused)?;
-    let content = content(&head, &body);
+    let content = content_hash(&head, &body);
     Ok(Admitted { head, body, caller, content, route, service, identity, version: table.version, arrived, deadline })
 }
 
 /// Keep keys out of whatever shows a head.
-fn hide_keys(head: &mut request::Parts) {
+fn mark_keys_sensitive(head: &mut request::Parts) {
     for (_, value) in head.headers.iter_mut().filter(|(name, _)| **name == header::AUTHORIZATION) {
         value.set_sensitive(true);
     }
 }
 
-fn find(table: &RouteTable, head: &request::Parts, caller: &CallerRequest) -> Option<(Arc<Route>, Arc<str>)> {
+fn find_route(table: &RouteTable, head: &request::Parts, caller: &CallerRequest) -> Option<(Arc<Route>, Arc<str>)> {
     let route = table.find(host(head)?, head.uri.path())?;
     let service = Arc::clone(route.service(hash::bytes(caller.id.as_bytes()))?);
     Some((route, service))
@@ -72,7 +72,7 @@
     head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).or_else(|| head.uri.host())
 }
 
-fn content(head: &request::Parts, body: &[u8]) -> ContentHash {
+fn content_hash(head: &request::Parts, body: &[u8]) -> ContentHash {
     let path = head.uri.path_and_query().map_or("", PathAndQuery::as_str);
     ContentHash::of(head.method.as_str(), host(head).unwrap_or_default(), path, body)
 }
@@ -84,7 +84,7 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::BodyTooLarge);
     }
-    match gw.until(deadline, Limited::new(body, limit).collect()).await {
+    match gw.timeout_at(deadline, Limited::new(body, limit).collect()).await {
         None => Err(Refusal::BodyLate),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(e)) if e.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -8,7 +8,7 @@
 use crate::gateway::relay::RelayError;
 
 /// The body of any answer.
-pub(super) type AnswerBody = UnsyncBoxBody<Bytes, RelayError>;
+pub(super) type ResponseBody = UnsyncBoxBody<Bytes, RelayError>;
 
 /// Why the daemon itself answers a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,9 +61,9 @@
 }
 
 /// When to come back after a refusal that says nothing of its own, before it is spread.
-const COME_BACK: Span = Span::millis(150);
+const BASE_RETRY_AFTER: Span = Span::millis(150);
 /// What is added to that, at most.
-const COME_BACK_SPREAD: Span = Span::millis(250);
+const RETRY_AFTER_JITTER: Span = Span::millis(250);
 
 impl Refusal {
     /// Short name, for logs and metrics.
@@ -114,7 +114,7 @@
     }
 
     /// The answer; `draw` spreads callers that come back.
-    pub(super) fn answer(&self, draw: u64) -> Response<AnswerBody> {
+    pub(super) fn to_response(&self, random: u64) -> Response<ResponseBody> {
         let text = match self {
             Self::BadHead(why) => format!("{}: {why}\n", self.name()),
             _ => format!("{}\n", self.name()),
@@ -123,50 +123,50 @@
         *resp.status_mut() = self.status();
         let headers = resp.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(value) = self.come_back(draw).and_then(seconds) {
+        if let Some(value) = self.retry_after(random).and_then(retry_after_value) {
             headers.insert(header::RETRY_AFTER, value);
         }
         if self.status() == StatusCode::UNAUTHORIZED {
             headers.insert(header::WWW_AUTHENTICATE, HeaderValue::from_static("Token"));
         }
-        if self.leaves_bytes() {
+        if self.leaves_unread_body() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         resp
     }
 
-    fn come_back(&self, draw: u64) -> Option<Span> {
+    fn retry_after(&self, random: u64) -> Option<Span> {
         match self {
             Self::TooLate { come_back } | Self::ReplicasLimited { come_back } => Some(*come_back),
-            Self::OverQuota { come_back } => come_back.map(|wait| Span(wait.0 + draw % COME_BACK_SPREAD.0)),
+            Self::OverQuota { come_back } => come_back.map(|wait| Span(wait.0 + random % RETRY_AFTER_JITTER.0)),
             Self::NoConfiguration
             | Self::KeyUncertain
             | Self::QuotaUnavailable
             | Self::NoReplica
             | Self::Stopping
-            | Self::Rejected => Some(Span(COME_BACK.0 + draw % COME_BACK_SPREAD.0)),
+            | Self::Rejected => Some(Span(BASE_RETRY_AFTER.0 + random % RETRY_AFTER_JITTER.0)),
             _ => None,
         }
     }
 
     /// Whether bytes of the request may still be under way on the connection.
-    const fn leaves_bytes(&self) -> bool {
+    const fn leaves_unread_body(&self) -> bool {
         matches!(self, Self::BadHead(_) | Self::BodyTooLarge | Self::BodyLate)
     }
 }
 
 /// A span in seconds with fractions, as callers read it.
-fn seconds(span: Span) -> Option<HeaderValue> {
+fn retry_after_value(span: Span) -> Option<HeaderValue> {
     HeaderValue::from_str(&format!("{:.3}", span.as_seconds())).ok()
 }
 
 /// A body that is whole.
-pub(super) fn full(bytes: Bytes) -> AnswerBody {
+pub(super) fn full(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Headers that concern one connection only.
-const ONE_CONNECTION: [HeaderName; 6] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -176,8 +176,8 @@
 ];
 
 /// Take out of a replica's head what concerns its connection only.
-pub(super) fn pass_on(headers: &mut HeaderMap) {
-    for name in &ONE_CONNECTION {
+pub(super) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -21,7 +21,7 @@
 use crate::{
     emit,
     gateway::{
-        leadership::{self, LeaderLease, UnderLease},
+        leadership::{self, LeaderLease, LeaseScoped},
         metrics::StoreCall,
         state::Gateway,
     },
@@ -57,7 +57,7 @@
 type StoredPools = BTreeMap<Arc<str>, StoredPool>;
 
 /// Which order: a service's engines of one hall and kind.
-type Subject = (Arc<str>, Arc<str>, bool);
+type OrderKey = (Arc<str>, Arc<str>, bool);
 
 /// What one leader knows, from when it took over.
 #[derive(Debug, Default)]
@@ -66,7 +66,7 @@
     stored: StoredPools,
     peaks: BTreeMap<Arc<str>, Peak>,
     /// When an order is to be made again; absent where it was taken and has its effect.
-    due: BTreeMap<Subject, Time>,
+    due: BTreeMap<OrderKey, Time>,
 }
 
 /// Order sizes while this daemon leads.
@@ -74,10 +74,10 @@
     let Some(address) = gw.size_address() else {
         return;
     };
-    let over = gw.stop.begun.clone();
+    let stop = gw.stop.begun.clone();
     tokio::select! {
         () = reconcile(&gw, address) => {}
-        () = over.cancelled() => {}
+        () = stop.cancelled() => {}
     }
 }
 
@@ -90,12 +90,12 @@
 }
 
 async fn reconcile(gw: &Gateway, address: SocketAddr) {
-    let mut present = UnderLease::none();
+    let mut state = LeaseScoped::empty();
     loop {
-        gw.pause(RECONCILE_INTERVAL).await;
-        let Some((lease, kept)) = present.take(gw.leadership.current(gw.now())) else { continue };
+        gw.sleep(RECONCILE_INTERVAL).await;
+        let Some((lease, kept)) = state.take(gw.leadership.current(gw.now())) else { continue };
         match reconcile_once(gw, address, &lease, kept).await {
-            Ok(autoscaler) => present.keep(&lease, autoscaler),
+            Ok(autoscaler) => state.keep(&lease, autoscaler),
             // What is stored is not certain any more; it is read again.
             Err(e) => emit!(info, SIZE_NOT_ORDERED, fence = lease.fence(), why = %e),
         }
@@ -121,7 +121,7 @@
 }
 
 /// The services whose size may be chosen. Of plain ones nothing is known of what they could serve.
-fn scaled(gw: &Gateway) -> Vec<(Arc<str>, Scaling)> {
+fn scalable_services(gw: &Gateway) -> Vec<(Arc<str>, Scaling)> {
     let table = gw.table();
     let services = table.iter().flat_map(|table| table.services()).filter(|service| service.engine.is_some());
     services.filter_map(|service| Some((Arc::clone(&service.name), service.scaling.clone()?))).collect()
@@ -138,45 +138,45 @@
             .map_err(|e| CallError::Lost(format!("the stored sizes cannot be read: {e}")))?;
         let now = gw.now();
         // Whether the leader before sent these is not known.
-        let due = stored.iter().flat_map(|(service, pool)| subjects(service, &pool.ordered)).map(|s| (s, now));
+        let due = stored.iter().flat_map(|(service, pool)| order_keys(service, &pool.ordered)).map(|s| (s, now));
         Ok(Self { revision: entry.revision, due: due.collect(), stored, peaks: BTreeMap::new() })
     }
 
     async fn step(&mut self, gw: &Gateway, address: SocketAddr, lease: &LeaderLease) -> Result<(), CallError> {
         let now = gw.now();
         let mut next = self.stored.clone();
-        for (service, scaling) in scaled(gw) {
-            let there = gw.fleet().pool(&service, now);
-            if there.is_empty() {
+        for (service, scaling) in scalable_services(gw) {
+            let current = gw.fleet().pool(&service, now);
+            if current.is_empty() {
                 continue;
             }
             let pool = next.entry(Arc::clone(&service)).or_insert_with(|| StoredPool {
                 wanted: PoolSize::new(),
-                ordered: there.clone(),
+                ordered: current.clone(),
                 needed: None,
             });
-            self.want(gw, &service, &scaling, pool, &there, now);
-            let ordered = scaling.next(&pool.wanted, &there, &pool.ordered);
-            self.note_due(&service, &scaling, &there, &pool.ordered, &ordered, now);
+            self.choose_size(gw, &service, &scaling, pool, &current, now);
+            let ordered = scaling.next(&pool.wanted, &current, &pool.ordered);
+            self.schedule_orders(&service, &scaling, &current, &pool.ordered, &ordered, now);
             pool.ordered = ordered;
         }
         if next != self.stored {
             self.store(gw, next).await?;
         }
-        self.send(gw, address, lease, now).await
+        self.send_due_orders(gw, address, lease, now).await
     }
 
     /// Choose the size that is wanted.
-    fn want(
+    fn choose_size(
         &mut self,
         gw: &Gateway,
         service: &Arc<str>,
         scaling: &Scaling,
         pool: &mut StoredPool,
-        there: &PoolSize,
+        current: &PoolSize,
         now: Time,
     ) {
-        let there_all = there.values().map(|hall| f64::from(hall.all())).sum::<f64>();
+        let engines = current.values().map(|hall| f64::from(hall.all())).sum::<f64>();
         let known = pool.needed;
         let peak = self.peaks.entry(Arc::clone(service)).or_insert_with(|| match known {
             Some(Needed { engines, seen: true }) => Peak::seen_before(engines, now),
@@ -189,8 +189,8 @@
             peak.note(needed, now);
         } else if !known.is_some_and(|known| known.seen) {
             // Before any demand was seen the engines that operators gave say what they expect.
-            let given = there.values().map(|hall| f64::from(hall.staying)).sum();
-            peak.expect(known.map_or(given, |known| known.engines), now);
+            let configured = current.values().map(|hall| f64::from(hall.staying)).sum();
+            peak.expect(known.map_or(configured, |known| known.engines), now);
         }
         let wanted = scaling.wanted(peak.at(now), &gw.settings.policy);
         if pool::replaces(&wanted, &pool.wanted) {
@@ -203,7 +203,7 @@
                 peak = peak.at(now),
                 reading = demand.reading,
                 slots = demand.slots,
-                there = there_all,
+                there = engines,
                 halls = wanted.len(),
                 staying = hall.staying,
                 reclaimable = hall.reclaimable
@@ -215,25 +215,25 @@
     }
 
     /// Note which orders are to be made, and when.
-    fn note_due(
+    fn schedule_orders(
         &mut self,
         service: &Arc<str>,
         scaling: &Scaling,
-        there: &PoolSize,
+        current: &PoolSize,
         before: &PoolSize,
         next: &PoolSize,
         now: Time,
     ) {
-        let count = |pool: &PoolSize, (_, hall, reclaimable): &Subject| {
+        let count = |pool: &PoolSize, (_, hall, reclaimable): &OrderKey| {
             let size = pool.get(hall).copied().unwrap_or_default();
             if *reclaimable { size.reclaimable } else { size.staying }
         };
-        for subject in subjects(service, next) {
-            let ordered = count(next, &subject);
-            if ordered != count(before, &subject) {
-                self.due.insert(subject, now);
-            } else if count(there, &subject) < ordered {
-                self.due.entry(subject).or_insert(now + scaling.start + EFFECT_TIMEOUT);
+        for key in order_keys(service, next) {
+            let ordered = count(next, &key);
+            if ordered != count(before, &key) {
+                self.due.insert(key, now);
+            } else if count(current, &key) < ordered {
+                self.due.entry(key).or_insert(now + scaling.start + EFFECT_TIMEOUT);
             }
         }
     }
@@ -253,46 +253,46 @@
     }
 
     /// Make the orders that are due.
-    async fn send(
+    async fn send_due_orders(
         &mut self,
         gw: &Gateway,
         address: SocketAddr,
         lease: &LeaderLease,
         now: Time,
     ) -> Result<(), CallError> {
-        let due: Vec<Subject> = self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(s, _)| s.clone()).collect();
+        let due: Vec<OrderKey> = self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(s, _)| s.clone()).collect();
         if due.is_empty() {
             return Ok(());
         }
-        for subject in due {
-            let Some(desired) = self.desired(&subject) else {
-                self.due.remove(&subject);
+        for key in due {
+            let Some(desired) = self.desired(&key) else {
+                self.due.remove(&key);
                 continue;
             };
             gw.confirm_leadership(lease).await?;
-            if order(gw, address, lease, &subject, desired).await {
-                self.due.remove(&subject);
+            if send_order(gw, address, lease, &key, desired).await {
+                self.due.remove(&key);
             } else {
-                self.due.insert(subject, gw.now() + RETRY_INTERVAL);
+                self.due.insert(key, gw.now() + RETRY_INTERVAL);
             }
         }
         Ok(())
     }
 
-    fn desired(&self, (service, hall, reclaimable): &Subject) -> Option<u32> {
+    fn desired(&self, (service, hall, reclaimable): &OrderKey) -> Option<u32> {
         let size = self.stored.get(service)?.ordered.get(hall)?;
         Some(if *reclaimable { size.reclaimable } else { size.staying })
     }
 }
 
-fn subjects(service: &Arc<str>, ordered: &PoolSize) -> Vec<Subject> {
-    let kinds = |hall: &Arc<str>| [false, true].map(|kind| (Arc::clone(service), Arc::clone(hall), kind));
-    ordered.keys().flat_map(kinds).collect()
+fn order_keys(service: &Arc<str>, ordered: &PoolSize) -> Vec<OrderKey> {
+    let keys = |hall: &Arc<str>| [false, true].map(|reclaimable| (Arc::clone(service), Arc::clone(hall), reclaimable));
+    ordered.keys().flat_map(keys).collect()
 }
 
 /// Make one order; returns whether it was taken.
-async fn order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, subject: &Subject, desired: u32) -> bool {
-    let (service, hall, reclaimable) = subject;
+async fn send_order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, key: &OrderKey, desired: u32) -> bool {
+    let (service, hall, reclaimable) = key;
     let order = PoolOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
     let holder = lease.holder(&gw.settings.vm);
     let req = match gw.outside.dialect.order_size(address, &holder, &order) {
@@ -302,9 +302,9 @@
             return false;
         }
     };
-    let answered = once::call(address, req, leadership::CALL_TIMEOUT).await;
-    let status = answered.as_ref().map_or(0, |(status, _)| status.as_u16());
-    let answer = answered.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
+    let result = once::call(address, req, leadership::CALL_TIMEOUT).await;
+    let status = result.as_ref().map_or(0, |(status, _)| status.as_u16());
+    let answer = result.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
     emit!(
         info,
         SIZE_ORDERED,
--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -27,29 +27,29 @@
 };
 
 /// Time between two looks: soon enough that the entry stands before the bound in which all must know it.
-const LOOK: Duration = Duration::from_millis(250);
+const SYNC_INTERVAL: Duration = Duration::from_millis(250);
 /// Time that the daemon which lost the request has for its entry, and any for a removal, before others do it.
-const OTHERS_AFTER: Span = Span::millis(3_000);
+const TAKEOVER_DELAY: Span = Span::millis(3_000);
 /// What others wait more, drawn up to this for each daemon, so that one of them is first.
-const OTHERS_SPREAD_EACH: Span = Span::millis(20);
+const TAKEOVER_JITTER_PER_DAEMON: Span = Span::millis(20);
 /// Time until a call that failed, or whose effect is not seen yet, is made again.
-const RESEND_INTERVAL: Span = Span::millis(1_000);
+const RETRY_INTERVAL: Span = Span::millis(1_000);
 /// Suspicions in the store at most, those with the most ends: when a rack fails hundreds of requests lose a replica,
 /// some of them twice, and are answered a moment later.
-const MAX_SUSPICIONS: usize = 8;
+const MAX_STORED_SUSPICIONS: usize = 8;
 
 /// What an entry says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Blame {
+enum EntryKind {
     Refused,
     Suspected,
 }
 
-impl Blame {
+impl EntryKind {
     const ALL: [Self; 2] = [Self::Refused, Self::Suspected];
 
     /// Where such entries stand under the daemons' keys.
-    const fn folder(self) -> &'static str {
+    const fn prefix(self) -> &'static str {
         match self {
             Self::Refused => "refused/",
             Self::Suspected => "suspected/",
@@ -57,15 +57,15 @@
     }
 
     fn key(self, keyspace: &str, content: ContentHash) -> String {
-        format!("{keyspace}{}{content}", self.folder())
+        format!("{keyspace}{}{content}", self.prefix())
     }
 
     /// What a key names, if it is one of such an entry.
-    fn named(keyspace: &str, key: &str) -> Option<(Self, ContentHash)> {
+    fn parse_key(keyspace: &str, key: &str) -> Option<(Self, ContentHash)> {
         let rest = key.strip_prefix(keyspace)?;
-        Self::ALL.into_iter().find_map(|blame| {
-            let digits = rest.strip_prefix(blame.folder())?;
-            u64::from_str_radix(digits, 16).ok().map(|content| (blame, ContentHash(content)))
+        Self::ALL.into_iter().find_map(|kind| {
+            let digits = rest.strip_prefix(kind.prefix())?;
+            u64::from_str_radix(digits, 16).ok().map(|content| (kind, ContentHash(content)))
         })
     }
 }
@@ -97,21 +97,22 @@
         Self { ends: ends.collect(), until_ms: now_ms + suspicion.left.as_millis() }
     }
 
-    fn read(&self) -> Suspicion {
+    fn to_suspicion(&self) -> Suspicion {
         let now_ms = wall_millis();
-        let ends = self.ends.iter().map(|(replica, at_ms)| (*replica, Span::millis(now_ms.saturating_sub(*at_ms))));
+        let ends =
+            self.ends.iter().map(|(replica, ended_ms)| (*replica, Span::millis(now_ms.saturating_sub(*ended_ms))));
         Suspicion { ends: ends.collect(), left: Span::millis(self.until_ms.saturating_sub(now_ms)), own: false }
     }
 }
 
 /// Take in an entry; returns whether it is one of a blamed request.
-pub(super) fn put(gw: &Gateway, entry: &Entry) -> bool {
-    let Some((blame, content)) = Blame::named(&gw.settings.keyspace, &entry.key) else {
+pub(super) fn apply_put(gw: &Gateway, entry: &Entry) -> bool {
+    let Some((kind, content)) = EntryKind::parse_key(&gw.settings.keyspace, &entry.key) else {
         return false;
     };
     let now = gw.now();
-    match blame {
-        Blame::Refused => {
+    match kind {
+        EntryKind::Refused => {
             if let Ok(stored) = serde_json::from_str::<StoredRefusal>(&entry.value) {
                 let age = Span::millis(wall_millis().saturating_sub(stored.since_ms));
                 let left = Span::millis(stored.until_ms.saturating_sub(wall_millis()));
@@ -120,9 +121,9 @@
                 }
             }
         }
-        Blame::Suspected => {
+        EntryKind::Suspected => {
             if let Ok(stored) = serde_json::from_str::<StoredSuspicion>(&entry.value) {
-                gw.fleet().endings.hear_suspicion(content, &stored.read(), now);
+                gw.fleet().endings.hear_suspicion(content, &stored.to_suspicion(), now);
             }
         }
     }
@@ -130,8 +131,8 @@
 }
 
 /// Take in that an entry was removed: an operator lets the request through again.
-pub(super) fn removed(gw: &Gateway, key: &str) {
-    if let Some((Blame::Refused, content)) = Blame::named(&gw.settings.keyspace, key) {
+pub(super) fn apply_removal(gw: &Gateway, key: &str) {
+    if let Some((EntryKind::Refused, content)) = EntryKind::parse_key(&gw.settings.keyspace, key) {
         let now = gw.now();
         gw.fleet().endings.lift(content, now);
     }
@@ -139,35 +140,35 @@
 
 /// Keep the store as the daemons know it, until the daemon is over.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.over.clone();
-    let mut keeper = Keeper::default();
+    let stop = gw.stop.finished.clone();
+    let mut sync = StoreSync::default();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => keeper.look(&gw).await,
-            () = over.cancelled() => return,
+            () = tokio::time::sleep(SYNC_INTERVAL) => sync.sync(&gw).await,
+            () = stop.cancelled() => return,
         }
     }
 }
 
 /// An entry in the store.
 #[derive(Debug)]
-struct Present {
+struct StoredEntry {
     key: String,
     revision: i64,
-    blame: Blame,
+    kind: EntryKind,
     content: ContentHash,
     /// Ends that a suspicion names.
     ends: usize,
 }
 
-impl Present {
-    fn read(keyspace: &str, entry: &Entry) -> Option<Self> {
-        let (blame, content) = Blame::named(keyspace, &entry.key)?;
-        let ends = match blame {
-            Blame::Refused => 0,
-            Blame::Suspected => serde_json::from_str::<StoredSuspicion>(&entry.value).map_or(0, |s| s.ends.len()),
+impl StoredEntry {
+    fn parse(keyspace: &str, entry: &Entry) -> Option<Self> {
+        let (kind, content) = EntryKind::parse_key(keyspace, &entry.key)?;
+        let ends = match kind {
+            EntryKind::Refused => 0,
+            EntryKind::Suspected => serde_json::from_str::<StoredSuspicion>(&entry.value).map_or(0, |s| s.ends.len()),
         };
-        Some(Self { key: entry.key.clone(), revision: entry.revision, blame, content, ends })
+        Some(Self { key: entry.key.clone(), revision: entry.revision, kind, content, ends })
     }
 }
 
@@ -180,69 +181,72 @@
     /// The new entry; absent if it is to go.
     value: Option<String>,
     /// When it may first be made.
-    first: Time,
+    not_before: Time,
 }
 
 /// What a daemon knows of blamed requests.
 #[derive(Debug)]
-struct Blamed {
+struct KnownContents {
     refused: HashMap<ContentHash, Refused>,
     suspected: HashMap<ContentHash, Suspicion>,
 }
 
-impl Blamed {
-    fn knows(&self, blame: Blame, content: ContentHash) -> bool {
-        match blame {
-            Blame::Refused => self.refused.contains_key(&content),
-            Blame::Suspected => self.suspected.contains_key(&content),
+impl KnownContents {
+    fn contains(&self, kind: EntryKind, content: ContentHash) -> bool {
+        match kind {
+            EntryKind::Refused => self.refused.contains_key(&content),
+            EntryKind::Suspected => self.suspected.contains_key(&content),
         }
     }
 
     /// The suspicions that are to stand in the store: those that do, and others while there is room.
-    fn to_store(&self, present: &[Present]) -> Vec<(ContentHash, &Suspicion)> {
-        let stands = |content: ContentHash| {
-            present.iter().any(|entry| entry.blame == Blame::Suspected && entry.content == content)
+    fn suspicions_to_store(&self, stored_entries: &[StoredEntry]) -> Vec<(ContentHash, &Suspicion)> {
+        let is_stored = |content: ContentHash| {
+            stored_entries.iter().any(|entry| entry.kind == EntryKind::Suspected && entry.content == content)
         };
         let mut ranked: Vec<_> = self.suspected.iter().map(|(content, suspicion)| (*content, suspicion)).collect();
         ranked.sort_unstable_by_key(|(content, suspicion)| {
-            (!stands(*content), usize::MAX - suspicion.ends.len(), *content)
+            (!is_stored(*content), usize::MAX - suspicion.ends.len(), *content)
         });
-        ranked.truncate(MAX_SUSPICIONS);
+        ranked.truncate(MAX_STORED_SUSPICIONS);
         ranked
     }
 }
 
 /// What this daemon has seen and done so far.
 #[derive(Debug, Default)]
-struct Keeper {
-    known: HashMap<ContentHash, Refused>,
+struct StoreSync {
+    logged_refusals: HashMap<ContentHash, Refused>,
     /// When a call for an entry may be made, by key.
     due: HashMap<String, Time>,
 }
 
-impl Keeper {
-    async fn look(&mut self, gw: &Arc<Gateway>) {
+impl StoreSync {
+    async fn sync(&mut self, gw: &Arc<Gateway>) {
         let now = gw.now();
-        let (blamed, lapsed) = {
+        let (contents, lapsed) = {
             let endings = &mut gw.fleet().endings;
             let lapsed: HashSet<ContentHash> = endings.sweep(now).into_iter().collect();
-            (Blamed { refused: endings.refused().collect(), suspected: endings.suspected(now).collect() }, lapsed)
+            (
+                KnownContents { refused: endings.refused().collect(), suspected: endings.suspected(now).collect() },
+                lapsed,
+            )
         };
-        self.log_changes(&blamed.refused, &lapsed, now);
-        let present: Vec<Present> = {
+        self.log_changes(&contents.refused, &lapsed, now);
+        let stored_entries: Vec<StoredEntry> = {
             let cache = gw.store_cache();
-            cache.daemons.values().filter_map(|entry| Present::read(&gw.settings.keyspace, entry)).collect()
+            cache.daemons.values().filter_map(|entry| StoredEntry::parse(&gw.settings.keyspace, entry)).collect()
         };
-        let changes = changes(gw, &blamed, &present, now);
-        self.known = blamed.refused;
+        let changes = pending_changes(gw, &contents, &stored_entries, now);
+        self.logged_refusals = contents.refused;
         self.due.retain(|key, _| changes.iter().any(|change| change.key == *key));
         for change in changes {
-            self.make(gw, change, now).await;
+            self.apply(gw, change, now).await;
         }
     }
 
     fn log_changes(&self, refused: &HashMap<ContentHash, Refused>, lapsed: &HashSet<ContentHash>, now: Time) {
-        for (content, refused) in refused.iter().filter(|(content, _)| !self.known.contains_key(content)) {
+        for (content, refused) in refused.iter().filter(|(content, _)| !self.logged_refusals.contains_key(content)) {
             emit!(
                 warn,
                 REQUEST_BLAMED,
@@ -253,7 +257,7 @@
                 left_ms = refused.until.since(now).as_millis()
             );
         }
-        for (content, before) in self.known.iter().filter(|(content, _)| !refused.contains_key(content)) {
+        for (content, before) in self.logged_refusals.iter().filter(|(content, _)| !refused.contains_key(content)) {
             let why = if lapsed.contains(content) { "lapsed" } else { "lifted or answered" };
             emit!(
                 warn,
@@ -267,12 +271,12 @@
     }
 
     /// Make a change once it is due.
-    async fn make(&mut self, gw: &Gateway, change: Change, now: Time) {
-        let due = *self.due.entry(change.key.clone()).or_insert(change.first);
+    async fn apply(&mut self, gw: &Gateway, change: Change, now: Time) {
+        let due = *self.due.entry(change.key.clone()).or_insert(change.not_before);
         if !due.is_past(now) {
             return;
         }
-        self.due.insert(change.key.clone(), now + RESEND_INTERVAL);
+        self.due.insert(change.key.clone(), now + RETRY_INTERVAL);
         gw.metrics.store_call(StoreCall::Refused);
         let swap = Swap { key: change.key, expect: change.expect, value: change.value, lease: None };
         match gw.outside.kv.swap_each(vec![swap]).await.map(|mut swapped| swapped.pop()) {
@@ -283,42 +287,47 @@
 }
 
 /// What in the store is not as this daemon knows it.
-fn changes(gw: &Gateway, blamed: &Blamed, present: &[Present], now: Time) -> Vec<Change> {
+fn pending_changes(gw: &Gateway, contents: &KnownContents, stored_entries: &[StoredEntry], now: Time) -> Vec<Change> {
     let keyspace = &gw.settings.keyspace;
-    let first = |own: bool, content: ContentHash| if own { now } else { others_at(gw, content, now) };
+    let not_before = |own: bool, content: ContentHash| if own { now } else { takeover_at(gw, content, now) };
     let mut changes = Vec::new();
-    for (content, refused) in &blamed.refused {
-        let key = Blame::Refused.key(keyspace, *content);
-        if present.iter().any(|entry| entry.key == key) {
+    for (content, refused) in &contents.refused {
+        let key = EntryKind::Refused.key(keyspace, *content);
+        if stored_entries.iter().any(|entry| entry.key == key) {
             continue;
         }
         let since_ms = wall_millis().saturating_sub(now.since(refused.since).as_millis());
         let until_ms = wall_millis() + refused.until.since(now).as_millis();
         let value = serde_json::to_string(&StoredRefusal { ends: refused.ends, since_ms, until_ms }).ok();
-        changes.push(Change { key, expect: 0, value, first: first(refused.known_by == KnownBy::Own, *content) });
+        changes.push(Change {
+            key,
+            expect: 0,
+            value,
+            not_before: not_before(refused.known_by == KnownBy::Own, *content),
+        });
     }
-    for (content, suspicion) in blamed.to_store(present) {
-        let key = Blame::Suspected.key(keyspace, content);
+    for (content, suspicion) in contents.suspicions_to_store(stored_entries) {
+        let key = EntryKind::Suspected.key(keyspace, content);
         let (expect, ends) =
-            present.iter().find(|entry| entry.key == key).map_or((0, 0), |entry| (entry.revision, entry.ends));
+            stored_entries.iter().find(|entry| entry.key == key).map_or((0, 0), |entry| (entry.revision, entry.ends));
         if ends < suspicion.ends.len() {
             let value = serde_json::to_string(&StoredSuspicion::new(suspicion)).ok();
-            changes.push(Change { key, expect, value, first: first(suspicion.own, content) });
+            changes.push(Change { key, expect, value, not_before: not_before(suspicion.own, content) });
         }
     }
-    let left_over = present.iter().filter(|entry| !blamed.knows(entry.blame, entry.content));
-    changes.extend(left_over.map(|entry| Change {
+    let stale = stored_entries.iter().filter(|entry| !contents.contains(entry.kind, entry.content));
+    changes.extend(stale.map(|entry| Change {
         key: entry.key.clone(),
         expect: entry.revision,
         value: None,
-        first: others_at(gw, entry.content, now),
+        not_before: takeover_at(gw, entry.content, now),
     }));
     changes.retain(|change| change.value.is_some() || change.expect > 0);
     changes
 }
 
 /// When a daemon does what another one should have done before.
-fn others_at(gw: &Gateway, content: ContentHash, now: Time) -> Time {
-    let spread = OTHERS_SPREAD_EACH.0 * gw.fleet().daemons() as u64;
-    now + OTHERS_AFTER + Span(rendezvous(content.0, gw.start) % spread.max(1))
+fn takeover_at(gw: &Gateway, content: ContentHash, now: Time) -> Time {
+    let max_jitter = TAKEOVER_JITTER_PER_DAEMON.0 * gw.fleet().daemons() as u64;
+    now + TAKEOVER_DELAY + Span(rendezvous(content.0, gw.run_id) % max_jitter.max(1))
 }
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -25,21 +25,21 @@
 
 /// Time from the signal to stop during which new connections may still come: the balancer asks
 /// each second and turns away after two misses.
-const BALANCER: Duration = Duration::from_millis(3_200);
+const BALANCER_DELAY: Duration = Duration::from_millis(3_200);
 /// Part of the time to stop that is kept for ending the process itself.
-const END: Span = Span::millis(400);
+const EXIT_TIME: Span = Span::millis(400);
 /// Connections of operators and of the balancer at once at most.
-const PAGE_CONNECTIONS: usize = 64;
+const MAX_PAGE_CONNECTIONS: usize = 64;
 /// Time for which a connection of theirs may be idle.
-const PAGE_IDLE: Duration = Duration::from_secs(20);
+const PAGE_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Bytes of their heads at most; the library needs as much.
-const PAGE_HEAD: usize = 8 << 10;
+const MAX_PAGE_HEAD_BYTES: usize = 8 << 10;
 
 /// A running daemon.
 #[derive(Debug)]
 pub struct GatewayController {
     gw: Arc<Gateway>,
-    callers: JoinHandle<()>,
+    caller_task: JoinHandle<()>,
     background: TaskTracker,
 }
 
@@ -50,16 +50,16 @@
     /// Why it does not start.
     pub async fn start(settings: GatewaySettings, outside: Outside) -> Result<Self, StartError> {
         settings.check()?;
-        let callers = bind("caller_address", settings.caller_address).await?;
-        let ready = bind("ready_address", settings.ready_address).await?;
-        let state = bind("peer_address", settings.peer_address).await?;
-        let metrics = bind("metrics_address", settings.metrics_address).await?;
+        let caller_listener = bind("caller_address", settings.caller_address).await?;
+        let ready_listener = bind("ready_address", settings.ready_address).await?;
+        let state_listener = bind("peer_address", settings.peer_address).await?;
+        let metrics_listener = bind("metrics_address", settings.metrics_address).await?;
         let socket = UdpSocket::bind(settings.load_address)
             .await
             .map_err(|e| StartError::Bind("load_address", settings.load_address.to_string(), e))?;
-        let start = start_number(&settings, &outside);
-        let counts = GatewayMetrics::new(outside.dropped_lines.clone())?;
-        let gw = Arc::new(Gateway::new(settings, outside, socket, counts, start));
+        let run_id = run_id(&settings, &outside);
+        let metrics = GatewayMetrics::new(outside.dropped_lines.clone())?;
+        let gw = Arc::new(Gateway::new(settings, outside, socket, metrics, run_id));
         let background = TaskTracker::new();
         background.spawn(store_watch::run(Arc::clone(&gw)));
         background.spawn(peers::run(Arc::clone(&gw)));
@@ -69,15 +69,15 @@
         background.spawn(leadership::run(Arc::clone(&gw)));
         background.spawn(orders::run(Arc::clone(&gw)));
         background.spawn(autoscaler::run(Arc::clone(&gw)));
-        background.spawn(serve_pages(Arc::clone(&gw), ready, pages::ready(&gw)));
-        background.spawn(serve_pages(Arc::clone(&gw), metrics, pages::metrics(&gw)));
-        background.spawn(serve_pages(Arc::clone(&gw), state, pages::state(&gw)));
+        background.spawn(serve_pages(Arc::clone(&gw), ready_listener, pages::ready(&gw)));
+        background.spawn(serve_pages(Arc::clone(&gw), metrics_listener, pages::metrics(&gw)));
+        background.spawn(serve_pages(Arc::clone(&gw), state_listener, pages::state(&gw)));
         background.spawn(snapshot_transfer::run(Arc::clone(&gw)));
         background.spawn(blamed::run(Arc::clone(&gw)));
         background.spawn(suspension::run(Arc::clone(&gw)));
-        let callers = tokio::spawn(listener::run(Arc::clone(&gw), callers));
-        emit!(info, STARTED, vm = gw.settings.vm, hall = gw.settings.hall, start);
-        Ok(Self { gw, callers, background })
+        let caller_task = tokio::spawn(listener::run(Arc::clone(&gw), caller_listener));
+        emit!(info, STARTED, vm = gw.settings.vm, hall = gw.settings.hall, start = run_id);
+        Ok(Self { gw, caller_task, background })
     }
 
     /// Where other daemons ask for what this one knows.
@@ -97,30 +97,31 @@
         let gw = &self.gw;
         let over_at = gw.now() + Span::seconds(gw.settings.timing.stop_s);
         emit!(info, STOPPING, under_way = gw.stop.requests.len());
-        gw.stop.begin(gw.now(), Time(over_at.0.saturating_sub(END.0)));
-        tokio::time::sleep(BALANCER).await;
+        gw.stop.begin(gw.now(), Time(over_at.0.saturating_sub(EXIT_TIME.0)));
+        tokio::time::sleep(BALANCER_DELAY).await;
         gw.stop.closing.cancel();
-        let left = over_at.since(gw.now()).0.saturating_sub(END.0);
-        let drained = tokio::time::timeout(duration(Span(left)), self.callers).await.is_ok();
+        let left = over_at.since(gw.now()).0.saturating_sub(EXIT_TIME.0);
+        let drained = tokio::time::timeout(duration(Span(left)), self.caller_task).await.is_ok();
         emit!(info, DRAINED, drained, under_way = gw.stop.requests.len());
-        usage::publish_last(gw).await;
-        gw.stop.over.cancel();
+        usage::publish_final(gw).await;
+        gw.stop.finished.cancel();
         self.background.close();
         emit!(info, STOPPED, vm = gw.settings.vm);
     }
 }
 
 /// A number for this run: later runs of a VM have higher ones, and no two VMs share one.
-fn start_number(settings: &GatewaySettings, outside: &Outside) -> u64 {
+fn run_id(settings: &GatewaySettings, outside: &Outside) -> u64 {
     let text = format!("{}{}{:?}", settings.vm, wall_millis(), outside.clock.now());
     dahliaseam_core::hash::bytes(text.as_bytes())
 }
 
 async fn serve_pages(gw: Arc<Gateway>, listener: TcpListener, router: Router) {
-    let over = gw.stop.over.clone();
-    let terms = || Terms { connections: PAGE_CONNECTIONS, head_time: PAGE_IDLE, head_bytes: PAGE_HEAD };
+    let stop = gw.stop.finished.clone();
+    let terms =
+        || Terms { connections: MAX_PAGE_CONNECTIONS, head_time: PAGE_IDLE_TIMEOUT, head_bytes: MAX_PAGE_HEAD_BYTES };
     let answer = crate::listener::router_answer(router);
-    serve_with(listener, answer, terms, gw.stop.closing.clone(), over).await;
+    serve_with(listener, answer, terms, gw.stop.closing.clone(), stop).await;
 }
 
 async fn bind(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -13,12 +13,12 @@
 use crate::{
     clock::duration,
     emit,
-    gateway::{answer::Refusal, attempt::CallFailure, request::Job, state::Gateway},
+    gateway::{answer::Refusal, attempt::CallFailure, request::ActiveRequest, state::Gateway},
 };
 
 /// Time for which a request's next try waits for what became of the replica: some times the way there and back and
 /// what a living one is listened to. A link that is cut would hold it up for longer, and says nothing.
-const LOOK: Duration = Duration::from_millis(30);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// A run that tells whether a request is to blame. It is over when this is dropped.
 #[derive(Debug)]
@@ -33,10 +33,10 @@
     }
 }
 
-impl Job {
+impl ActiveRequest {
     /// Begin a run that tells whether it is to blame, if it is in such doubt.
     pub(super) fn begin_trial(&self) -> Option<Trial> {
-        if !self.apart.is_some_and(|apart| apart.whole) {
+        if !self.isolation.is_some_and(|isolation| isolation.whole) {
             return None;
         }
         let now = self.gw.now();
@@ -45,18 +45,18 @@
     }
 
     /// If its connection broke, look what became of the replica.
-    pub(super) async fn look_if_broken(&self, replica: &ReplicaFacts, why: &CallFailure) {
+    pub(super) async fn check_replica_if_broken(&self, replica: &ReplicaFacts, why: &CallFailure) {
         if matches!(why, CallFailure::Broke(_)) {
-            self.look_at_replica(replica.clone()).await;
+            self.check_replica(replica.clone()).await;
         }
     }
 
     /// Its connection to a replica broke: find out whether the replica ended, and note that.
-    pub(super) async fn look_at_replica(&self, replica: ReplicaFacts) {
-        let noted = note_if_ended(Arc::clone(&self.gw), self.content, self.caller.id.clone(), replica);
+    pub(super) async fn check_replica(&self, replica: ReplicaFacts) {
+        let check = record_if_ended(Arc::clone(&self.gw), self.content, self.caller.id.clone(), replica);
         // A task of its own, so that it is noted also if the caller leaves now, or if it takes longer.
-        let noted = tokio::spawn(noted);
-        if let Ok(Err(e)) = tokio::time::timeout(LOOK, noted).await {
+        let check = tokio::spawn(check);
+        if let Ok(Err(e)) = tokio::time::timeout(CHECK_TIMEOUT, check).await {
             emit!(error, REPLICA_ENDED, request = self.caller.id, content = %self.content, why = %e);
         }
     }
@@ -65,19 +65,19 @@
     ///
     /// # Errors
     /// The refusal, if replicas end under it.
-    pub(super) async fn look_at_standing(&mut self) -> Result<(), Refusal> {
+    pub(super) async fn check_standing(&mut self) -> Result<(), Refusal> {
         self.trial = None;
         loop {
             let now = self.gw.now();
             let standing = self.gw.fleet().standing(self.content, now);
             match standing {
-                Standing::Clear => self.apart = None,
-                Standing::Apart(apart) => self.apart = Some(apart),
+                Standing::Clear => self.isolation = None,
+                Standing::Apart(isolation) => self.isolation = Some(isolation),
                 Standing::Unsettled(until) if !self.deadline.is_past(now) => {
-                    self.gw.pause(duration(until.min(self.deadline).since(now))).await;
+                    self.gw.sleep(duration(until.min(self.deadline).since(now))).await;
                     continue;
                 }
-                Standing::Unsettled(_) => return Err(self.last_word()),
+                Standing::Unsettled(_) => return Err(self.final_refusal()),
                 Standing::Refused(refused) => return Err(self.refuse_blamed(&refused)),
             }
             return Ok(());
@@ -96,21 +96,21 @@
             known_by = refused.known_by.name(),
             age_ms = now.since(refused.since).as_millis(),
             left_ms = refused.until.since(now).as_millis(),
-            ran = self.has_run()
+            ran = self.may_have_run()
         );
-        if self.has_run() { self.last_word() } else { Refusal::ReplicasEnded }
+        if self.may_have_run() { self.final_refusal() } else { Refusal::ReplicasEnded }
     }
 }
 
-async fn note_if_ended(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
-    let at = gw.now();
+async fn record_if_ended(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
+    let broken_at = gw.now();
     // Where another start of it listens by now this one is over as well.
     if !gw.upstream.is_gone(replica.address).await && !gw.fleet().is_replaced(&replica) {
         return;
     }
     let (ends, left_out) = {
         let mut fleet = gw.fleet();
-        (fleet.endings.ended(content, replica.start_id(), at), fleet.nobody_listens(&replica, gw.now()))
+        (fleet.endings.ended(content, replica.start_id(), broken_at), fleet.nobody_listens(&replica, gw.now()))
     };
     gw.load_changed.notify_one();
     if left_out {
--- a/crates/daemon/src/gateway/freshness_probe.rs
+++ b/crates/daemon/src/gateway/freshness_probe.rs
@@ -23,81 +23,81 @@
 /// Time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Probes whose answers still count.
-const OPEN_PROBES: usize = 16;
+const MAX_OUTSTANDING_PROBES: usize = 16;
 /// Age of a proof from which on daemons of other halls are asked, too.
 const OTHER_HALLS_AFTER: Span = Span::millis(1_500);
 
 /// Probes that this daemon sent.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
-    open: Mutex<VecDeque<(u64, Time)>>,
+    outstanding: Mutex<VecDeque<(u64, Time)>>,
 }
 
 impl Probes {
-    fn sent(&self, probe: u64, now: Time) {
-        let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.push_back((probe, now));
-        if open.len() > OPEN_PROBES {
-            open.pop_front();
+    fn record_sent(&self, probe: u64, now: Time) {
+        let mut outstanding = self.outstanding.lock().unwrap_or_else(PoisonError::into_inner);
+        outstanding.push_back((probe, now));
+        if outstanding.len() > MAX_OUTSTANDING_PROBES {
+            outstanding.pop_front();
         }
     }
 
     /// When a probe was sent. It may be answered by several.
     fn sent_at(&self, probe: u64) -> Option<Time> {
-        let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.iter().find(|(number, _)| *number == probe).map(|(_, at)| *at)
+        let outstanding = self.outstanding.lock().unwrap_or_else(PoisonError::into_inner);
+        outstanding.iter().find(|(number, _)| *number == probe).map(|(_, at)| *at)
     }
 }
 
 /// Keep the proof new until the daemon is over.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    if !gw.keys.need_proof() {
+    if !gw.keys.requires_proof() {
         return;
     }
-    let over = gw.stop.over.clone();
+    let stop = gw.stop.finished.clone();
     tokio::select! {
         () = probe(&gw) => {}
-        () = over.cancelled() => {}
+        () = stop.cancelled() => {}
     }
 }
 
 async fn probe(gw: &Gateway) {
-    let mut was_old = false;
+    let mut was_stale = false;
     loop {
-        gw.pause(PROBE_INTERVAL).await;
+        gw.sleep(PROBE_INTERVAL).await;
         let now = gw.now();
-        let is_old = gw.keys.is_proof_old(now);
-        if is_old != was_old {
-            emit!(info, PROOF_OLD, old = is_old, age_ms = gw.keys.age_ms(now), revision = gw.store_cache().revision);
-            was_old = is_old;
+        let is_stale = gw.keys.is_proof_stale(now);
+        if is_stale != was_stale {
+            emit!(info, PROOF_OLD, old = is_stale, age_ms = gw.keys.age_ms(now), revision = gw.store_cache().revision);
+            was_stale = is_stale;
         }
         if let Some(age) = gw.keys.age(now) {
             gw.metrics.proof_age(age.as_seconds());
         }
-        let (following, lost) = {
+        let (watching, unreachable) = {
             let cache = gw.store_cache();
-            (cache.watching, cache.lost)
+            (cache.watching, cache.unreachable)
         };
-        if following && !lost {
+        if watching && !unreachable {
             continue;
         }
-        let probe = gw.draw();
-        gw.probes.sent(probe, now);
+        let probe = gw.random();
+        gw.probes.record_sent(probe, now);
         peers::send_packet(gw, &Packet::Probe { probe }, &recipients(gw, now)).await;
     }
 }
 
 fn recipients(gw: &Gateway, now: Time) -> Vec<SocketAddr> {
-    let mut asked: Vec<SocketAddr> = gw.peers.watcher(gw.hall, gw.draw(), now).into_iter().collect();
+    let mut recipients: Vec<SocketAddr> = gw.peers.watcher(gw.hall, gw.random(), now).into_iter().collect();
     if gw.keys.age(now).is_none_or(|age| age > OTHER_HALLS_AFTER) {
-        asked.extend(gw.peers.one_of_each_hall(gw.hall, gw.draw()));
-        asked.extend(gw.peers.any_hall_peer(gw.hall, gw.draw()));
+        recipients.extend(gw.peers.one_of_each_hall(gw.hall, gw.random()));
+        recipients.extend(gw.peers.any_hall_peer(gw.hall, gw.random()));
     }
-    asked
+    recipients
 }
 
 /// Answer a probe.
-pub(super) async fn answer(gw: &Gateway, from: SocketAddr, probe: u64) {
+pub(super) async fn handle_probe(gw: &Gateway, from: SocketAddr, probe: u64) {
     let now = gw.now();
     if let Some(proof) = gw.keys.newest() {
         let packet = Packet::Proof { probe, revision: proof.revision, age_us: now.since(proof.at).0 };
@@ -106,8 +106,8 @@
 }
 
 /// Take in an answer.
-pub(super) fn receive(gw: &Gateway, probe: u64, revision: i64, age: Span) {
-    if let Some(asked) = gw.probes.sent_at(probe) {
-        gw.keys.note(Proof { revision, at: asked - age });
+pub(super) fn handle_proof(gw: &Gateway, probe: u64, revision: i64, age: Span) {
+    if let Some(sent_at) = gw.probes.sent_at(probe) {
+        gw.keys.record(Proof { revision, at: sent_at - age });
     }
 }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -14,12 +14,12 @@
 
 /// Part of the time in which an added key must be known after which an unknown one is no longer called so
 /// without a newer proof: a caller that is told so does not come again.
-const UNKNOWN_DIVISOR: u64 = 2;
+const UNKNOWN_KEY_DIVISOR: u64 = 2;
 /// Part of the time for which a key holds after which a daemon asks the store itself. Its hall peers step in before that;
 /// where the store is away for all, all would call it.
-const OLD_SHARE: f64 = 0.75;
+const STALE_PROOF_SHARE: f64 = 0.75;
 /// Part of the time for which a key holds that one call to follow the store may wait.
-const WAIT_DIVISOR: u64 = 8;
+const WATCH_WAIT_DIVISOR: u64 = 8;
 
 /// Judges keys.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     }
 
     /// Judge a request's key, once, by one version of the configuration.
-    pub(super) fn judge(
+    pub(super) fn authenticate(
         &self,
         table: &RouteTable,
         route: &Route,
@@ -42,29 +42,29 @@
         arrived: Time,
     ) -> Result<Identity, Refusal> {
         match table.judge(given, route) {
-            Verdict::Runs(identity @ Identity::Team(_)) if self.key_holds(arrived) => Ok(identity),
+            Verdict::Runs(identity @ Identity::Team(_)) if self.is_still_valid(arrived) => Ok(identity),
             Verdict::Runs(Identity::Team(_)) => Err(Refusal::KeyUncertain),
             Verdict::Runs(identity) => Ok(identity),
             Verdict::NoKey => Err(Refusal::NoKey),
-            Verdict::UnknownKey if self.is_unknown(arrived) => Err(Refusal::UnknownKey),
+            Verdict::UnknownKey if self.is_surely_unknown(arrived) => Err(Refusal::UnknownKey),
             Verdict::UnknownKey => Err(Refusal::KeyUncertain),
         }
     }
 
     /// Whether a key that the configuration has cannot have been withdrawn too long ago.
-    fn key_holds(&self, arrived: Time) -> bool {
+    fn is_still_valid(&self, arrived: Time) -> bool {
         let strict = self.settings.filter(|settings| settings.strict);
         strict.is_none_or(|settings| self.proofs().holds(settings.withdrawn(), arrived))
     }
 
     /// Whether a key that the configuration does not have was not added since.
-    fn is_unknown(&self, arrived: Time) -> bool {
-        let bound = self.settings.map(|settings| Span(settings.added().0 / UNKNOWN_DIVISOR));
+    fn is_surely_unknown(&self, arrived: Time) -> bool {
+        let bound = self.settings.map(|settings| Span(settings.added().0 / UNKNOWN_KEY_DIVISOR));
         bound.is_none_or(|bound| self.proofs().holds(bound, arrived))
     }
 
     /// Whether keys are judged under a proof at all.
-    pub(super) const fn need_proof(&self) -> bool {
+    pub(super) const fn requires_proof(&self) -> bool {
         self.settings.is_some()
     }
 
@@ -72,12 +72,12 @@
     /// if something changed, and two such calls lie between two proofs.
     pub(super) fn longest_wait(&self) -> Option<Span> {
         let strict = self.settings.filter(|settings| settings.strict);
-        strict.map(|settings| Span(settings.withdrawn().0 / WAIT_DIVISOR))
+        strict.map(|settings| Span(settings.withdrawn().0 / WATCH_WAIT_DIVISOR))
     }
 
     /// Whether the newest proof is so old that the store should be asked.
-    pub(super) fn is_proof_old(&self, now: Time) -> bool {
-        let bound = self.settings.map(|settings| Span::seconds(settings.withdrawn().as_seconds() * OLD_SHARE));
+    pub(super) fn is_proof_stale(&self, now: Time) -> bool {
+        let bound = self.settings.map(|settings| Span::seconds(settings.withdrawn().as_seconds() * STALE_PROOF_SHARE));
         bound.is_some_and(|bound| !self.proofs().holds(bound, now))
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Take in a proof.
-    pub(super) fn note(&self, proof: Proof) {
+    pub(super) fn record(&self, proof: Proof) {
         self.proofs().note(proof);
     }
 
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -30,7 +30,7 @@
 /// Time between two checks of the lease.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Renewals in the life of a lease.
-const RENEWALS: u64 = 3;
+const RENEWALS_PER_LEASE: u64 = 3;
 /// Time until a renewal that failed is tried again.
 const RENEW_RETRY_INTERVAL: Span = Span::millis(300);
 /// Time for one call of the leader, after which its connection is reset.
@@ -49,7 +49,7 @@
 pub(super) struct LeaderLease {
     authority: Authority,
     /// When calls of the leader before are surely past.
-    acts_from: Time,
+    may_act_from: Time,
 }
 
 impl LeaderLease {
@@ -74,7 +74,7 @@
     /// The lease, while it holds and calls may be made.
     pub(super) fn current(&self, now: Time) -> Option<LeaderLease> {
         let lease = *self.lease.lock().unwrap_or_else(PoisonError::into_inner);
-        lease.filter(|lease| lease.acts_from.is_past(now) && lease.authority.holds(now))
+        lease.filter(|lease| lease.may_act_from.is_past(now) && lease.authority.holds(now))
     }
 
     fn set(&self, lease: Option<LeaderLease>) {
@@ -84,12 +84,12 @@
 
 /// State of a leader that counts under one lease: what it knew of the store under an earlier one may be old.
 #[derive(Debug)]
-pub(super) struct UnderLease<T> {
+pub(super) struct LeaseScoped<T> {
     state: Option<(u64, T)>,
 }
 
-impl<T> UnderLease<T> {
-    pub(super) const fn none() -> Self {
+impl<T> LeaseScoped<T> {
+    pub(super) const fn empty() -> Self {
         Self { state: None }
     }
 
@@ -109,41 +109,41 @@
 
 /// The lease in the store, and what it allows.
 #[derive(Debug)]
-struct Holding {
+struct HeldLease {
     lease: LeaseId,
-    leads: LeaderLease,
+    leader: LeaderLease,
     renew_at: Time,
 }
 
 /// Lead whenever nobody else does.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.begun.clone();
-    let mut holding = None;
+    let stop = gw.stop.begun.clone();
+    let mut held_lease = None;
     tokio::select! {
-        () = hold(&gw, &mut holding) => {}
-        () = over.cancelled() => {}
+        () = maintain(&gw, &mut held_lease) => {}
+        () = stop.cancelled() => {}
     }
     gw.leadership.set(None);
-    if let Some(Holding { lease, .. }) = holding
+    if let Some(HeldLease { lease, .. }) = held_lease
         && let Err(e) = gw.outside.kv.revoke(lease).await
     {
         emit!(info, ORDERS_KEPT, why = %e);
     }
 }
 
-async fn hold(gw: &Gateway, holding: &mut Option<Holding>) {
+async fn maintain(gw: &Gateway, held_lease: &mut Option<HeldLease>) {
     loop {
-        gw.pause(CHECK_INTERVAL).await;
-        match holding {
-            None => *holding = acquire(gw).await,
+        gw.sleep(CHECK_INTERVAL).await;
+        match held_lease {
+            None => *held_lease = acquire(gw).await,
             Some(held) => {
                 if !renew(gw, held).await {
-                    emit!(info, ORDERS_LOST, fence = held.leads.fence());
-                    *holding = None;
+                    emit!(info, ORDERS_LOST, fence = held.leader.fence());
+                    *held_lease = None;
                 }
             }
         }
-        gw.leadership.set(holding.as_ref().map(|held| held.leads));
+        gw.leadership.set(held_lease.as_ref().map(|held| held.leader));
     }
 }
 
@@ -153,23 +153,23 @@
 }
 
 /// Become the leader if there is none.
-async fn acquire(gw: &Gateway) -> Option<Holding> {
+async fn acquire(gw: &Gateway) -> Option<HeldLease> {
     let key = key(gw);
-    let free = {
+    let is_vacant = {
         let cache = gw.store_cache();
         // Only those that watch the store try: else all daemons would ask for a lease, try, and give it back whenever
         // the leader is lost, or again and again without a store.
-        cache.watching && !cache.lost && cache.is_complete() && cache.daemons.get(&key).is_none()
+        cache.watching && !cache.unreachable && cache.is_complete() && cache.daemons.get(&key).is_none()
     };
-    if !free || !(gw.fleet().has_split_engines() || gw.reports_usage() || gw.size_address().is_some()) {
+    if !is_vacant || !(gw.fleet().has_split_engines() || gw.reports_usage() || gw.size_address().is_some()) {
         return None;
     }
-    gw.pause(duration(Span(gw.draw() % JITTER.0))).await;
+    gw.sleep(duration(Span(gw.random() % JITTER.0))).await;
     if gw.store_cache().daemons.get(&key).is_some() {
         return None;
     }
     match try_acquire(gw, &key).await {
-        Ok(holding) => holding,
+        Ok(held) => held,
         Err(e) => {
             emit!(info, ORDERS_NOT_HELD, why = %e);
             None
@@ -177,44 +177,48 @@
     }
 }
 
-async fn try_acquire(gw: &Gateway, key: &str) -> Result<Option<Holding>, CallError> {
+async fn try_acquire(gw: &Gateway, key: &str) -> Result<Option<HeldLease>, CallError> {
     let sent = gw.now();
-    gw.metrics.store_call(StoreCall::Orders);
+    gw.metrics.store_call(StoreCall::Leadership);
     let lease = gw.outside.kv.grant(LEASE_S).await?;
     let swap = Swap { key: key.to_owned(), expect: 0, value: Some(gw.settings.vm.clone()), lease: Some(lease) };
-    gw.metrics.store_call(StoreCall::Orders);
+    gw.metrics.store_call(StoreCall::Leadership);
     let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() else {
-        gw.metrics.store_call(StoreCall::Orders);
+        gw.metrics.store_call(StoreCall::Leadership);
         gw.outside.kv.revoke(lease).await?;
         return Ok(None);
     };
     let ttl = Span::seconds(LEASE_S as f64);
     let authority = Authority::granted(revision as u64, sent, ttl);
-    let acts_from = gw.now() + Span::millis(gw.settings.timing.order_lease_ms) + WAIT_MARGIN;
-    emit!(info, ORDERS_HELD, fence = revision, wait_ms = acts_from.since(sent).as_millis());
-    Ok(Some(Holding { lease, leads: LeaderLease { authority, acts_from }, renew_at: sent + Span(ttl.0 / RENEWALS) }))
+    let may_act_from = gw.now() + Span::millis(gw.settings.timing.order_lease_ms) + WAIT_MARGIN;
+    emit!(info, ORDERS_HELD, fence = revision, wait_ms = may_act_from.since(sent).as_millis());
+    Ok(Some(HeldLease {
+        lease,
+        leader: LeaderLease { authority, may_act_from },
+        renew_at: sent + Span(ttl.0 / RENEWALS_PER_LEASE),
+    }))
 }
 
 /// Renew the lease when it is time; returns whether it still is in the store, as far as is known.
 ///
 /// While the store is away a lease waits there. No call is made here then; if the lease is there
 /// afterwards, nobody else can have led, and this daemon goes on.
-async fn renew(gw: &Gateway, held: &mut Holding) -> bool {
+async fn renew(gw: &Gateway, held: &mut HeldLease) -> bool {
     let ttl = Span::seconds(LEASE_S as f64);
     let now = gw.now();
     if !held.renew_at.is_past(now) {
         return true;
     }
-    gw.metrics.store_call(StoreCall::Orders);
+    gw.metrics.store_call(StoreCall::Leadership);
     match gw.outside.kv.keep_alive(held.lease).await {
         Ok(true) => {
-            held.leads.authority.renewed(now, ttl);
-            held.renew_at = now + Span(ttl.0 / RENEWALS);
+            held.leader.authority.renewed(now, ttl);
+            held.renew_at = now + Span(ttl.0 / RENEWALS_PER_LEASE);
         }
         Ok(false) => return false,
         Err(e) => {
             held.renew_at = gw.now() + RENEW_RETRY_INTERVAL;
-            emit!(info, ORDERS_NOT_RENEWED, fence = held.leads.fence(), why = %e);
+            emit!(info, ORDERS_NOT_RENEWED, fence = held.leader.fence(), why = %e);
         }
     }
     true
@@ -224,11 +228,11 @@
     /// Make sure, right before a call, that this daemon still leads: while the key is there and the lease holds
     /// nobody else makes such calls.
     pub(super) async fn confirm_leadership(&self, lease: &LeaderLease) -> Result<(), CallError> {
-        self.metrics.store_call(StoreCall::Orders);
+        self.metrics.store_call(StoreCall::Leadership);
         let present = self.outside.kv.read(&key(self)).await?;
-        let mine = present.is_some_and(|entry| entry.revision as u64 == lease.fence());
-        let current = self.leadership.current(self.now()).is_some_and(|current| current.fence() == lease.fence());
-        if mine && current && !self.stop.begun.is_cancelled() {
+        let is_own = present.is_some_and(|entry| entry.revision as u64 == lease.fence());
+        let is_current = self.leadership.current(self.now()).is_some_and(|current| current.fence() == lease.fence());
+        if is_own && is_current && !self.stop.begun.is_cancelled() {
             return Ok(());
         }
         Err(CallError::NotSent("this daemon no longer leads".to_owned()))
--- a/crates/daemon/src/gateway/link.rs
+++ b/crates/daemon/src/gateway/link.rs
@@ -10,7 +10,7 @@
 /// Bytes that a link of one megabit a second carries in a millisecond.
 const BYTES_PER_MS: f64 = 125.0;
 /// Milliseconds in a second.
-const MILLIS: f64 = 1_000.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// The outgoing side of the link.
 #[derive(Debug)]
@@ -33,12 +33,12 @@
     /// Milliseconds until what waits has been sent.
     pub(super) fn wait_ms(&self, now: Time) -> f64 {
         let free_at = *self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
-        free_at.since(now).as_seconds() * MILLIS
+        free_at.since(now).as_seconds() * MILLIS_PER_SECOND
     }
 
     /// Note that so many bytes are sent.
-    pub(super) fn send(&self, bytes: usize, now: Time) {
+    pub(super) fn record_send(&self, bytes: usize, now: Time) {
         let mut free_at = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
-        *free_at = now.max(*free_at) + Span::seconds(self.send_ms(bytes) / MILLIS);
+        *free_at = now.max(*free_at) + Span::seconds(self.send_ms(bytes) / MILLIS_PER_SECOND);
     }
 }
--- a/crates/daemon/src/gateway/log.rs
+++ b/crates/daemon/src/gateway/log.rs
@@ -12,7 +12,7 @@
 use crate::error::StartError;
 
 /// Lines that may wait for the writer. Some seconds at the usual load; about a megabyte.
-const WAITING_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Keeps the writer running.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     /// Why that cannot be done.
     pub fn start(settings: &LogSettings) -> Result<Self, StartError> {
         let (writer, guard) =
-            NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES).finish(stdout());
+            NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(stdout());
         let dropped = writer.error_counter();
         let filter = EnvFilter::try_new(&settings.filter)
             .map_err(|e| SettingsError::Value("log.filter".to_owned(), e.to_string()))?;
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -11,7 +11,7 @@
 use crate::error::StartError;
 
 /// Bounds of the histograms of seconds.
-const SECONDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.5, 1.0, 2.5, 10.0];
+const BUCKETS_SECONDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.5, 1.0, 2.5, 10.0];
 
 /// What a call to the store is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,11 +21,11 @@
     /// Read everything.
     ReadAll,
     /// Wait for changes.
-    Follow,
+    Watch,
     /// List this daemon, or renew that.
-    List,
+    Register,
     /// Hold the right to give orders, and check it.
-    Orders,
+    Leadership,
     /// Keep the report of usage.
     Usage,
     /// Keep what is ordered of sizes.
@@ -41,9 +41,9 @@
         match self {
             Self::Probe => "probe",
             Self::ReadAll => "read_all",
-            Self::Follow => "follow",
-            Self::List => "list",
-            Self::Orders => "orders",
+            Self::Watch => "follow",
+            Self::Register => "list",
+            Self::Leadership => "orders",
             Self::Usage => "usage",
             Self::Sizes => "sizes",
             Self::Quota => "quota",
@@ -91,8 +91,9 @@
                 .build();
         }
         let counter = |name, what| meter.u64_counter(name).with_description(what).build();
-        let histogram =
-            |name, what| meter.f64_histogram(name).with_description(what).with_boundaries(SECONDS.to_vec()).build();
+        let histogram = |name, what| {
+            meter.f64_histogram(name).with_description(what).with_boundaries(BUCKETS_SECONDS.to_vec()).build()
+        };
         Ok(Self {
             requests: counter("dahliaseam_route_requests", "Requests that are over, by route and outcome"),
             attempts: counter("dahliaseam_route_attempts", "Tries at replicas that are over, by end"),
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -32,37 +32,37 @@
 /// Time for a report to reach the other daemons that an engine gets no more work.
 const REPORT_DELAY: Duration = Duration::from_millis(60);
 /// Time for an engine's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time after an unanswered order in which it may still take effect; engines carry one out up to
 /// twelve seconds late.
-const LATE_ORDER_TIME: Span = Span::millis(13_000);
+const LATE_ORDER_TIMEOUT: Span = Span::millis(13_000);
 /// Time after a refused order until the engine is asked again.
-const REFUSED_PAUSE: Span = Span::millis(3_000);
+const REFUSED_ORDER_BACKOFF: Span = Span::millis(3_000);
 /// Time beyond the change itself for which an engine gets no work: what runs there ends first.
 const DRAIN_TIME: Span = Span::millis(700);
 /// Bytes of an engine's answer at most.
-const ANSWER_BYTES: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 /// Give orders whenever this daemon holds the right to.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.begun.clone();
+    let stop = gw.stop.begun.clone();
     tokio::select! {
-        () = give(&gw) => {}
-        () = over.cancelled() => {}
+        () = reconcile(&gw) => {}
+        () = stop.cancelled() => {}
     }
 }
 
-async fn give(gw: &Arc<Gateway>) {
+async fn reconcile(gw: &Arc<Gateway>) {
     loop {
-        gw.pause(RECONCILE_INTERVAL).await;
+        gw.sleep(RECONCILE_INTERVAL).await;
         if let Some(lease) = gw.leadership.current(gw.now()) {
-            order(gw, &lease).await;
+            reconcile_once(gw, &lease).await;
         }
     }
 }
 
 /// Give the next order, if one is worth it.
-async fn order(gw: &Arc<Gateway>, lease: &LeaderLease) {
+async fn reconcile_once(gw: &Arc<Gateway>, lease: &LeaderLease) {
     let now = gw.now();
     let Some((shift, replica)) = next_shift(gw, now) else {
         return;
@@ -84,25 +84,25 @@
     tokio::time::sleep(REPORT_DELAY).await;
     let answer = send_order(gw, lease, &shift, &replica).await;
     emit!(info, ROLE_ORDERED, replica = %replica.id, to = ?shift.to, fence = lease.fence(), answer = ?answer);
-    settle(gw, &shift, change, answer.as_ref().ok());
+    apply_answer(gw, &shift, change, answer.as_ref().ok());
 }
 
 /// What an order's answer means for the engine.
-fn settle(gw: &Gateway, shift: &Shift, change: Span, answer: Option<&OrderAnswer>) {
+fn apply_answer(gw: &Gateway, shift: &Shift, change: Span, answer: Option<&OrderAnswer>) {
     let now = gw.now();
     let mut fleet = gw.fleet();
     match answer {
         Some(OrderAnswer::Accepted) => {
             fleet.set_changing(shift.key, shift.to, now + change + DRAIN_TIME);
-            fleet.no_orders_until(shift.key, now + change + REFUSED_PAUSE);
+            fleet.no_orders_until(shift.key, now + change + REFUSED_ORDER_BACKOFF);
         }
         Some(_) => {
             fleet.set_changing(shift.key, shift.to, now);
-            fleet.no_orders_until(shift.key, now + REFUSED_PAUSE);
+            fleet.no_orders_until(shift.key, now + REFUSED_ORDER_BACKOFF);
         }
         None => {
             fleet.set_changing(shift.key, shift.to, now);
-            fleet.no_orders_until(shift.key, now + LATE_ORDER_TIME);
+            fleet.no_orders_until(shift.key, now + LATE_ORDER_TIMEOUT);
         }
     }
     drop(fleet);
@@ -134,7 +134,7 @@
     shift: &Shift,
     replica: &ReplicaFacts,
 ) -> Result<OrderAnswer, CallError> {
-    let report = report(gw, replica).await?;
+    let report = fetch_report(gw, replica).await?;
     if report.born.is_some() && report.born != replica.born {
         // An order for the start before is not for this one, whose count of orders began anew.
         return Ok(OrderAnswer::OtherReplica);
@@ -158,7 +158,7 @@
 }
 
 /// Ask an engine for its state.
-pub(super) async fn report(gw: &Gateway, replica: &ReplicaFacts) -> Result<EngineReport, CallError> {
+pub(super) async fn fetch_report(gw: &Gateway, replica: &ReplicaFacts) -> Result<EngineReport, CallError> {
     let req = gw.outside.dialect.ask_report(replica).map_err(|e| CallError::NotSent(e.to_string()))?;
     let (status, body) = call(gw, replica, req).await?;
     if status != StatusCode::OK {
@@ -172,19 +172,19 @@
     replica: &ReplicaFacts,
     req: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let answer = async {
+    let exchange = async {
         let Received { resp, conn, .. } = gw.upstream.send(replica.address, req).await.map_err(|e| match e {
             SendError::NobodyListens => CallError::NotSent("nothing listens there".to_owned()),
             SendError::NotSent(why) => CallError::NotSent(why),
             SendError::Broke(why) | SendError::Lost(why) => CallError::Lost(why),
         })?;
         let status = resp.status();
-        let body = Limited::new(resp.into_body(), ANSWER_BYTES).collect().await;
+        let body = Limited::new(resp.into_body(), MAX_RESPONSE_BYTES).collect().await;
         let body = body.map_err(|e| CallError::Lost(e.to_string()))?.to_bytes();
         gw.upstream.keep(replica.address, conn);
         Ok((status, body))
     };
-    tokio::time::timeout(ANSWER_TIMEOUT, answer)
+    tokio::time::timeout(RESPONSE_TIMEOUT, exchange)
         .await
         .unwrap_or_else(|_| Err(CallError::Lost("no answer in time".to_owned())))
 }
--- a/crates/daemon/src/gateway/pages.rs
+++ b/crates/daemon/src/gateway/pages.rs
@@ -14,12 +14,12 @@
 use crate::gateway::{snapshot_transfer::STATE_PATH, state::Gateway};
 
 /// Media type of a packed copy.
-const PACKED: &str = "application/octet-stream";
+const PACKED_MEDIA_TYPE: &str = "application/octet-stream";
 /// Milliseconds that a copy may take on the link, behind what waits there. Callers' prompts wait as
 /// long at most, and the asker gets it sooner from a daemon that has it meanwhile or whose link is better.
-const LINK_BUSY_MS: f64 = 100.0;
+const MAX_LINK_MS: f64 = 100.0;
 /// Media type of Prometheus text.
-const PROMETHEUS: &str = "text/plain; version=0.0.4";
+const PROMETHEUS_MEDIA_TYPE: &str = "text/plain; version=0.0.4";
 
 /// What the balancer asks.
 pub(super) fn ready(gw: &Arc<Gateway>) -> Router {
@@ -29,34 +29,34 @@
 
 /// What operators ask.
 pub(super) fn metrics(gw: &Arc<Gateway>) -> Router {
-    Router::new().route("/metrics", get(text)).with_state(Arc::clone(gw))
+    Router::new().route("/metrics", get(metrics_text)).with_state(Arc::clone(gw))
 }
 
 /// What other daemons ask: what this one has read from the store.
 pub(super) fn state(gw: &Arc<Gateway>) -> Router {
-    Router::new().route(STATE_PATH, get(copy)).with_state(Arc::clone(gw))
+    Router::new().route(STATE_PATH, get(update)).with_state(Arc::clone(gw))
 }
 
 /// What another daemon asks for.
 #[derive(Debug, Deserialize)]
-struct CopyQuery {
+struct UpdateQuery {
     /// Revision up to which it has everything.
     #[serde(default)]
     after: i64,
 }
 
-async fn copy(State(gw): State<Arc<Gateway>>, Query(query): Query<CopyQuery>) -> Response {
+async fn update(State(gw): State<Arc<Gateway>>, Query(query): Query<UpdateQuery>) -> Response {
     let now = gw.now();
     let wait_ms = gw.link.wait_ms(now);
-    if wait_ms > LINK_BUSY_MS {
+    if wait_ms > MAX_LINK_MS {
         return link_busy();
     }
     let packed = gw.store_cache().packed(query.after, now);
     match packed {
-        Ok(packed) if wait_ms + gw.link.send_ms(packed.len()) > LINK_BUSY_MS => link_busy(),
+        Ok(packed) if wait_ms + gw.link.send_ms(packed.len()) > MAX_LINK_MS => link_busy(),
         Ok(packed) => {
-            gw.link.send(packed.len(), now);
-            ([(CONTENT_TYPE, PACKED)], packed).into_response()
+            gw.link.record_send(packed.len(), now);
+            ([(CONTENT_TYPE, PACKED_MEDIA_TYPE)], packed).into_response()
         }
         Err(e) => (StatusCode::INTERNAL_SERVER_ERROR, e.to_string()).into_response(),
     }
@@ -74,9 +74,9 @@
     (StatusCode::SERVICE_UNAVAILABLE, why).into_response()
 }
 
-async fn text(State(gw): State<Arc<Gateway>>) -> Response {
+async fn metrics_text(State(gw): State<Arc<Gateway>>) -> Response {
     match gw.metrics.text() {
-        Ok(text) => ([(CONTENT_TYPE, PROMETHEUS)], text).into_response(),
+        Ok(text) => ([(CONTENT_TYPE, PROMETHEUS_MEDIA_TYPE)], text).into_response(),
         Err(e) => (StatusCode::INTERNAL_SERVER_ERROR, e.to_string()).into_response(),
     }
 }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -80,12 +80,12 @@
 
 impl ReportPacket {
     /// What the sender says of itself.
-    fn seen(&self, now: Time) -> PeerState {
+    fn peer_state(&self, now: Time) -> PeerState {
         let age = self.store_age_ms.map(|ms| Span::millis(u64::from(ms)));
         PeerState {
-            at: now,
+            heard_at: now,
             sender: self.sender,
-            state: self.state,
+            state_address: self.state,
             revision: self.revision,
             hall: self.hall,
             link_mbps: self.link_mbps,
@@ -106,13 +106,13 @@
 
 /// Publish and receive reports until the daemon is over.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.over.clone();
+    let stop = gw.stop.finished.clone();
     tokio::select! {
         () = publish(&gw) => {}
         () = aggregate(&gw) => {}
         () = receive(&gw) => {}
         () = register(&gw) => {}
-        () = over.cancelled() => {}
+        () = stop.cancelled() => {}
     }
 }
 
@@ -124,11 +124,11 @@
         let now = gw.now();
         let all = gw.peers.all(gw.settings.load_address, now);
         update_slot_share(gw, now);
-        let to = recipients(gw, &all);
+        let peers = recipients(gw, &all);
         let load = gw.fleet().own_report(now);
-        publish_to(gw, load_report(gw, number, None, load), &to).await;
+        send_report(gw, load_report(gw, number, None, load), &peers).await;
         gw.hall_changed.notify_one();
-        tokio::time::sleep(MIN_PUBLISH_INTERVAL.max(SEND_INTERVAL_PER_PEER * to.len() as u32)).await;
+        tokio::time::sleep(MIN_PUBLISH_INTERVAL.max(SEND_INTERVAL_PER_PEER * peers.len() as u32)).await;
     }
 }
 
@@ -159,12 +159,12 @@
 }
 
 async fn publish_summary(gw: &Gateway, number: u64) {
-    let others = gw.peers.one_of_each_hall(gw.hall, gw.draw());
+    let others = gw.peers.one_of_each_hall(gw.hall, gw.random());
     if others.is_empty() {
         return;
     }
     let (load, daemons) = gw.fleet().hall_summary(gw.now());
-    publish_to(gw, load_report(gw, number, Some(daemons), load), &others).await;
+    send_report(gw, load_report(gw, number, Some(daemons), load), &others).await;
 }
 
 /// All daemons in a full mesh; else those of the same hall.
@@ -184,15 +184,15 @@
 
 /// This daemon's priority in elections of its hall.
 pub(super) fn priority(gw: &Gateway) -> Priority {
-    Priority { link_mbps: gw.settings.link_mbps as u32, run: gw.start }
+    Priority { link_mbps: gw.settings.link_mbps as u32, run: gw.run_id }
 }
 
 fn load_report(gw: &Gateway, number: u64, aggregates: Option<u32>, load: LoadReport) -> ReportPacket {
     let now = gw.now();
     let cache = gw.store_cache();
-    let age = cache.watching.then(|| now.since(cache.heard).as_millis() as u32);
+    let age = cache.watching.then(|| now.since(cache.last_answer_at).as_millis() as u32);
     ReportPacket {
-        sender: gw.start,
+        sender: gw.run_id,
         number,
         state: gw.settings.peer_address,
         revision: cache.revision,
@@ -205,20 +205,20 @@
     }
 }
 
-async fn publish_to(gw: &Gateway, report: ReportPacket, to: &[SocketAddr]) {
-    send_packet(gw, &Packet::Report(report), to).await;
+async fn send_report(gw: &Gateway, report: ReportPacket, recipients: &[SocketAddr]) {
+    send_packet(gw, &Packet::Report(report), recipients).await;
 }
 
 /// Send one datagram to each of these.
-pub(super) async fn send_packet(gw: &Gateway, packet: &Packet, to: &[SocketAddr]) {
+pub(super) async fn send_packet(gw: &Gateway, packet: &Packet, recipients: &[SocketAddr]) {
     match postcard::to_allocvec(packet) {
-        Ok(bytes) => send(gw, to, &bytes).await,
+        Ok(bytes) => send(gw, recipients, &bytes).await,
         Err(e) => emit!(error, PEER_MESSAGE_LOST, why = %e),
     }
 }
 
-async fn send(gw: &Gateway, to: &[SocketAddr], bytes: &[u8]) {
-    for address in to {
+async fn send(gw: &Gateway, recipients: &[SocketAddr], bytes: &[u8]) {
+    for address in recipients {
         match gw.socket.send_to(bytes, address).await {
             Ok(_) => gw.metrics.peer_message("sent"),
             Err(e) => emit!(debug, PEER_MESSAGE_LOST, peer = %address, why = %e),
@@ -248,17 +248,17 @@
 async fn handle_packet(gw: &Gateway, from: SocketAddr, packet: Packet) {
     match packet {
         Packet::Report(report) => handle_report(gw, from, report).await,
-        Packet::Probe { probe } => freshness_probe::answer(gw, from, probe).await,
-        Packet::Proof { probe, revision, age_us } => freshness_probe::receive(gw, probe, revision, Span(age_us)),
-        Packet::Usage { vm, run, window } => usage::receive(gw, from, vm, run, window).await,
-        Packet::AskCredit(request) => quota::answer(gw, from, request).await,
-        Packet::Credit(reply) => quota::deliver(gw, reply),
-        Packet::UsageAck { fence, window } => usage::acknowledged(gw, fence, window),
+        Packet::Probe { probe } => freshness_probe::handle_probe(gw, from, probe).await,
+        Packet::Proof { probe, revision, age_us } => freshness_probe::handle_proof(gw, probe, revision, Span(age_us)),
+        Packet::Usage { vm, run, window } => usage::handle_usage(gw, from, vm, run, window).await,
+        Packet::AskCredit(request) => quota::handle_request(gw, from, request).await,
+        Packet::Credit(reply) => quota::handle_reply(gw, reply),
+        Packet::UsageAck { fence, window } => usage::handle_ack(gw, fence, window),
     }
 }
 
 async fn handle_report(gw: &Gateway, from: SocketAddr, report: ReportPacket) {
-    if report.sender == gw.start {
+    if report.sender == gw.run_id {
         return;
     }
     gw.metrics.peer_message("received");
@@ -271,8 +271,8 @@
 fn ingest(gw: &Gateway, from: SocketAddr, report: &ReportPacket) {
     let now = gw.now();
     if report.relayed {
-        gw.peers.note_aggregator(report.seen(now));
-    } else if gw.peers.note_peer(from, report.seen(now)) {
+        gw.peers.record_aggregator(report.peer_state(now));
+    } else if gw.peers.record_peer(from, report.peer_state(now)) {
         emit!(info, PEER_HEARD, peer = %from, sender = report.sender, revision = report.revision);
         gw.fleet().endings.resend_all(now);
         gw.load_changed.notify_one();
@@ -297,7 +297,7 @@
 /// Relay the summary of another hall to this one.
 async fn relay(gw: &Gateway, report: ReportPacket) {
     let all = gw.peers.all(gw.settings.load_address, gw.now());
-    publish_to(gw, ReportPacket { relayed: true, ..report }, &hall_peers(gw, &all)).await;
+    send_report(gw, ReportPacket { relayed: true, ..report }, &hall_peers(gw, &all)).await;
 }
 
 /// Keep this daemon registered in the store.
@@ -312,33 +312,33 @@
                 lease
             }
         };
-        gw.pause(RENEW_INTERVAL + duration(Span(gw.draw() % Span::millis(500).0))).await;
+        gw.sleep(RENEW_INTERVAL + duration(Span(gw.random() % Span::millis(500).0))).await;
     }
 }
 
-async fn keep(gw: &Gateway, lease: LeaseId) -> Result<bool, CallError> {
-    gw.metrics.store_call(StoreCall::List);
+async fn renew(gw: &Gateway, lease: LeaseId) -> Result<bool, CallError> {
+    gw.metrics.store_call(StoreCall::Register);
     gw.outside.kv.keep_alive(lease).await
 }
 
 async fn register_once(gw: &Gateway, key: &str, lease: Option<LeaseId>) -> Result<LeaseId, CallError> {
     let kv = &gw.outside.kv;
-    let present = gw.store_cache().daemons.get(key).cloned();
+    let stored = gw.store_cache().daemons.get(key).cloned();
     if let Some(lease) = lease
-        && present.is_some()
-        && keep(gw, lease).await?
+        && stored.is_some()
+        && renew(gw, lease).await?
     {
         return Ok(lease);
     }
-    gw.metrics.store_call(StoreCall::List);
+    gw.metrics.store_call(StoreCall::Register);
     let lease = kv.grant(REGISTRATION_TTL_S).await?;
     let Priority { link_mbps, .. } = priority(gw);
     let registration = Registration { load: gw.settings.load_address, hall: gw.hall, link_mbps };
     let value = serde_json::to_string(&registration).map_err(|e| CallError::NotSent(e.to_string()))?;
-    let mut expect = present.map_or(0, |entry| entry.revision);
+    let mut expect = stored.map_or(0, |entry| entry.revision);
     loop {
         let swap = Swap { key: key.to_owned(), expect, value: Some(value.clone()), lease: Some(lease) };
-        gw.metrics.store_call(StoreCall::List);
+        gw.metrics.store_call(StoreCall::Register);
         match kv.swap_each(vec![swap]).await?.pop() {
             Some(Swapped::Differs(other)) => expect = other.map_or(0, |entry| entry.revision),
             Some(Swapped::Done(_)) | None => return Ok(lease),
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -58,13 +58,13 @@
     let Some(terms) = gw.quotas.terms(team) else {
         return Ok(Credit::asked_at(gw.now()));
     };
-    let draw = gw.draw();
+    let random = gw.random();
     let mut tried = Vec::new();
     loop {
-        let asked = gw.now();
-        let need = Need { team: &team.name, terms: &terms, cost: units, draw };
+        let asked_at = gw.now();
+        let need = Need { team: &team.name, terms: &terms, cost: units, draw: random };
         let is_owned = |shard| gw.quotas.owner(shard).is_some();
-        let next = lock(&gw.quotas.client).next(&need, &tried, is_owned, asked);
+        let next = lock(&gw.quotas.client).next(&need, &tried, is_owned, asked_at);
         let shard = match next {
             Next::Ask(shard) => shard,
             Next::Denied(wait) => return Err(denied(gw, request, team, units, wait)),
@@ -77,7 +77,7 @@
         match outcome {
             Some(Outcome::Granted(left)) => {
                 client.answered(&team.name, shard, left as f64, &terms, now);
-                let credit = Credit::asked_at(asked);
+                let credit = Credit::asked_at(asked_at);
                 if credit.is_usable(now) {
                     gw.metrics.quota_units("granted", units);
                     return Ok(credit);
@@ -105,31 +105,31 @@
 /// Ask a shard's owner; absent without an answer.
 async fn ask(gw: &Gateway, shard: u8, team: &str, units: u64) -> Option<Outcome> {
     let owner = gw.quotas.owner(shard)?;
-    if owner.run == gw.start {
+    if owner.run == gw.run_id {
         return Some(grant(gw, shard, team, units));
     }
-    let number = gw.draw();
+    let number = gw.random();
     let (tx, rx) = oneshot::channel();
-    lock(&gw.quotas.waiting).insert(number, tx);
+    lock(&gw.quotas.pending_replies).insert(number, tx);
     let packet = Packet::AskCredit(CreditRequest { number, shard, team: team.to_owned(), units });
     peers::send_packet(gw, &packet, &[owner.address]).await;
-    let answered = tokio::time::timeout(ANSWER_TIMEOUT, rx).await;
-    lock(&gw.quotas.waiting).remove(&number);
-    answered.ok()?.ok().map(|reply| reply.outcome)
+    let reply = tokio::time::timeout(ANSWER_TIMEOUT, rx).await;
+    lock(&gw.quotas.pending_replies).remove(&number);
+    reply.ok()?.ok().map(|reply| reply.outcome)
 }
 
 /// Answer a question for credit.
-pub(in crate::gateway) async fn answer(gw: &Gateway, from: SocketAddr, request: CreditRequest) {
+pub(in crate::gateway) async fn handle_request(gw: &Gateway, from: SocketAddr, request: CreditRequest) {
     let outcome = grant(gw, request.shard, &request.team, request.units);
     let reply = CreditReply { number: request.number, outcome };
     peers::send_packet(gw, &Packet::Credit(reply), &[from]).await;
 }
 
 /// Take in an answer.
-pub(in crate::gateway) fn deliver(gw: &Gateway, reply: CreditReply) {
-    if let Some(waiting) = lock(&gw.quotas.waiting).remove(&reply.number) {
+pub(in crate::gateway) fn handle_reply(gw: &Gateway, reply: CreditReply) {
+    if let Some(tx) = lock(&gw.quotas.pending_replies).remove(&reply.number) {
         // Whoever asked may have gone on to another owner.
-        let _ = waiting.send(reply);
+        let _ = tx.send(reply);
     }
 }
 
--- a/crates/daemon/src/gateway/quota/mod.rs
+++ b/crates/daemon/src/gateway/quota/mod.rs
@@ -28,7 +28,7 @@
 use tokio::sync::oneshot;
 
 pub(super) use self::{
-    credit::{CreditReply, CreditRequest, answer, deliver, take},
+    credit::{CreditReply, CreditRequest, handle_reply, handle_request, take},
     ownership::run,
 };
 use crate::gateway::state::Gateway;
@@ -66,7 +66,7 @@
     client: Mutex<QuotaClient>,
     claims: Mutex<HashMap<u8, Claim>>,
     owned: Mutex<HashMap<u8, OwnedShard>>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<CreditReply>>>,
+    pending_replies: Mutex<HashMap<u64, oneshot::Sender<CreditReply>>>,
 }
 
 impl Quotas {
@@ -76,7 +76,7 @@
             client: Mutex::default(),
             claims: Mutex::default(),
             owned: Mutex::default(),
-            waiting: Mutex::default(),
+            pending_replies: Mutex::default(),
         }
     }
 
@@ -108,7 +108,7 @@
 }
 
 /// Note an entry of the store; returns whether it names the owner of a shard.
-pub(super) fn put(gw: &Gateway, entry: &Entry) -> bool {
+pub(super) fn apply_put(gw: &Gateway, entry: &Entry) -> bool {
     let Some(shard) = shard_of(gw, &entry.key) else {
         return false;
     };
@@ -118,7 +118,7 @@
 }
 
 /// Note that an entry of the store is gone.
-pub(super) fn removed(gw: &Gateway, key: &str) {
+pub(super) fn apply_removal(gw: &Gateway, key: &str) {
     if let Some(shard) = shard_of(gw, key) {
         lock(&gw.quotas.claims).remove(&shard);
     }
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -36,7 +36,7 @@
 /// Time until a renewal that failed is tried again.
 const RETRY_INTERVAL: Span = Span::millis(500);
 /// Time for which a shard is seen free before the first daemon in its order takes it.
-const SETTLE_TIME: Span = Span::millis(600);
+const MIN_FREE_TIME: Span = Span::millis(600);
 /// What each further one in the order waits.
 const RANK_DELAY: Span = Span::millis(400);
 /// Time after a failed call in which nothing is taken.
@@ -44,7 +44,7 @@
 
 /// The lease of all shards that this daemon owns.
 #[derive(Debug)]
-struct Holding {
+struct HeldLease {
     lease: LeaseId,
     authority: Authority,
     renew_at: Time,
@@ -52,43 +52,43 @@
 
 /// Keep shards owned until the daemon stops.
 pub(in crate::gateway) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.begun.clone();
-    let mut holding = None;
+    let stop = gw.stop.begun.clone();
+    let mut held_lease = None;
     tokio::select! {
-        () = keep(&gw, &mut holding) => {}
-        () = over.cancelled() => {}
+        () = maintain(&gw, &mut held_lease) => {}
+        () = stop.cancelled() => {}
     }
     lock(&gw.quotas.owned).clear();
-    if let Some(Holding { lease, .. }) = holding
+    if let Some(HeldLease { lease, .. }) = held_lease
         && let Err(e) = gw.outside.kv.revoke(lease).await
     {
         emit!(info, QUOTA_SHARD_NOT_TAKEN, why = %e);
     }
 }
 
-async fn keep(gw: &Gateway, holding: &mut Option<Holding>) {
+async fn maintain(gw: &Gateway, held_lease: &mut Option<HeldLease>) {
     let mut free_since: HashMap<u8, Time> = HashMap::new();
-    let mut rest_until = Time(0);
+    let mut backoff_until = Time(0);
     loop {
-        gw.pause(CHECK_INTERVAL).await;
+        gw.sleep(CHECK_INTERVAL).await;
         if gw.table().is_none_or(|table| !table.has_quotas()) {
             continue;
         }
-        renew(gw, holding).await;
+        renew(gw, held_lease).await;
         let now = gw.now();
-        let due = due(gw, &mut free_since, now);
-        if due.is_empty() || !rest_until.is_past(now) {
+        let due = shards_to_acquire(gw, &mut free_since, now);
+        if due.is_empty() || !backoff_until.is_past(now) {
             continue;
         }
-        if let Err(e) = acquire(gw, holding, due).await {
+        if let Err(e) = acquire(gw, held_lease, due).await {
             emit!(info, QUOTA_SHARD_NOT_TAKEN, why = %e);
-            rest_until = gw.now() + BACKOFF;
+            backoff_until = gw.now() + BACKOFF;
         }
     }
 }
 
 /// Shards that this daemon is to take now, each with the revision of what stands there.
-fn due(gw: &Gateway, free_since: &mut HashMap<u8, Time>, now: Time) -> Vec<(u8, i64)> {
+fn shards_to_acquire(gw: &Gateway, free_since: &mut HashMap<u8, Time>, now: Time) -> Vec<(u8, i64)> {
     if !gw.store_cache().is_complete() {
         return Vec::new();
     }
@@ -99,7 +99,7 @@
     for shard in 0..SHARDS {
         if let Some(claim) = claims.get(&shard) {
             free_since.remove(&shard);
-            if was_mine(gw, shard, claim) {
+            if is_own_stale_claim(gw, shard, claim) {
                 due.push((shard, claim.revision));
             }
             continue;
@@ -110,7 +110,7 @@
         let since = *free_since.entry(shard).or_insert(now);
         let vms = vms.get_or_insert_with(|| gw.peers.registered_vms(&peers::prefix(gw)));
         let Some(rank) = rank(shard, &gw.settings.vm, vms) else { continue };
-        if (since + SETTLE_TIME + Span(RANK_DELAY.0 * rank)).is_past(now) {
+        if (since + MIN_FREE_TIME + Span(RANK_DELAY.0 * rank)).is_past(now) {
             due.push((shard, 0));
         }
     }
@@ -118,7 +118,7 @@
 }
 
 /// Whether a claim names this VM, by a former run or by a call whose answer was lost.
-fn was_mine(gw: &Gateway, shard: u8, claim: &Claim) -> bool {
+fn is_own_stale_claim(gw: &Gateway, shard: u8, claim: &Claim) -> bool {
     let is_owned = lock(&gw.quotas.owned).contains_key(&shard);
     !is_owned && claim.owner.as_ref().is_some_and(|owner| owner.vm == gw.settings.vm)
 }
@@ -126,21 +126,21 @@
 /// How many daemons come before this one; absent while it is not listed.
 fn rank(shard: u8, own: &str, vms: &[String]) -> Option<u64> {
     let weight = |vm: &str| hash::rendezvous(u64::from(shard), hash::bytes(vm.as_bytes()));
-    let is_listed = vms.iter().any(|vm| vm == own);
-    is_listed.then(|| vms.iter().filter(|vm| weight(vm) > weight(own)).count() as u64)
+    let is_registered = vms.iter().any(|vm| vm == own);
+    is_registered.then(|| vms.iter().filter(|vm| weight(vm) > weight(own)).count() as u64)
 }
 
-async fn lease(gw: &Gateway) -> Result<Holding, CallError> {
+async fn grant_lease(gw: &Gateway) -> Result<HeldLease, CallError> {
     let sent = gw.now();
     gw.metrics.store_call(StoreCall::Quota);
     let lease = gw.outside.kv.grant(LEASE_S).await?;
     let authority = Authority::granted(0, sent, Span::seconds(LEASE_S as f64));
-    Ok(Holding { lease, authority, renew_at: sent + RENEW_INTERVAL })
+    Ok(HeldLease { lease, authority, renew_at: sent + RENEW_INTERVAL })
 }
 
-async fn acquire(gw: &Gateway, holding: &mut Option<Holding>, due: Vec<(u8, i64)>) -> Result<(), CallError> {
-    let held = if let Some(held) = holding { held } else { holding.insert(lease(gw).await?) };
-    let owner = Owner { vm: gw.settings.vm.clone(), run: gw.start, address: gw.settings.load_address };
+async fn acquire(gw: &Gateway, held_lease: &mut Option<HeldLease>, due: Vec<(u8, i64)>) -> Result<(), CallError> {
+    let held = if let Some(held) = held_lease { held } else { held_lease.insert(grant_lease(gw).await?) };
+    let owner = Owner { vm: gw.settings.vm.clone(), run: gw.run_id, address: gw.settings.load_address };
     let value = serde_json::to_string(&owner).map_err(|e| CallError::NotSent(e.to_string()))?;
     let swaps = due.iter().map(|(shard, revision)| Swap {
         key: key(gw, *shard),
@@ -163,8 +163,8 @@
 
 /// Renew the lease when it is time. While the store is away shards are granted from until the lease may have ended;
 /// if it is there afterwards nobody else can have owned them.
-async fn renew(gw: &Gateway, holding: &mut Option<Holding>) {
-    let Some(held) = holding else { return };
+async fn renew(gw: &Gateway, held_lease: &mut Option<HeldLease>) {
+    let Some(held) = held_lease else { return };
     let now = gw.now();
     if !held.renew_at.is_past(now) {
         return;
@@ -181,7 +181,7 @@
         Ok(false) => {
             let lost: Vec<u8> = lock(&gw.quotas.owned).drain().map(|(shard, _)| shard).collect();
             emit!(info, QUOTA_SHARD_LOST, shards = ?lost);
-            *holding = None;
+            *held_lease = None;
         }
         Err(e) => {
             held.renew_at = gw.now() + RETRY_INTERVAL;
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -14,9 +14,9 @@
     clock::duration,
     emit,
     gateway::{
-        attempt::{Call, CallFailure, SHORT_ANSWER, SHORT_ANSWER_TIME, SILENT},
+        attempt::{Call, CallFailure, MAX_SHORT_RESPONSE_BYTES, SHORT_RESPONSE_TIMEOUT, SILENCE_TIMEOUT},
         orders,
-        request::Job,
+        request::ActiveRequest,
         state::Gateway,
         upstream::Received,
     },
@@ -24,33 +24,33 @@
 
 /// How many times as long as predicted a prompt's reading may take before its engine is asked
 /// whether it is there at all. It is not broken off then: readings that begin again from nothing slow the others.
-const READ_PATIENCE: f64 = 2.0;
+const PREFILL_TIMEOUT_FACTOR: f64 = 2.0;
 /// What is added to that: the way there, and a prediction that is far off.
-const READ_SLACK: Span = Span::millis(150);
+const PREFILL_TIMEOUT_MARGIN: Span = Span::millis(150);
 /// Time between two reports asked of an engine whose reading takes longer than predicted.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 /// What is added for each daemon: what they send in the meantime is heard of later, the more there are.
-const UNSEEN_EACH: Span = Span::millis(3);
+const MARGIN_PER_DAEMON: Span = Span::millis(3);
 /// Time to free memory at an engine.
-const FREE: Duration = Duration::from_secs(1);
+const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A prompt that was read. Its memory at the engine is freed unless another one took it over.
-pub(super) struct KeptPrompt {
+pub(super) struct PrefilledPrompt {
     gw: Arc<Gateway>,
     pub(super) replica: ReplicaFacts,
     pub(super) handle: Handle,
-    pub(super) taken: bool,
+    pub(super) taken_over: bool,
 }
 
-impl Drop for KeptPrompt {
+impl Drop for PrefilledPrompt {
     fn drop(&mut self) {
-        if !self.taken {
-            tokio::spawn(free(Arc::clone(&self.gw), self.replica.clone(), self.handle.name.clone()));
+        if !self.taken_over {
+            tokio::spawn(free_handle(Arc::clone(&self.gw), self.replica.clone(), self.handle.name.clone()));
         }
     }
 }
 
-async fn free(gw: Arc<Gateway>, replica: ReplicaFacts, handle: String) {
+async fn free_handle(gw: Arc<Gateway>, replica: ReplicaFacts, handle: String) {
     let req = match gw.outside.dialect.free_handle(&replica, &handle) {
         Ok(req) => req,
         Err(e) => {
@@ -58,7 +58,7 @@
             return;
         }
     };
-    match tokio::time::timeout(FREE, gw.upstream.send(replica.address, req)).await {
+    match tokio::time::timeout(FREE_TIMEOUT, gw.upstream.send(replica.address, req)).await {
         Ok(Ok(Received { resp, conn, .. })) => {
             if resp.into_body().collect().await.is_ok() {
                 gw.upstream.keep(replica.address, conn);
@@ -69,19 +69,19 @@
     }
 }
 
-impl Job {
+impl ActiveRequest {
     /// Have a prompt read.
-    pub(super) async fn read(&self, step: &Step) -> Result<KeptPrompt, CallFailure> {
-        let predicted = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * READ_PATIENCE);
-        let unseen = Span(UNSEEN_EACH.0 * self.gw.fleet().daemons() as u64);
-        let overdue = self.deadline.min(self.gw.now() + predicted + READ_SLACK + unseen);
-        let (replica, mut work) = self.begin(step)?;
+    pub(super) async fn prefill(&self, step: &Step) -> Result<PrefilledPrompt, CallFailure> {
+        let predicted = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * PREFILL_TIMEOUT_FACTOR);
+        let margin = Span(MARGIN_PER_DAEMON.0 * self.gw.fleet().daemons() as u64);
+        let overdue = self.deadline.min(self.gw.now() + predicted + PREFILL_TIMEOUT_MARGIN + margin);
+        let (replica, mut in_flight) = self.begin_call(step)?;
         let task = Task::Read { copy_from: self.copy_from(step) };
         let call = Call { replica: &replica, task: &task, priority: self.priority(step) };
-        let read = self.read_patiently(&call, overdue).await;
-        match read {
+        let result = self.prefill_while_responsive(&call, overdue).await;
+        match result {
             Ok(handle) => {
-                self.gw.metrics.reading(work.age().as_seconds());
+                self.gw.metrics.reading(in_flight.age().as_seconds());
                 emit!(
                     debug,
                     PROMPT_READ,
@@ -91,16 +91,16 @@
                     uncached = step.reading.uncached,
                     held = step.reading.held,
                     copied = step.copy_from.is_some(),
-                    alone = work.was_alone(),
+                    alone = in_flight.was_alone(),
                     expected_ms = (step.wait_ms + step.work_ms) as u64,
-                    took_us = work.age().0
+                    took_us = in_flight.age().0
                 );
-                work.reading_over(StepEnd::Done);
-                work.ended(StepEnd::Done);
-                Ok(KeptPrompt { gw: Arc::clone(&self.gw), replica, handle, taken: false })
+                in_flight.record_prefill_end(StepEnd::Done);
+                in_flight.set_end(StepEnd::Done);
+                Ok(PrefilledPrompt { gw: Arc::clone(&self.gw), replica, handle, taken_over: false })
             }
             Err(why) => {
-                self.note_failure(&replica, &mut work, &why, "read").await;
+                self.record_call_failure(&replica, &mut in_flight, &why, "read").await;
                 Err(why)
             }
         }
@@ -110,37 +110,37 @@
     ///
     /// A reading that is broken off is begun again from nothing elsewhere, where it costs as much
     /// once more; so a busy engine keeps it, and only one that is gone or unreachable loses it.
-    async fn read_patiently(&self, call: &Call<'_>, overdue: Time) -> Result<Handle, CallFailure> {
-        let mut reading = std::pin::pin!(self.read_once(call));
-        if let Some(read) = self.gw.until(overdue, &mut reading).await {
-            return read;
+    async fn prefill_while_responsive(&self, call: &Call<'_>, overdue: Time) -> Result<Handle, CallFailure> {
+        let mut prefill = std::pin::pin!(self.call_prefill(call));
+        if let Some(result) = self.gw.timeout_at(overdue, &mut prefill).await {
+            return result;
         }
         tokio::select! {
-            read = &mut reading => read.map_err(|why| match why {
+            result = &mut prefill => result.map_err(|why| match why {
                 CallFailure::TimedOut => CallFailure::Overdue,
                 other => other,
             }),
-            () = self.until_silent(call.replica) => Err(CallFailure::TimedOut),
+            () = self.until_unresponsive(call.replica) => Err(CallFailure::TimedOut),
         }
     }
 
     /// Return once the engine does not answer a question that costs it nothing, or is another start of it.
-    async fn until_silent(&self, replica: &ReplicaFacts) {
+    async fn until_unresponsive(&self, replica: &ReplicaFacts) {
         loop {
-            let asked = tokio::time::timeout(duration(SILENT), orders::report(&self.gw, replica)).await;
-            match asked {
+            let report = tokio::time::timeout(duration(SILENCE_TIMEOUT), orders::fetch_report(&self.gw, replica)).await;
+            match report {
                 Ok(Ok(report)) if report.born.is_none() || report.born == replica.born => {}
                 _ => return,
             }
             emit!(debug, READ_OVERDUE, request = self.caller.id, replica = %replica.id);
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(STATUS_INTERVAL).await;
         }
     }
 
-    async fn read_once(&self, call: &Call<'_>) -> Result<Handle, CallFailure> {
+    async fn call_prefill(&self, call: &Call<'_>) -> Result<Handle, CallFailure> {
         let (head, body, conn) = self.call(call, self.deadline).await?;
-        let text = Limited::new(body, SHORT_ANSWER).collect();
-        let text = tokio::time::timeout(SHORT_ANSWER_TIME, text).await.map_err(|_| CallFailure::TimedOut)?;
+        let text = Limited::new(body, MAX_SHORT_RESPONSE_BYTES).collect();
+        let text = tokio::time::timeout(SHORT_RESPONSE_TIMEOUT, text).await.map_err(|_| CallFailure::TimedOut)?;
         let text = text.map_err(|e| CallFailure::Broke(e.to_string()))?.to_bytes();
         if head.status != StatusCode::OK {
             return Err(CallFailure::Lost(format!("status {}", head.status)));
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -15,16 +15,16 @@
 use crate::{
     emit,
     gateway::{
-        answer::{AnswerBody, full, pass_on},
-        attempt::{Answer, CallFailure},
-        ending::Ending,
-        request::Job,
-        sse::{self, Events},
+        answer::{ResponseBody, full, remove_hop_by_hop_headers},
+        attempt::{CallFailure, UpstreamResponse},
+        ending::AccessLogEntry,
+        request::ActiveRequest,
+        sse::{self, EventBuffer},
     },
 };
 
 /// Bytes of an answer that is read whole before it is passed on.
-const WHOLE: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 quick_error! {
     /// Why an answer that was begun is broken off.
@@ -43,101 +43,105 @@
 
 /// An answer of which enough has come.
 #[derive(Debug)]
-pub(super) enum Begun {
+pub(super) enum ResponseStart {
     /// All of it.
-    Whole(response::Parts, Bytes),
+    Complete(response::Parts, Bytes),
     /// Its beginning.
-    Stream(Box<Answer>, Events, Bytes),
+    Stream(Box<UpstreamResponse>, EventBuffer, Bytes),
 }
 
 /// Read as much of an answer as is needed before it is passed on.
-pub(super) async fn begin(job: &Job, mut answer: Answer) -> Result<Begun, CallFailure> {
-    let begun = job.gw.until(job.deadline, read_beginning(job, &mut answer)).await;
-    let failure = match begun {
-        Some(Ok(Beginning::Whole(bytes))) => {
-            keep(job, &mut answer);
-            let Answer { head, mut work, .. } = answer;
-            if job.caller.prompt.is_none() && head.status.is_success() {
-                work.plain_over();
+pub(super) async fn start(req: &ActiveRequest, mut resp: UpstreamResponse) -> Result<ResponseStart, CallFailure> {
+    let start = req.gw.timeout_at(req.deadline, read_body_start(req, &mut resp)).await;
+    let failure = match start {
+        Some(Ok(BodyStart::Complete(bytes))) => {
+            keep_connection(req, &mut resp);
+            let UpstreamResponse { head, mut in_flight, .. } = resp;
+            if req.caller.prompt.is_none() && head.status.is_success() {
+                in_flight.record_plain_call();
             }
-            work.ended(StepEnd::Done);
-            job.answered();
-            return Ok(Begun::Whole(head, bytes));
+            in_flight.set_end(StepEnd::Done);
+            req.record_completed();
+            return Ok(ResponseStart::Complete(head, bytes));
         }
-        Some(Ok(Beginning::Stream(events, bytes))) => {
-            answer.work.reading_over(StepEnd::Done);
-            return Ok(Begun::Stream(Box::new(answer), events, bytes));
+        Some(Ok(BodyStart::Stream(events, bytes))) => {
+            resp.in_flight.record_prefill_end(StepEnd::Done);
+            return Ok(ResponseStart::Stream(Box::new(resp), events, bytes));
         }
         Some(Err(why)) => CallFailure::Broke(why),
         None => CallFailure::TimedOut,
     };
-    answer.work.ended(StepEnd::Failed);
-    job.log_failure(&answer.replica, &answer.work, &failure, "begin");
-    job.look_if_broken(&answer.replica, &failure).await;
+    resp.in_flight.set_end(StepEnd::Failed);
+    req.log_failure(&resp.replica, &resp.in_flight, &failure, "begin");
+    req.check_replica_if_broken(&resp.replica, &failure).await;
     Err(failure)
 }
 
 /// Keep the connection of an answer that was read to its end.
-fn keep(job: &Job, answer: &mut Answer) {
-    if let Some(conn) = answer.conn.take() {
-        job.gw.upstream.keep(answer.replica.address, conn);
+fn keep_connection(req: &ActiveRequest, resp: &mut UpstreamResponse) {
+    if let Some(conn) = resp.conn.take() {
+        req.gw.upstream.keep(resp.replica.address, conn);
     }
 }
 
-enum Beginning {
-    Whole(Bytes),
-    Stream(Events, Bytes),
+enum BodyStart {
+    Complete(Bytes),
+    Stream(EventBuffer, Bytes),
 }
 
-async fn read_beginning(job: &Job, answer: &mut Answer) -> Result<Beginning, String> {
-    let is_stream = job.route.stream && answer.head.status.is_success();
-    let mut events = Events::default();
+async fn read_body_start(req: &ActiveRequest, resp: &mut UpstreamResponse) -> Result<BodyStart, String> {
+    let is_stream = req.route.stream && resp.head.status.is_success();
+    let mut events = EventBuffer::default();
     let mut bytes = BytesMut::new();
     loop {
-        let Some(frame) = answer.body.frame().await else {
-            bytes.extend_from_slice(&events.rest());
-            return Ok(Beginning::Whole(bytes.freeze()));
+        let Some(frame) = resp.body.frame().await else {
+            bytes.extend_from_slice(&events.take_rest());
+            return Ok(BodyStart::Complete(bytes.freeze()));
         };
         let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() else {
             continue;
         };
         if !is_stream {
             bytes.extend_from_slice(&data);
-            if bytes.len() > WHOLE {
-                return Ok(Beginning::Stream(events, bytes.freeze()));
+            if bytes.len() > MAX_BUFFERED_BYTES {
+                return Ok(BodyStart::Stream(events, bytes.freeze()));
             }
         } else if let Some(whole) = events.push(&data) {
-            return Ok(Beginning::Stream(events, whole));
+            return Ok(BodyStart::Stream(events, whole));
         }
     }
 }
 
 /// The answer for the caller.
-pub(super) fn answer(job: Job, begun: Begun, mut ending: Ending) -> Response<AnswerBody> {
-    ending.first_byte();
-    match begun {
-        Begun::Whole(mut head, bytes) => {
-            ending.set("answered", head.status.as_u16());
-            pass_on(&mut head.headers);
+pub(super) fn respond(
+    req: ActiveRequest,
+    start: ResponseStart,
+    mut log_entry: AccessLogEntry,
+) -> Response<ResponseBody> {
+    log_entry.record_first_byte();
+    match start {
+        ResponseStart::Complete(mut head, bytes) => {
+            log_entry.set("answered", head.status.as_u16());
+            remove_hop_by_hop_headers(&mut head.headers);
             Response::from_parts(head, full(bytes))
         }
-        Begun::Stream(answer, events, first) => {
-            let mut head = answer_head(&answer);
-            pass_on(&mut head.headers);
-            if job.route.stream {
+        ResponseStart::Stream(resp, events, first) => {
+            let mut head = copy_head(&resp);
+            remove_hop_by_hop_headers(&mut head.headers);
+            if req.route.stream {
                 head.headers.remove(header::CONTENT_LENGTH);
             }
-            ending.set("caller_left", head.status.as_u16());
-            ending.stream(&answer);
+            log_entry.set("caller_left", head.status.as_u16());
+            log_entry.start_stream(&resp);
             let relay = Relay {
-                resumable: job.route.stream && job.route.repeat == Repeat::Allowed,
-                last_id: sse::last_id(&first),
-                job,
-                answer,
+                resumable: req.route.stream && req.route.repeat == Repeat::Allowed,
+                last_event_id: sse::last_event_id(&first),
+                req,
+                resp,
                 events,
-                next: Some(first),
-                over: false,
-                ending,
+                pending: Some(first),
+                is_done: false,
+                log_entry,
             };
             let chunks = stream::unfold(relay, |mut relay| async move { relay.next().await.map(|item| (item, relay)) });
             Response::from_parts(head, BodyExt::boxed_unsync(StreamBody::new(chunks)))
@@ -145,47 +149,47 @@
     }
 }
 
-fn answer_head(answer: &Answer) -> response::Parts {
+fn copy_head(resp: &UpstreamResponse) -> response::Parts {
     let mut copy = Response::new(()).into_parts().0;
-    copy.status = answer.head.status;
-    copy.version = answer.head.version;
-    copy.headers = answer.head.headers.clone();
+    copy.status = resp.head.status;
+    copy.version = resp.head.version;
+    copy.headers = resp.head.headers.clone();
     copy
 }
 
 /// A stream that is being passed on.
 struct Relay {
-    job: Job,
-    answer: Box<Answer>,
-    events: Events,
-    next: Option<Bytes>,
-    last_id: Option<String>,
+    req: ActiveRequest,
+    resp: Box<UpstreamResponse>,
+    events: EventBuffer,
+    pending: Option<Bytes>,
+    last_event_id: Option<String>,
     resumable: bool,
-    over: bool,
-    ending: Ending,
+    is_done: bool,
+    log_entry: AccessLogEntry,
 }
 
 type Item = Result<Frame<Bytes>, RelayError>;
 
 impl Relay {
     async fn next(&mut self) -> Option<Item> {
-        if let Some(bytes) = self.next.take() {
+        if let Some(bytes) = self.pending.take() {
             return Some(Ok(Frame::data(bytes)));
         }
-        if self.over {
+        if self.is_done {
             return None;
         }
         loop {
-            let read = self.job.gw.until(self.job.deadline, self.answer.body.frame()).await;
+            let read = self.req.gw.timeout_at(self.req.deadline, self.resp.body.frame()).await;
             let why = match read {
                 None => return Some(Err(self.fail(RelayError::TimedOut))),
-                Some(None) => match self.end() {
+                Some(None) => match self.finish() {
                     Ok(last) => return last.map(|bytes| Ok(Frame::data(bytes))),
                     Err(why) => why,
                 },
-                Some(Some(Ok(frame))) => match frame.into_data().ok().and_then(|data| self.take(data)) {
+                Some(Some(Ok(frame))) => match frame.into_data().ok().and_then(|data| self.buffer(data)) {
                     Some(bytes) => {
-                        self.learn();
+                        self.update_estimates();
                         return Some(Ok(Frame::data(bytes)));
                     }
                     None => continue,
@@ -195,108 +199,110 @@
             if let Err(e) = self.resume(why).await {
                 return Some(Err(self.fail(e)));
             }
-            if let Some(bytes) = self.next.take() {
+            if let Some(bytes) = self.pending.take() {
                 return Some(Ok(Frame::data(bytes)));
             }
         }
     }
 
     /// What of some new bytes may be passed on.
-    fn take(&mut self, data: Bytes) -> Option<Bytes> {
+    fn buffer(&mut self, data: Bytes) -> Option<Bytes> {
         if !self.resumable {
             return Some(data);
         }
         let whole = self.events.push(&data)?;
-        if let Some(id) = sse::last_id(&whole) {
-            self.last_id = Some(id);
+        if let Some(id) = sse::last_event_id(&whole) {
+            self.last_event_id = Some(id);
         }
         Some(whole)
     }
 
     /// The replica ended its answer; returns what is left of it.
-    fn end(&mut self) -> Result<Option<Bytes>, String> {
-        let rest = self.events.rest();
-        let framed = self.answer.head.headers.contains_key(header::TRANSFER_ENCODING)
-            || self.answer.head.headers.contains_key(header::CONTENT_LENGTH);
+    fn finish(&mut self) -> Result<Option<Bytes>, String> {
+        let rest = self.events.take_rest();
+        let framed = self.resp.head.headers.contains_key(header::TRANSFER_ENCODING)
+            || self.resp.head.headers.contains_key(header::CONTENT_LENGTH);
         if !rest.is_empty() && !framed {
             return Err("the connection ended inside an event".to_owned());
         }
-        self.over = true;
-        keep(&self.job, &mut self.answer);
-        self.answer.work.ended(StepEnd::Done);
-        self.job.answered();
-        if !self.answer.work.was_suspended() {
-            let mut fleet = self.job.gw.fleet();
-            if self.job.caller.prompt.is_some() {
-                fleet.answered(&self.job.service, self.answer.work.age(), self.answer.work.is_long());
+        self.is_done = true;
+        keep_connection(&self.req, &mut self.resp);
+        self.resp.in_flight.set_end(StepEnd::Done);
+        self.req.record_completed();
+        if !self.resp.in_flight.was_suspended() {
+            let mut fleet = self.req.gw.fleet();
+            if self.req.caller.prompt.is_some() {
+                fleet.answered(&self.req.service, self.resp.in_flight.age(), self.resp.in_flight.is_long());
             }
-            fleet.learn_answer(self.answer.work.sent(), &self.ending.passed(), self.job.gw.now());
+            fleet.learn_answer(self.resp.in_flight.sent(), &self.log_entry.relayed(), self.req.gw.now());
         }
-        self.ending.set("answered", self.answer.head.status.as_u16());
+        self.log_entry.set("answered", self.resp.head.status.as_u16());
         Ok((!rest.is_empty()).then_some(rest))
     }
 
     /// Go on at another replica after the last whole event.
     async fn resume(&mut self, why: String) -> Result<(), RelayError> {
-        self.answer.work.ended(StepEnd::Failed);
+        self.resp.in_flight.set_end(StepEnd::Failed);
         emit!(
             info,
             STREAM_BROKE,
-            request = self.job.caller.id,
-            content = %self.job.content,
-            replica = %self.answer.replica.id,
-            last_event = self.last_id.as_deref().unwrap_or(""),
+            request = self.req.caller.id,
+            content = %self.req.content,
+            replica = %self.resp.replica.id,
+            last_event = self.last_event_id.as_deref().unwrap_or(""),
             why,
             resumable = self.resumable
         );
-        self.job.look_at_replica(self.answer.replica.clone()).await;
-        if !self.resumable || !self.job.may_repeat() {
+        self.req.check_replica(self.resp.replica.clone()).await;
+        if !self.resumable || !self.req.may_retry() {
             return Err(RelayError::BrokeOff(why));
         }
-        let Some(id) = self.last_id.clone() else {
+        let Some(id) = self.last_event_id.clone() else {
             return Err(RelayError::BrokeOff(why));
         };
         self.events.clear();
-        self.job.last_event = Some(id);
-        self.job.note_broken(self.answer.work.replica());
+        self.req.last_event = Some(id);
+        self.req.record_broken_stream(self.resp.in_flight.replica_key());
         let broke_off = |_| RelayError::BrokeOff(why.clone());
-        let answer = loop {
-            let plan = self.job.next_plan().await.map_err(broke_off)?;
-            match self.job.attempt(&plan).await {
-                Ok(answer) => break answer,
-                Err(failed) if failed.why == CallFailure::NobodyListens => self.job.note_failed(&plan, &failed),
-                Err(failed) => return Err(RelayError::BrokeOff(format!("{:?}", failed.why))),
+        let resp = loop {
+            let plan = self.req.next_plan().await.map_err(broke_off)?;
+            match self.req.attempt(&plan).await {
+                Ok(resp) => break resp,
+                Err(failure) if failure.why == CallFailure::NobodyListens => {
+                    self.req.record_attempt_failure(&plan, &failure)
+                }
+                Err(failure) => return Err(RelayError::BrokeOff(format!("{:?}", failure.why))),
             }
         };
-        if !answer.head.status.is_success() {
-            return Err(RelayError::BrokeOff(format!("status {} on resuming", answer.head.status)));
+        if !resp.head.status.is_success() {
+            return Err(RelayError::BrokeOff(format!("status {} on resuming", resp.head.status)));
         }
-        emit!(info, STREAM_RESUMED, request = self.job.caller.id, replica = %answer.replica.id);
-        *self.answer = answer;
-        self.ending.stream(&self.answer);
+        emit!(info, STREAM_RESUMED, request = self.req.caller.id, replica = %resp.replica.id);
+        *self.resp = resp;
+        self.log_entry.start_stream(&self.resp);
         Ok(())
     }
 
     /// Another event was passed on; learn from the stream now and then.
-    fn learn(&mut self) {
-        if let Some(part) = self.ending.event_passed()
-            && !self.answer.work.was_suspended()
+    fn update_estimates(&mut self) {
+        if let Some(part) = self.log_entry.record_event()
+            && !self.resp.in_flight.was_suspended()
         {
-            self.job.gw.fleet().learn_stream(self.answer.work.sent(), &part);
+            self.req.gw.fleet().learn_stream(self.resp.in_flight.sent(), &part);
         }
     }
 
     fn fail(&mut self, e: RelayError) -> RelayError {
-        self.over = true;
-        self.ending.set(if e == RelayError::TimedOut { "timed_out" } else { "broke_off" }, 0);
-        self.answer.work.ended(StepEnd::Unknown);
+        self.is_done = true;
+        self.log_entry.set(if e == RelayError::TimedOut { "timed_out" } else { "broke_off" }, 0);
+        self.resp.in_flight.set_end(StepEnd::Unknown);
         e
     }
 }
 
-impl Job {
+impl ActiveRequest {
     /// A replica answered it to its end.
-    fn answered(&self) {
+    fn record_completed(&self) {
         let now = self.gw.now();
         self.gw.fleet().endings.answered(self.content, now);
     }
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -24,30 +24,30 @@
     emit,
     gateway::{
         admission::{Admitted, admit},
-        answer::{AnswerBody, Refusal},
-        attempt::{Answer, CallFailure, Failed, MAX_GONE},
-        ending::Ending,
+        answer::{Refusal, ResponseBody},
+        attempt::{AttemptFailure, CallFailure, MAX_GONE_REPLICAS, UpstreamResponse},
+        ending::AccessLogEntry,
         endings::Trial,
         quota,
-        relay::{self, Begun},
+        relay::{self, ResponseStart},
         state::Gateway,
     },
 };
 
 /// Failed tries after which a request is given up, however many replicas there are. Where nothing listens none was made.
-const MAX_TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// How many times its prediction a plain call that may be repeated waits before another is tried.
-const PLAIN_PATIENCE: f64 = 5.0;
+const PLAIN_TIMEOUT_FACTOR: f64 = 5.0;
 /// What is added to that.
-const PLAIN_SLACK: Span = Span::millis(60);
+const PLAIN_TIMEOUT_MARGIN: Span = Span::millis(60);
 /// Percent of a route's time limit below which a caller's patience shows that it was here before.
-const RETURNED_PERCENT: u64 = 95;
+const RETRIED_TIMEOUT_PERCENT: u64 = 95;
 /// Least time left for which another try is worth it.
-const LEAST_LEFT: Span = Span::millis(15);
+const MIN_ATTEMPT_TIME: Span = Span::millis(15);
 
 /// A request with all that its tries need.
 #[derive(Debug)]
-pub(super) struct Job {
+pub(super) struct ActiveRequest {
     pub(super) gw: Arc<Gateway>,
     pub(super) head: request::Parts,
     pub(super) body: Bytes,
@@ -65,97 +65,97 @@
     /// The last event that the caller has, where an answer goes on from there.
     pub(super) last_event: Option<String>,
     /// How it is kept apart from others, if replicas ended under it.
-    pub(super) apart: Option<Apart>,
+    pub(super) isolation: Option<Apart>,
     /// The run under way, if it tells whether the request is to blame for these ends.
     pub(super) trial: Option<Trial>,
     /// Replicas that are not to be tried again.
     tried: Vec<ReplicaKey>,
-    tries: usize,
+    attempts: usize,
     /// Replicas that were found gone.
-    gone: usize,
+    gone_replicas: usize,
     /// Repeated sends that were taken from the budget for the next try.
-    taken: u32,
+    charged_retries: u32,
     /// Whether a replica got the request to serve it.
-    served_once: bool,
+    serve_delivered: bool,
     /// Whether a replica got the request to read its prompt.
-    read_once: bool,
+    prefill_delivered: bool,
     /// Replicas that may have run it.
-    runs: u32,
+    possible_runs: u32,
     timed_out: bool,
     /// The team for which it is to be counted once it begins.
-    to_count: Option<Arc<Team>>,
+    usage_team: Option<Arc<Team>>,
     /// What was taken from its team's quota and is not spent.
     credit: Option<Credit>,
-    draw: u64,
+    random: u64,
 }
 
 /// Serve a caller's request.
-pub(super) async fn serve(gw: Arc<Gateway>, req: Request<Incoming>) -> Response<AnswerBody> {
-    let draw = gw.draw();
+pub(super) async fn serve(gw: Arc<Gateway>, req: Request<Incoming>) -> Response<ResponseBody> {
+    let random = gw.random();
     let (head, body) = req.into_parts();
     match admit(&gw, head, body).await {
-        Ok(admitted) => run(Job::new(gw, admitted, draw)).await,
+        Ok(admitted) => run(ActiveRequest::new(gw, admitted, random)).await,
         Err((refusal, id)) => {
             gw.metrics.request("", refusal.name());
             emit!(info, NOT_ADMITTED, request = id, why = ?refusal);
-            refusal.answer(draw)
+            refusal.to_response(random)
         }
     }
 }
 
 /// Try until there is an answer or a reason to give up.
-async fn run(mut job: Job) -> Response<AnswerBody> {
-    let mut ending = Ending::new(&job);
-    let now = job.gw.now();
-    job.gw.fleet().request(&job.service, &job.gw.budget(), now);
+async fn run(mut req: ActiveRequest) -> Response<ResponseBody> {
+    let mut log_entry = AccessLogEntry::new(&req);
+    let now = req.gw.now();
+    req.gw.fleet().request(&req.service, &req.gw.retry_budget(), now);
     loop {
-        let plan = match job.next_plan().await {
+        let plan = match req.next_plan().await {
             Ok(plan) => plan,
-            Err(refusal) => return give_up(&job, ending, &refusal),
+            Err(refusal) => return give_up(&req, log_entry, &refusal),
         };
-        ending.tries += 1;
-        let began_ms = wall_millis();
-        let failed = match job.attempt(&plan).await {
-            Ok(answer) => {
-                let at = answer.work.replica();
-                match begin_answer(&job, answer).await {
-                    Ok(begun) => {
-                        job.note_begun(began_ms);
-                        return relay::answer(job, begun, ending);
+        log_entry.attempts += 1;
+        let started_ms = wall_millis();
+        let failure = match req.attempt(&plan).await {
+            Ok(resp) => {
+                let replica = resp.in_flight.replica_key();
+                match start_response(&req, resp).await {
+                    Ok(started) => {
+                        req.record_started(started_ms);
+                        return relay::respond(req, started, log_entry);
                     }
-                    Err(why) => Failed { why, reading: false, at },
+                    Err(why) => AttemptFailure { why, in_prefill: false, replica },
                 }
             }
-            Err(failed) => failed,
+            Err(failure) => failure,
         };
-        if job.has_begun(&failed) {
-            job.note_begun(began_ms);
+        if req.has_started(&failure) {
+            req.record_started(started_ms);
         }
-        job.note_failed(&plan, &failed);
+        req.record_attempt_failure(&plan, &failure);
     }
 }
 
-fn give_up(job: &Job, mut ending: Ending, refusal: &Refusal) -> Response<AnswerBody> {
-    ending.set(refusal.name(), refusal.status().as_u16());
-    refusal.answer(job.draw)
+fn give_up(req: &ActiveRequest, mut log_entry: AccessLogEntry, refusal: &Refusal) -> Response<ResponseBody> {
+    log_entry.set(refusal.name(), refusal.status().as_u16());
+    refusal.to_response(req.random)
 }
 
 /// Wait until an answer is certain enough to be passed on.
-async fn begin_answer(job: &Job, mut answer: Answer) -> Result<Begun, CallFailure> {
-    if job.may_repeat() && answer.head.status.is_server_error() {
-        let status = answer.head.status.as_u16();
-        answer.work.ended(StepEnd::Done);
+async fn start_response(req: &ActiveRequest, mut resp: UpstreamResponse) -> Result<ResponseStart, CallFailure> {
+    if req.may_retry() && resp.head.status.is_server_error() {
+        let status = resp.head.status.as_u16();
+        resp.in_flight.set_end(StepEnd::Done);
         return Err(CallFailure::Lost(format!("status {status}")));
     }
-    relay::begin(job, answer).await
+    relay::start(req, resp).await
 }
 
-impl Job {
-    fn new(gw: Arc<Gateway>, admitted: Admitted, draw: u64) -> Self {
+impl ActiveRequest {
+    fn new(gw: Arc<Gateway>, admitted: Admitted, random: u64) -> Self {
         let Admitted { head, body, caller, content, route, service, identity, version, arrived, deadline } = admitted;
         Self {
             gw,
-            to_count: identity.team().cloned(),
+            usage_team: identity.team().cloned(),
             last_event: caller.last_event.clone(),
             head,
             body,
@@ -167,18 +167,18 @@
             version,
             arrived,
             deadline,
-            apart: None,
+            isolation: None,
             trial: None,
             tried: Vec::new(),
-            tries: 0,
-            gone: 0,
-            taken: 0,
-            served_once: false,
-            read_once: false,
-            runs: 0,
+            attempts: 0,
+            gone_replicas: 0,
+            charged_retries: 0,
+            serve_delivered: false,
+            prefill_delivered: false,
+            possible_runs: 0,
             timed_out: false,
             credit: None,
-            draw,
+            random,
         }
     }
 
@@ -188,46 +188,48 @@
     }
 
     /// Whether it may be tried again after it may have run.
-    pub(super) fn may_repeat(&self) -> bool {
+    pub(super) fn may_retry(&self) -> bool {
         self.route.repeat == Repeat::Allowed
-            && self.runs + 1 < self.route.attempts
-            && self.tries + 1 < MAX_TRIES
-            && self.time_left() > LEAST_LEFT
+            && self.possible_runs + 1 < self.route.attempts
+            && self.attempts + 1 < MAX_ATTEMPTS
+            && self.time_left() > MIN_ATTEMPT_TIME
     }
 
     /// When a call is given up so that another replica can be tried.
-    pub(super) fn try_limit(&self, step: &Step) -> Time {
-        if !self.may_repeat() || self.caller.prompt.is_some() {
+    pub(super) fn attempt_deadline(&self, step: &Step) -> Time {
+        if !self.may_retry() || self.caller.prompt.is_some() {
             return self.deadline;
         }
-        let patience = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * PLAIN_PATIENCE);
-        self.deadline.min(self.gw.now() + patience + PLAIN_SLACK)
+        let timeout = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * PLAIN_TIMEOUT_FACTOR);
+        self.deadline.min(self.gw.now() + timeout + PLAIN_TIMEOUT_MARGIN)
     }
 
     /// What to do next, or why to give up.
     pub(super) async fn next_plan(&mut self) -> Result<Plan, Refusal> {
-        self.look_at_standing().await?;
+        self.check_standing().await?;
         let now = self.gw.now();
-        let ran_out = self.tries >= MAX_TRIES || self.gone >= MAX_GONE || self.deadline.since(now) <= LEAST_LEFT;
-        let may_go_on = match self.route.repeat {
-            Repeat::AtMostOnce => self.runs == 0,
-            Repeat::Allowed => self.runs < self.route.attempts,
+        let is_exhausted = self.attempts >= MAX_ATTEMPTS
+            || self.gone_replicas >= MAX_GONE_REPLICAS
+            || self.deadline.since(now) <= MIN_ATTEMPT_TIME;
+        let may_run_again = match self.route.repeat {
+            Repeat::AtMostOnce => self.possible_runs == 0,
+            Repeat::Allowed => self.possible_runs < self.route.attempts,
         };
-        if !may_go_on || (ran_out && !self.tried.is_empty()) {
-            return Err(self.last_word());
+        if !may_run_again || (is_exhausted && !self.tried.is_empty()) {
+            return Err(self.final_refusal());
         }
         let mut plan = self.choose(now)?;
         if self.take_credit().await? {
             // Engines may have got other work meanwhile.
             plan = self.choose(self.gw.now())?;
         }
-        self.note_offered(&plan);
-        let repeats = self.repeats(&plan).saturating_sub(self.taken);
-        if repeats > 0 && !self.gw.fleet().take_repeats(repeats, &self.service, &self.gw.budget(), now) {
+        self.record_demand(&plan);
+        let retries = self.count_retries(&plan).saturating_sub(self.charged_retries);
+        if retries > 0 && !self.gw.fleet().take_repeats(retries, &self.service, &self.gw.retry_budget(), now) {
             emit!(info, BUDGET_SPENT, request = self.caller.id, service = %self.service);
-            return Err(self.last_word());
+            return Err(self.final_refusal());
         }
-        self.taken += repeats;
+        self.charged_retries += retries;
         self.trial = self.begin_trial();
         Ok(plan)
     }
@@ -240,9 +242,9 @@
         if is_new && let Err(NoPlan::TooLate { plan, .. }) = &chosen {
             fleet.offered(&self.service, &req, plan, false, now);
         }
-        let usual = fleet.usual_answer(&self.service);
+        let usual_duration = fleet.usual_answer(&self.service);
         match chosen {
-            Ok(plan) if is_new && plan.is_long() && !self.gw.stop.takes_long(usual, now) => {
+            Ok(plan) if is_new && plan.is_long() && !self.gw.stop.may_start_long(usual_duration, now) => {
                 emit!(info, REFUSED_STOPPING, request = self.caller.id, route = %self.route.name);
                 Err(Refusal::Stopping)
             }
@@ -259,12 +261,12 @@
                 Err(Refusal::ReplicasLimited { come_back })
             }
             Err(NoPlan::NoReplica) if is_new => Err(Refusal::NoReplica),
-            Err(NoPlan::NoReplica | NoPlan::RateLimited { .. }) => Err(self.last_word()),
+            Err(NoPlan::NoReplica | NoPlan::RateLimited { .. }) => Err(self.final_refusal()),
         }
     }
 
     /// Count what is asked of engines by a request that is served.
-    fn note_offered(&self, plan: &Plan) {
+    fn record_demand(&self, plan: &Plan) {
         if self.tried.is_empty() {
             let now = self.gw.now();
             self.gw.fleet().offered(&self.service, &self.route_request(now), plan, true, now);
@@ -274,7 +276,7 @@
     /// Take what a run costs from the team's quota, unless it is at hand; returns whether that took a while.
     async fn take_credit(&mut self) -> Result<bool, Refusal> {
         let credit = self.usable_credit(self.credit).await;
-        let credit = credit.map_err(|refusal| if self.has_run() { self.last_word() } else { refusal })?;
+        let credit = credit.map_err(|refusal| if self.may_have_run() { self.final_refusal() } else { refusal })?;
         let is_new = credit != self.credit;
         self.credit = credit;
         Ok(is_new)
@@ -303,13 +305,13 @@
             objective_left: (self.arrived + self.route.objective).since(now),
             silence_left: (self.arrived + self.route.silence).since(now),
             time_left: self.deadline.since(now),
-            returned: self.returned(),
+            returned: self.is_caller_retry(),
             may_refuse: self.tried.is_empty() && self.last_event.is_none(),
             tried: &self.tried,
-            apart: self.apart,
+            apart: self.isolation,
             send_ms: self.gw.link.send_ms(self.body.len()),
             link_ms: self.gw.link.wait_ms(now),
-            draw: self.draw,
+            draw: self.random,
         }
     }
 
@@ -340,9 +342,9 @@
 
     /// Whether its caller waits less long than the route allows, as one does that was refused and
     /// came back.
-    fn returned(&self) -> bool {
-        let patience = self.deadline.since(self.arrived);
-        patience.0 < self.route.timeout.0 * RETURNED_PERCENT / 100
+    fn is_caller_retry(&self) -> bool {
+        let timeout = self.deadline.since(self.arrived);
+        timeout.0 < self.route.timeout.0 * RETRIED_TIMEOUT_PERCENT / 100
     }
 
     fn log_plan(&self, fleet: &Fleet, plan: &Plan, now: Time) {
@@ -375,74 +377,74 @@
         );
     }
 
-    pub(super) fn note_failed(&mut self, plan: &Plan, failed: &Failed) {
-        if failed.why == CallFailure::NobodyListens {
-            self.gone += 1;
+    pub(super) fn record_attempt_failure(&mut self, plan: &Plan, failure: &AttemptFailure) {
+        if failure.why == CallFailure::NobodyListens {
+            self.gone_replicas += 1;
         } else {
-            self.tries += 1;
+            self.attempts += 1;
         }
-        if failed.why.arrived() || (matches!(plan, Plan::TwoSteps { .. }) && !failed.reading) {
-            self.taken = 0;
+        if failure.why.arrived() || (matches!(plan, Plan::TwoSteps { .. }) && !failure.in_prefill) {
+            self.charged_retries = 0;
         }
-        self.tried.push(failed.at);
-        if failed.reading {
+        self.tried.push(failure.replica);
+        if failure.in_prefill {
             // The engine may have waited for the one that it was to copy from.
             self.tried.extend(plan.reading().copy_from);
         }
-        let read_before = matches!(plan, Plan::TwoSteps { .. }) && !failed.reading;
-        self.read_once |= read_before || (failed.reading && failed.why.arrived());
-        self.served_once |= !failed.reading && failed.why.arrived();
-        if failed.reading && matches!(failed.why, CallFailure::Rejected(_)) {
+        let prefill_done = matches!(plan, Plan::TwoSteps { .. }) && !failure.in_prefill;
+        self.prefill_delivered |= prefill_done || (failure.in_prefill && failure.why.arrived());
+        self.serve_delivered |= !failure.in_prefill && failure.why.arrived();
+        if failure.in_prefill && matches!(failure.why, CallFailure::Rejected(_)) {
             // The first call that reads a prompt is free only if the replica takes it up.
             let now = self.gw.now();
-            self.gw.fleet().charge_repeat(&self.service, &self.gw.budget(), now);
+            self.gw.fleet().charge_repeat(&self.service, &self.gw.retry_budget(), now);
         }
-        if failed.why.may_have_run() && !failed.reading {
+        if failure.why.may_have_run() && !failure.in_prefill {
             self.credit = None;
-            self.runs += 1;
-            self.timed_out = failed.why == CallFailure::TimedOut;
+            self.possible_runs += 1;
+            self.timed_out = failure.why == CallFailure::TimedOut;
         }
     }
 
     /// Whether a replica surely or most likely began to run it in a failed try: a plain one does so at
     /// once, an engine with the first token.
-    fn has_begun(&self, failed: &Failed) -> bool {
-        let lost = matches!(failed.why, CallFailure::Broke(_) | CallFailure::Lost(_));
-        lost && !failed.reading && !self.route.stream
+    fn has_started(&self, failure: &AttemptFailure) -> bool {
+        let lost = matches!(failure.why, CallFailure::Broke(_) | CallFailure::Lost(_));
+        lost && !failure.in_prefill && !self.route.stream
     }
 
     /// A replica began to run it. A plain one does so when it is sent, an engine with the first token.
-    fn note_begun(&mut self, sent_ms: u64) {
+    fn record_started(&mut self, sent_ms: u64) {
         let at_ms = if self.route.stream { wall_millis() } else { sent_ms };
-        if let Some(team) = self.to_count.take() {
+        if let Some(team) = self.usage_team.take() {
             self.gw.usage.count(&team, at_ms);
         }
     }
 
     /// A stream that had begun broke off at a replica.
-    pub(super) fn note_broken(&mut self, key: ReplicaKey) {
-        self.tries += 1;
-        self.taken = 0;
+    pub(super) fn record_broken_stream(&mut self, key: ReplicaKey) {
+        self.attempts += 1;
+        self.charged_retries = 0;
         self.tried.push(key);
-        self.served_once = true;
+        self.serve_delivered = true;
         self.credit = None;
-        self.runs += 1;
+        self.possible_runs += 1;
     }
 
     /// Calls of a plan that repeat earlier ones.
-    fn repeats(&self, plan: &Plan) -> u32 {
+    fn count_retries(&self, plan: &Plan) -> u32 {
         let reads = matches!(plan, Plan::TwoSteps { .. });
-        u32::from(reads && self.read_once) + u32::from(self.served_once)
+        u32::from(reads && self.prefill_delivered) + u32::from(self.serve_delivered)
     }
 
     /// Whether a replica may have run it.
-    pub(super) const fn has_run(&self) -> bool {
-        self.runs > 0
+    pub(super) const fn may_have_run(&self) -> bool {
+        self.possible_runs > 0
     }
 
     /// The true last word: whether it surely did not run.
-    pub(super) fn last_word(&self) -> Refusal {
-        match (self.runs, self.timed_out) {
+    pub(super) fn final_refusal(&self) -> Refusal {
+        match (self.possible_runs, self.timed_out) {
             (0, _) => Refusal::Rejected,
             (_, true) => Refusal::TimedOut,
             (_, false) => Refusal::Lost,
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -103,17 +103,17 @@
 }
 
 impl From<CachedEntry> for Entry {
-    fn from(copied: CachedEntry) -> Self {
-        Self { key: copied.key, value: copied.value, revision: copied.revision }
+    fn from(cached: CachedEntry) -> Self {
+        Self { key: cached.key, value: cached.value, revision: cached.revision }
     }
 }
 
 /// Ask other daemons whenever the store does not answer.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.over.clone();
+    let stop = gw.stop.finished.clone();
     tokio::select! {
         () = watch(&gw) => {}
-        () = over.cancelled() => {}
+        () = stop.cancelled() => {}
     }
 }
 
@@ -128,7 +128,7 @@
             Some(Source::Ahead(from)) if !update_from(gw, &client, from).await => {
                 // Others ask it too, or it is gone; by now more daemons may have it.
                 gw.peer_ahead.notify_one();
-                tokio::time::sleep(duration(PEER_FALLBACK_DELAY) + duration(Span(gw.draw() % PEER_FALLBACK_DELAY.0)))
+                tokio::time::sleep(duration(PEER_FALLBACK_DELAY) + duration(Span(gw.random() % PEER_FALLBACK_DELAY.0)))
                     .await;
             }
             Some(Source::Seed(from)) => {
@@ -153,25 +153,25 @@
 fn is_needed(gw: &Gateway) -> bool {
     let now = gw.now();
     let cache = gw.store_cache();
-    !cache.watching || cache.lost_for(now).is_some_and(|silent| silent > STORE_SILENCE_TIMEOUT)
+    !cache.watching || cache.unreachable_for(now).is_some_and(|silent| silent > STORE_SILENCE_TIMEOUT)
 }
 
 /// A daemon that is ahead; any seed while nothing is known at all.
 fn choose_source(gw: &Gateway) -> Option<Source> {
-    let (revision, complete) = {
+    let (revision, is_complete) = {
         let cache = gw.store_cache();
         (cache.revision, cache.is_complete())
     };
-    if let Some(ahead) = gw.peers.ahead_of(revision, gw.hall, gw.draw(), gw.now()) {
+    if let Some(ahead) = gw.peers.ahead_of(revision, gw.hall, gw.random(), gw.now()) {
         return Some(Source::Ahead(ahead));
     }
-    if complete {
+    if is_complete {
         return None;
     }
     let own = gw.settings.peer_address;
     let seeds: Vec<SocketAddr> = gw.seeds().into_iter().filter(|seed| *seed != own).collect();
-    let at = gw.draw() as usize % seeds.len().max(1);
-    seeds.get(at).copied().map(Source::Seed)
+    let index = gw.random() as usize % seeds.len().max(1);
+    seeds.get(index).copied().map(Source::Seed)
 }
 
 fn apply_update(gw: &Arc<Gateway>, update: CacheUpdate) {
--- a/crates/daemon/src/gateway/sse.rs
+++ b/crates/daemon/src/gateway/sse.rs
@@ -3,24 +3,24 @@
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of one event at most; a longer one is passed on in pieces.
-const MAX_EVENT: usize = 256 << 10;
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// Collects bytes until they make whole events.
 #[derive(Debug, Default)]
-pub(super) struct Events {
+pub(super) struct EventBuffer {
     buf: BytesMut,
 }
 
-impl Events {
+impl EventBuffer {
     /// Add bytes and take all events that are whole by now.
     pub(super) fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.buf.extend_from_slice(data);
-        let end = last_end(&self.buf)?;
+        let end = last_event_end(&self.buf)?;
         Some(self.buf.split_to(end).freeze())
     }
 
     /// The bytes of an event that is not whole.
-    pub(super) fn rest(&mut self) -> Bytes {
+    pub(super) fn take_rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
@@ -31,8 +31,8 @@
 }
 
 /// Where the last whole event ends: after an empty line.
-fn last_end(buf: &[u8]) -> Option<usize> {
-    if buf.len() > MAX_EVENT {
+fn last_event_end(buf: &[u8]) -> Option<usize> {
+    if buf.len() > MAX_EVENT_BYTES {
         return Some(buf.len());
     }
     let mut end = None;
@@ -51,7 +51,7 @@
 }
 
 /// The identifier of the last of some whole events.
-pub(super) fn last_id(events: &[u8]) -> Option<String> {
+pub(super) fn last_event_id(events: &[u8]) -> Option<String> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     let text = std::str::from_utf8(value).ok()?;
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -50,7 +50,7 @@
     pub(super) settings: GatewaySettings,
     pub(super) outside: Outside,
     /// Number that tells this run of the daemon from all others.
-    pub(super) start: u64,
+    pub(super) run_id: u64,
     pub(super) fleet: Mutex<Fleet>,
     pub(super) store_cache: Mutex<StoreCache>,
     pub(super) keys: Keys,
@@ -72,7 +72,7 @@
     /// Wakes the task that asks peers, when one has followed the store further.
     pub(super) peer_ahead: Notify,
     /// When the daemon started, by its clock and by the one that does not count suspensions.
-    pub(super) begun: (Time, Instant),
+    pub(super) started_at: (Time, Instant),
     /// Wakes all that waits for a deadline, when the machine goes on after it was suspended.
     pub(super) resumed: Notify,
     /// Hash of this daemon's hall.
@@ -80,7 +80,7 @@
     seeds: Mutex<Vec<SocketAddr>>,
     retries: Mutex<RetrySettings>,
     table: Mutex<Option<Arc<RouteTable>>>,
-    draws: AtomicU64,
+    random_counter: AtomicU64,
 }
 
 /// The stages of a planned stop.
@@ -91,41 +91,41 @@
     /// No more connections are taken.
     pub(super) closing: CancellationToken,
     /// Background tasks are to end.
-    pub(super) over: CancellationToken,
+    pub(super) finished: CancellationToken,
     /// The requests under way.
     pub(super) requests: TaskTracker,
     /// Micros of the time at which the process must be over; 0 before a stop.
-    over_at: AtomicU64,
+    exit_at: AtomicU64,
     /// Micros of the time from which on no long answer is begun, however quick they have been.
     no_long_from: AtomicU64,
 }
 
 /// Part of a stop after which no long answer is begun. Some take far longer than usual, and one
 /// that begins this late must be over by the end.
-const LONG_SHARE: f64 = 0.3;
+const LONG_RESPONSE_SHARE: f64 = 0.3;
 
 /// How many times the usual time of a long answer must be left for one to be begun. A tenth of
 /// them takes twice as long, and one that the end of the process cuts is lost; a caller that is
 /// refused finds another VM within its objective or soon after.
-const LONG_TIMES: f64 = 1.3;
+const LONG_RESPONSE_FACTOR: f64 = 1.3;
 
 impl Stop {
     /// The stop begins.
-    pub(super) fn begin(&self, now: Time, over_at: Time) {
-        let no_long_from = now + Span::seconds(over_at.since(now).as_seconds() * LONG_SHARE);
+    pub(super) fn begin(&self, now: Time, exit_at: Time) {
+        let no_long_from = now + Span::seconds(exit_at.since(now).as_seconds() * LONG_RESPONSE_SHARE);
         self.no_long_from.store(no_long_from.0, Ordering::Relaxed);
-        self.over_at.store(over_at.0, Ordering::Relaxed);
+        self.exit_at.store(exit_at.0, Ordering::Relaxed);
         self.begun.cancel();
     }
 
     /// Whether a long answer that usually takes so long may still be begun.
-    pub(super) fn takes_long(&self, usual: Span, now: Time) -> bool {
-        let over_at = self.over_at.load(Ordering::Relaxed);
-        if over_at == 0 {
+    pub(super) fn may_start_long(&self, usual: Span, now: Time) -> bool {
+        let exit_at = self.exit_at.load(Ordering::Relaxed);
+        if exit_at == 0 {
             return true;
         }
         let too_late = Time(self.no_long_from.load(Ordering::Relaxed)).is_past(now);
-        !too_late && Time(over_at).since(now).as_seconds() > usual.as_seconds() * LONG_TIMES
+        !too_late && Time(exit_at).since(now).as_seconds() > usual.as_seconds() * LONG_RESPONSE_FACTOR
     }
 }
 
@@ -141,7 +141,7 @@
         outside: Outside,
         socket: UdpSocket,
         metrics: GatewayMetrics,
-        start: u64,
+        run_id: u64,
     ) -> Self {
         Self {
             fleet: Mutex::new(Fleet::new(&settings.hall, settings.policy, outside.clock.now())),
@@ -160,16 +160,16 @@
             load_changed: Notify::new(),
             hall_changed: Notify::new(),
             peer_ahead: Notify::new(),
-            begun: (outside.clock.now(), Instant::now()),
+            started_at: (outside.clock.now(), Instant::now()),
             resumed: Notify::new(),
             hall: short_id(&settings.hall),
             seeds: Mutex::new(settings.seeds.clone()),
             retries: Mutex::new(settings.retries),
             table: Mutex::new(None),
-            draws: AtomicU64::new(start),
+            random_counter: AtomicU64::new(run_id),
             settings,
             outside,
-            start,
+            run_id,
         }
     }
 
@@ -195,16 +195,16 @@
 
     /// Put routes in force, unless newer ones are; returns whether they are in force now.
     pub(super) fn set_table(&self, table: RouteTable) -> bool {
-        let mut present = self.table.lock().unwrap_or_else(PoisonError::into_inner);
-        let newer = present.as_ref().is_none_or(|present| table.version > present.version);
-        if newer {
-            *present = Some(Arc::new(table));
+        let mut current = self.table.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_newer = current.as_ref().is_none_or(|current| table.version > current.version);
+        if is_newer {
+            *current = Some(Arc::new(table));
         }
-        newer
+        is_newer
     }
 
     /// Bounds on repeated sends.
-    pub(super) fn budget(&self) -> BudgetTerms {
+    pub(super) fn retry_budget(&self) -> BudgetTerms {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner).terms()
     }
 
@@ -230,8 +230,8 @@
     }
 
     /// A number that is unlike the ones before.
-    pub(super) fn draw(&self) -> u64 {
-        let n = self.draws.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn random(&self) -> u64 {
+        let n = self.random_counter.fetch_add(1, Ordering::Relaxed);
         dahliaseam_core::hash::bytes(&n.to_le_bytes())
     }
 
--- a/crates/daemon/src/gateway/store_cache.rs
+++ b/crates/daemon/src/gateway/store_cache.rs
@@ -23,7 +23,7 @@
     /// The store's revision up to which nothing is missing.
     pub(super) revision: i64,
     /// When the store last answered.
-    pub(super) heard: Time,
+    pub(super) last_answer_at: Time,
     /// Whether this daemon watches the store itself.
     pub(super) watching: bool,
     /// Until when entries that lapsed while the store was away may come back.
@@ -31,9 +31,9 @@
     /// Removals up to this revision may be such lapses; later ones are meant.
     pub(super) lapsed_up_to: i64,
     /// Until when removals that the store reports may still be lapses of the time before.
-    pub(super) settled_at: Time,
+    pub(super) lapses_until: Time,
     /// Whether the store did not answer this daemon's last call.
-    pub(super) lost: bool,
+    pub(super) unreachable: bool,
     /// The update that was last packed.
     packed: Option<PackedUpdate>,
 }
@@ -49,8 +49,8 @@
 
 impl StoreCache {
     /// Whether the store does not answer, and for how long that has been known.
-    pub(super) fn lost_for(&self, now: Time) -> Option<Span> {
-        self.lost.then(|| now.since(self.heard))
+    pub(super) fn unreachable_for(&self, now: Time) -> Option<Span> {
+        self.unreachable.then(|| now.since(self.last_answer_at))
     }
 
     /// What changed after a revision, for another daemon; all of it if that is not known.
@@ -58,12 +58,12 @@
         let whole = !self.replicas.is_complete_after(after) || !self.daemons.is_complete_after(after);
         let from = if whole { i64::MIN } else { after };
         let configuration = self.configuration.iter().filter(|entry| entry.revision > from);
-        let newer = configuration.chain(self.replicas.changed_after(from)).chain(self.daemons.changed_after(from));
+        let entries = configuration.chain(self.replicas.changed_after(from)).chain(self.daemons.changed_after(from));
         let removed = self.replicas.removed_after(after).chain(self.daemons.removed_after(after));
         CacheUpdate {
             revision: self.revision,
             whole,
-            entries: newer.map(CachedEntry::from).collect(),
+            entries: entries.map(CachedEntry::from).collect(),
             removed: removed.map(|(key, revision)| (key.to_owned(), revision)).collect(),
             grace_ms: self.grace_until.since(now).as_millis(),
             lapsed_up_to: self.lapsed_up_to,
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -40,11 +40,11 @@
 
 /// Watch the store until the daemon is over.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let over = gw.stop.over.clone();
+    let stop = gw.stop.finished.clone();
     tokio::select! {
         () = watch(&gw) => {}
         () = sweep(&gw) => {}
-        () = over.cancelled() => {}
+        () = stop.cancelled() => {}
     }
 }
 
@@ -52,15 +52,15 @@
     let mut election = Election::default();
     let terms = Terms { contact: Span::millis(gw.settings.timing.contact_ms) };
     loop {
-        let read = gw.store_cache().revision > 0;
-        if read && !is_elected(gw, &mut election, terms) && !gw.keys.is_proof_old(gw.now()) {
+        let is_initialized = gw.store_cache().revision > 0;
+        if is_initialized && !is_elected(gw, &mut election, terms) && !gw.keys.is_proof_stale(gw.now()) {
             stand_by(gw).await;
             continue;
         }
         set_watching(gw, true);
         let wait =
             gw.keys.longest_wait().map_or(election.next_wait(terms), |longest| election.next_wait(terms).min(longest));
-        match step(gw, read, wait).await {
+        match poll(gw, is_initialized, wait).await {
             Ok(()) => {
                 if election.answered() {
                     gw.load_changed.notify_one();
@@ -70,8 +70,8 @@
             Err(e) => {
                 store_failed(gw, &e);
                 let wait = election.failed(terms);
-                let spread = Span(gw.draw() % wait.0.max(1));
-                tokio::time::sleep(duration(wait) + duration(spread)).await;
+                let jitter = Span(gw.random() % wait.0.max(1));
+                tokio::time::sleep(duration(wait) + duration(jitter)).await;
             }
         }
     }
@@ -90,12 +90,12 @@
 }
 
 /// One call, or two while the store is away: the first costs little and only asks whether it is back.
-async fn step(gw: &Arc<Gateway>, read: bool, wait: Span) -> Result<(), CallError> {
-    if gw.store_cache().lost {
+async fn poll(gw: &Arc<Gateway>, is_initialized: bool, wait: Span) -> Result<(), CallError> {
+    if gw.store_cache().unreachable {
         gw.metrics.store_call(StoreCall::Probe);
         gw.outside.feed.probe().await?;
     }
-    if read { next(gw, wait).await } else { read_all(gw, true).await }
+    if is_initialized { poll_changes(gw, wait).await } else { read_all(gw, true).await }
 }
 
 /// Leave it to others to watch the store for a while.
@@ -109,7 +109,7 @@
     if cache.watching != watching {
         cache.watching = watching;
         // Whether the store answers is not this daemon's to know while others watch it.
-        cache.lost &= watching;
+        cache.unreachable &= watching;
         emit!(info, FOLLOWING, following = watching, revision = cache.revision);
     }
 }
@@ -117,26 +117,26 @@
 /// Read everything; `may_be_old` where the changes since are followed right after.
 async fn read_all(gw: &Arc<Gateway>, may_be_old: bool) -> Result<(), CallError> {
     gw.metrics.store_call(StoreCall::ReadAll);
-    let asked = gw.now();
+    let asked_at = gw.now();
     let snapshot = gw.outside.feed.snapshot("", may_be_old).await?;
     store_answered(gw, snapshot.revision);
     apply_snapshot(gw, snapshot);
     if !may_be_old {
-        note_proof(gw, asked);
+        record_proof(gw, asked_at);
     }
     Ok(())
 }
 
 /// The store has told of all changes of the configuration up to then.
-fn note_proof(gw: &Gateway, at: Time) {
+fn record_proof(gw: &Gateway, at: Time) {
     let revision = gw.store_cache().newest_configuration;
-    gw.keys.note(Proof { revision, at });
+    gw.keys.record(Proof { revision, at });
 }
 
-async fn next(gw: &Arc<Gateway>, wait: Span) -> Result<(), CallError> {
+async fn poll_changes(gw: &Arc<Gateway>, wait: Span) -> Result<(), CallError> {
     let revision = gw.store_cache().revision;
-    let asked = gw.now();
-    gw.metrics.store_call(StoreCall::Follow);
+    let asked_at = gw.now();
+    gw.metrics.store_call(StoreCall::Watch);
     let changes = tokio::select! {
         changes = gw.outside.feed.changes("", revision, wait) => changes?,
         // What was asked before the machine was suspended may never be answered.
@@ -149,12 +149,12 @@
         }
         Changes::Next { changes, revision } => {
             store_answered(gw, revision);
-            let at = proved_at(asked, wait, !changes.is_empty(), gw.now());
+            let at = proved_at(asked_at, wait, !changes.is_empty(), gw.now());
             for change in changes {
                 apply(gw, change);
             }
             gw.store_cache().advance(revision);
-            note_proof(gw, at);
+            record_proof(gw, at);
             Ok(())
         }
     }
@@ -165,13 +165,13 @@
     gw.metrics.store_answer("answered");
     let now = gw.now();
     let mut cache = gw.store_cache();
-    cache.heard = now;
-    if std::mem::take(&mut cache.lost) {
+    cache.last_answer_at = now;
+    if std::mem::take(&mut cache.unreachable) {
         cache.grace_until = now + REREGISTRATION_GRACE;
-        cache.settled_at = now + LAPSE_SETTLE_TIME;
+        cache.lapses_until = now + LAPSE_SETTLE_TIME;
         emit!(info, STORE_BACK, revision = cache.revision);
     }
-    if !cache.settled_at.is_past(now) {
+    if !cache.lapses_until.is_past(now) {
         cache.lapsed_up_to = cache.lapsed_up_to.max(revision);
     }
 }
@@ -180,8 +180,8 @@
     gw.metrics.store_answer("failed");
     let now = gw.now();
     let mut cache = gw.store_cache();
-    if !std::mem::replace(&mut cache.lost, true) {
-        let silent_ms = now.since(cache.heard).as_millis();
+    if !std::mem::replace(&mut cache.unreachable, true) {
+        let silent_ms = now.since(cache.last_answer_at).as_millis();
         emit!(warn, STORE_LOST, revision = cache.revision, silent_ms, why = %e);
     }
 }
@@ -191,9 +191,9 @@
     let prefix = gw.outside.dialect.replica_prefix();
     let revision = snapshot.revision;
     let missing: Vec<Arc<str>> = {
-        let read: HashSet<&str> = snapshot.entries.iter().map(|entry| &*entry.key).collect();
+        let keys: HashSet<&str> = snapshot.entries.iter().map(|entry| &*entry.key).collect();
         let cache = gw.store_cache();
-        [cache.replicas.missing_from(&read), cache.daemons.missing_from(&read)].concat()
+        [cache.replicas.missing_from(&keys), cache.daemons.missing_from(&keys)].concat()
     };
     let replicas = snapshot.entries.iter().filter(|entry| entry.key.starts_with(prefix)).count();
     for entry in snapshot.entries {
@@ -218,7 +218,7 @@
             if !gw.store_cache().daemons.put(&entry.key, entry.revision, entry.clone()) {
                 return;
             }
-            if !blamed::put(gw, &entry) && !quota::put(gw, &entry) {
+            if !blamed::apply_put(gw, &entry) && !quota::apply_put(gw, &entry) {
                 gw.peers.register(&entry);
             }
         }
@@ -228,8 +228,8 @@
         Change::Removed { key, revision } => {
             if gw.store_cache().daemons.remove(&key, revision).is_some() {
                 gw.peers.deregister(&key);
-                quota::removed(gw, &key);
-                blamed::removed(gw, &key);
+                quota::apply_removal(gw, &key);
+                blamed::apply_removal(gw, &key);
             }
         }
         Change::Put(_) => {}
@@ -237,8 +237,8 @@
 }
 
 fn put_configuration(gw: &Gateway, entry: Entry) {
-    let older = gw.store_cache().configuration.as_ref().is_some_and(|present| present.revision >= entry.revision);
-    if older {
+    let is_stale = gw.store_cache().configuration.as_ref().is_some_and(|present| present.revision >= entry.revision);
+    if is_stale {
         return;
     }
     gw.store_cache().newest_configuration = entry.revision;
@@ -273,7 +273,7 @@
             let (draining, role) = (facts.draining, facts.role);
             let (service, address, born) = (Arc::clone(&facts.service), facts.address, facts.born);
             if gw.fleet().is_replaced(&facts) {
-                gw.upstream.forget(address);
+                gw.upstream.close_idle(address);
             }
             if gw.fleet().put(facts, entry.revision) {
                 emit!(
@@ -316,7 +316,7 @@
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = gw.now();
-        gw.upstream.sweep();
+        gw.upstream.close_expired();
         let mut fleet = gw.fleet();
         for sender in fleet.forget_silent(now) {
             emit!(info, PEER_SILENT, sender);
--- a/crates/daemon/src/gateway/upstream.rs
+++ b/crates/daemon/src/gateway/upstream.rs
@@ -29,22 +29,22 @@
 
 /// Time for which an idle connection may be used again. Replicas close idle ones after some
 /// seconds, some without a word; well within that, few are lost.
-const FRESH: Span = Span::millis(1_500);
+const MAX_IDLE_TIME: Span = Span::millis(1_500);
 /// Idle connections kept to one replica at most.
-const KEPT: usize = 24;
+const MAX_IDLE_PER_REPLICA: usize = 24;
 /// Time to make a connection at most. The way takes a few milliseconds; a lost opening packet is
 /// sent again only after a second.
-const CONNECT: Duration = Duration::from_millis(120);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// Time after which unacknowledged bytes fail a connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(3);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time of silence after which a connection is probed, and between two probes.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time in which a process that is ending closes what it has just taken; the way there takes a few milliseconds.
-const ENDING: Duration = Duration::from_millis(15);
+const EXIT_CLOSE_TIMEOUT: Duration = Duration::from_millis(15);
 /// Looks at a replica that does not answer, or whose connections end at once, before it counts as there.
-const LOOKS: usize = 3;
+const MAX_PROBES: usize = 3;
 /// Bytes of an answer's head and of one read at most.
-const BUFFER: usize = 32 << 10;
+const MAX_BUFFER_BYTES: usize = 32 << 10;
 
 /// A connection that can take a request.
 pub(super) type Conn = SendRequest<Full<Bytes>>;
@@ -64,7 +64,7 @@
 
 impl SendError {
     /// Why no answer came to a request that was sent.
-    fn sent(e: &hyper::Error) -> Self {
+    fn after_send(e: &hyper::Error) -> Self {
         if e.is_parse() { Self::Lost(e.to_string()) } else { Self::Broke(e.to_string()) }
     }
 }
@@ -75,13 +75,13 @@
     pub(super) resp: Response<Incoming>,
     pub(super) conn: Conn,
     /// How long it took to connect; absent on a kept connection.
-    pub(super) connected_in: Option<Span>,
+    pub(super) connect_time: Option<Span>,
 }
 
 #[derive(Debug)]
 struct Idle {
     conn: Conn,
-    until: Time,
+    expires_at: Time,
 }
 
 /// The connections.
@@ -109,23 +109,23 @@
         let mut req = req;
         // A kept connection may turn out to be closed before anything was written; then another
         // one is taken. That is no second send.
-        while let Some(mut conn) = self.kept(address) {
+        while let Some(mut conn) = self.take_idle(address) {
             match conn.try_send_request(req).await {
-                Ok(resp) => return Ok(Received { resp, conn, connected_in: None }),
+                Ok(resp) => return Ok(Received { resp, conn, connect_time: None }),
                 Err(mut e) => match e.take_message() {
                     Some(unsent) => req = unsent,
-                    None => return Err(SendError::sent(&e.into_error())),
+                    None => return Err(SendError::after_send(&e.into_error())),
                 },
             }
         }
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         let mut conn = connect(address).await?;
-        let connected_in = Some(self.clock.now().since(began));
+        let connect_time = Some(self.clock.now().since(started_at));
         match conn.try_send_request(req).await {
-            Ok(resp) => Ok(Received { resp, conn, connected_in }),
+            Ok(resp) => Ok(Received { resp, conn, connect_time }),
             Err(mut e) => match e.take_message() {
                 Some(_) => Err(SendError::NotSent(e.into_error().to_string())),
-                None => Err(SendError::sent(&e.into_error())),
+                None => Err(SendError::after_send(&e.into_error())),
             },
         }
     }
@@ -133,8 +133,8 @@
     /// Whether nothing listens at an address any more: the process that did is over. Where nothing answers at all,
     /// again and again, the link may be cut, and that says nothing.
     pub(super) async fn is_gone(&self, address: SocketAddr) -> bool {
-        for _ in 0..LOOKS {
-            let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(address));
+        for _ in 0..MAX_PROBES {
+            let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
             let mut stream = match connecting.await {
                 Ok(Ok(stream)) => stream,
                 Ok(Err(e)) => return e.kind() == ErrorKind::ConnectionRefused,
@@ -142,7 +142,7 @@
                 Err(_) => continue,
             };
             // A process that is ending may have taken it a moment before.
-            let closed = tokio::time::timeout(ENDING, stream.read(&mut [0; 1])).await;
+            let closed = tokio::time::timeout(EXIT_CLOSE_TIMEOUT, stream.read(&mut [0; 1])).await;
             if closed.is_err() {
                 return false;
             }
@@ -155,36 +155,36 @@
         if conn.is_closed() {
             return;
         }
-        let until = self.clock.now() + FRESH;
+        let expires_at = self.clock.now() + MAX_IDLE_TIME;
         let mut idle = self.lock();
         let conns = idle.entry(address).or_default();
-        if conns.len() < KEPT {
-            conns.push(Idle { conn, until });
+        if conns.len() < MAX_IDLE_PER_REPLICA {
+            conns.push(Idle { conn, expires_at });
         }
     }
 
     /// Close the idle connections to an address, where another process listens by now.
-    pub(super) fn forget(&self, address: SocketAddr) {
+    pub(super) fn close_idle(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
     /// Close connections that have been idle for long.
-    pub(super) fn sweep(&self) {
+    pub(super) fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.lock();
         idle.retain(|_, conns| {
-            conns.retain(|kept| !kept.until.is_past(now) && !kept.conn.is_closed());
+            conns.retain(|entry| !entry.expires_at.is_past(now) && !entry.conn.is_closed());
             !conns.is_empty()
         });
     }
 
-    fn kept(&self, address: SocketAddr) -> Option<Conn> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Conn> {
         let now = self.clock.now();
         let mut idle = self.lock();
         let conns = idle.get_mut(&address)?;
-        while let Some(kept) = conns.pop() {
-            if !kept.until.is_past(now) && kept.conn.is_ready() {
-                return Some(kept.conn);
+        while let Some(entry) = conns.pop() {
+            if !entry.expires_at.is_past(now) && entry.conn.is_ready() {
+                return Some(entry.conn);
             }
         }
         None
@@ -197,15 +197,15 @@
 
 async fn connect(address: SocketAddr) -> Result<Conn, SendError> {
     let unsent = |e: &dyn std::error::Error| SendError::NotSent(e.to_string());
-    let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = match connecting.await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Err(SendError::NobodyListens),
         Ok(Err(e)) => return Err(unsent(&e)),
         Err(_) => return Err(SendError::NotSent("no connection in time".to_owned())),
     };
-    prepare(&stream).map_err(|e| unsent(&e))?;
-    let handshake = Builder::new().max_buf_size(BUFFER).handshake(TokioIo::new(stream));
+    configure_socket(&stream).map_err(|e| unsent(&e))?;
+    let handshake = Builder::new().max_buf_size(MAX_BUFFER_BYTES).handshake(TokioIo::new(stream));
     let (conn, driver) = handshake.await.map_err(|e| unsent(&e))?;
     tokio::spawn(async move {
         // How a connection ends is told to whoever waits for an answer on it.
@@ -215,9 +215,9 @@
 }
 
 /// Make a socket fail when the other side is silently gone.
-pub(super) fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+pub(super) fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEP_ALIVE).with_interval(KEEP_ALIVE))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL))
 }
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -21,7 +21,7 @@
     clock::wall_millis,
     emit,
     gateway::{
-        leadership::{self, LeaderLease, UnderLease},
+        leadership::{self, LeaderLease, LeaseScoped},
         metrics::StoreCall,
         packet::Packet,
         peers,
@@ -33,9 +33,9 @@
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(400);
 /// Milliseconds after a window's end until a daemon counts no more in it: answers that show a beginning
 /// before the end are still under way.
-const SETTLE_MS: u64 = 700;
+const WINDOW_GRACE_MS: u64 = 700;
 /// Part of the time until a report is due after which it no longer waits for daemons that have not published.
-const WAIT_SHARE: f64 = 0.5;
+const MAX_WAIT_SHARE: f64 = 0.5;
 /// Time until a report that was not taken is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(750);
 /// Time between two checks of the leader.
@@ -45,40 +45,40 @@
 #[derive(Debug)]
 pub(super) struct Usage {
     /// Where reports go, and by which windows; absent where nobody asks for them.
-    terms: Option<Terms>,
+    config: Option<ReportConfig>,
     /// The window in which the daemon began.
-    first: u64,
+    first_window: u64,
     counter: Mutex<Counter>,
     ledger: Mutex<Ledger>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Terms {
+struct ReportConfig {
     address: SocketAddr,
     windows: Windows,
 }
 
 impl Usage {
-    pub(super) fn new(terms: Option<(SocketAddr, Windows)>) -> Self {
-        let terms = terms.map(|(address, windows)| Terms { address, windows });
-        let first = terms.map_or(0, |terms| terms.windows.at(wall_millis()));
-        Self { terms, first, counter: Mutex::default(), ledger: Mutex::default() }
+    pub(super) fn new(config: Option<(SocketAddr, Windows)>) -> Self {
+        let config = config.map(|(address, windows)| ReportConfig { address, windows });
+        let first_window = config.map_or(0, |config| config.windows.at(wall_millis()));
+        Self { config, first_window, counter: Mutex::default(), ledger: Mutex::default() }
     }
 
     /// A request of a team began to run, at a Unix millisecond.
     pub(super) fn count(&self, team: &Team, at_ms: u64) {
-        if let Some(terms) = self.terms {
-            self.counter().count(terms.windows.at(at_ms), &team.name);
+        if let Some(config) = self.config {
+            self.counter().count(config.windows.at(at_ms), &team.name);
         }
     }
 
     /// What is to be published now, of the windows from `first` on.
     fn unacknowledged(&self, windows: Windows, first: u64) -> Vec<WindowCounts> {
         let now_ms = wall_millis();
-        let present = windows.at(now_ms);
+        let current = windows.at(now_ms);
         let mut counter = self.counter();
-        counter.forget(present);
-        counter.unacknowledged(first, present, windows.at(now_ms.saturating_sub(SETTLE_MS)))
+        counter.forget(current);
+        counter.unacknowledged(first, current, windows.at(now_ms.saturating_sub(WINDOW_GRACE_MS)))
     }
 
     fn counter(&self) -> MutexGuard<'_, Counter> {
@@ -93,63 +93,63 @@
 impl Gateway {
     /// Whether the platform asks for reports of usage.
     pub(super) fn reports_usage(&self) -> bool {
-        self.usage.terms.is_some()
+        self.usage.config.is_some()
     }
 }
 
 /// Publish and report until the daemon is over.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let Some(terms) = gw.usage.terms else {
+    let Some(config) = gw.usage.config else {
         return;
     };
-    let over = gw.stop.over.clone();
+    let stop = gw.stop.finished.clone();
     tokio::select! {
-        () = publish(&gw, terms) => {}
-        () = report(&gw, terms) => {}
-        () = over.cancelled() => {}
+        () = publish(&gw, config) => {}
+        () = report(&gw, config) => {}
+        () = stop.cancelled() => {}
     }
 }
 
 /// Publish for the last time what this daemon counted, when no request is under way any more.
-pub(super) async fn publish_last(gw: &Gateway) {
-    if let Some(terms) = gw.usage.terms {
-        publish_once(gw, terms.windows).await;
+pub(super) async fn publish_final(gw: &Gateway) {
+    if let Some(config) = gw.usage.config {
+        publish_once(gw, config.windows).await;
     }
 }
 
 /// Publish what this daemon counted; the leader records its own counts itself.
-async fn publish(gw: &Gateway, terms: Terms) {
-    let mut holder = None;
+async fn publish(gw: &Gateway, config: ReportConfig) {
+    let mut last_leader = None;
     loop {
-        gw.pause(PUBLISH_INTERVAL).await;
-        let present = leader_entry(gw).map(|entry| entry.revision);
-        if present != holder {
-            holder = present;
+        gw.sleep(PUBLISH_INTERVAL).await;
+        let leader = leader_entry(gw).map(|entry| entry.revision);
+        if leader != last_leader {
+            last_leader = leader;
             gw.usage.counter().resend_all();
         }
-        publish_once(gw, terms.windows).await;
+        publish_once(gw, config.windows).await;
     }
 }
 
 async fn publish_once(gw: &Gateway, windows: Windows) {
     let Some(entry) = leader_entry(gw) else { return };
-    let windows = gw.usage.unacknowledged(windows, first_owed(gw));
+    let windows = gw.usage.unacknowledged(windows, first_unreported(gw));
     if entry.value == gw.settings.vm {
         for window in windows {
-            record(gw, &gw.settings.vm, gw.start, window);
+            record(gw, &gw.settings.vm, gw.run_id, window);
         }
     } else if let Some(address) = gw.peers.address_of(&peers::registration_key(gw, &entry.value)) {
         for window in windows {
-            let packet = Packet::Usage { vm: gw.settings.vm.clone(), run: gw.start, window };
+            let packet = Packet::Usage { vm: gw.settings.vm.clone(), run: gw.run_id, window };
             peers::send_packet(gw, &packet, &[address]).await;
         }
     }
 }
 
 /// The first window that is not reported yet, as far as is known here.
-fn first_owed(gw: &Gateway) -> u64 {
-    let stored = gw.store_cache().daemons.get(&key(gw)).and_then(|entry| read(entry).ok());
-    stored.map_or(gw.usage.first, |(_, report)| gw.usage.first.max(report.window + 1))
+fn first_unreported(gw: &Gateway) -> u64 {
+    let stored = gw.store_cache().daemons.get(&key(gw)).and_then(|entry| parse(entry).ok());
+    stored.map_or(gw.usage.first_window, |(_, report)| gw.usage.first_window.max(report.window + 1))
 }
 
 /// The entry of the leader.
@@ -158,7 +158,7 @@
 }
 
 /// Record what a daemon published; answer it if it need not publish that again.
-pub(super) async fn receive(gw: &Gateway, from: SocketAddr, vm: String, run: u64, window: WindowCounts) {
+pub(super) async fn handle_usage(gw: &Gateway, from: SocketAddr, vm: String, run: u64, window: WindowCounts) {
     let Some(entry) = leader_entry(gw).filter(|entry| entry.value == gw.settings.vm) else {
         return;
     };
@@ -175,40 +175,40 @@
 }
 
 /// The leader has recorded what this daemon published of a window that is over.
-pub(super) fn acknowledged(gw: &Gateway, fence: u64, window: u64) {
-    let is_present = leader_entry(gw).is_some_and(|entry| entry.revision as u64 == fence);
-    if is_present {
+pub(super) fn handle_ack(gw: &Gateway, fence: u64, window: u64) {
+    let is_current_leader = leader_entry(gw).is_some_and(|entry| entry.revision as u64 == fence);
+    if is_current_leader {
         gw.usage.counter().acknowledged(window);
     }
 }
 
 /// Report what is owed, while this daemon leads.
-async fn report(gw: &Gateway, terms: Terms) {
-    let mut present = UnderLease::none();
+async fn report(gw: &Gateway, config: ReportConfig) {
+    let mut state = LeaseScoped::empty();
     loop {
-        gw.pause(REPORT_INTERVAL).await;
-        let Some((lease, kept)) = present.take(gw.leadership.current(gw.now())) else { continue };
-        let mut reporter = kept.unwrap_or_else(|| Reporter::new(terms.windows, gw.usage.first));
-        let step = next_step(gw, terms, &mut reporter);
-        if let Err(e) = take_step(gw, terms, &lease, &mut reporter, step).await {
+        gw.sleep(REPORT_INTERVAL).await;
+        let Some((lease, kept)) = state.take(gw.leadership.current(gw.now())) else { continue };
+        let mut reporter = kept.unwrap_or_else(|| Reporter::new(config.windows, gw.usage.first_window));
+        let step = next_step(gw, config, &mut reporter);
+        if let Err(e) = run_step(gw, config, &lease, &mut reporter, step).await {
             emit!(info, USAGE_NOT_REPORTED, fence = lease.fence(), why = %e);
         }
-        present.keep(&lease, reporter);
+        state.keep(&lease, reporter);
     }
 }
 
-fn next_step(gw: &Gateway, terms: Terms, reporter: &mut Reporter) -> Step {
+fn next_step(gw: &Gateway, config: ReportConfig, reporter: &mut Reporter) -> Step {
     let now_ms = wall_millis();
-    let latest_ms = (terms.windows.due_ms as f64 * WAIT_SHARE) as u64;
+    let latest_ms = (config.windows.due_ms as f64 * MAX_WAIT_SHARE) as u64;
     let vms = gw.peers.registered_vms(&peers::prefix(gw));
     let mut ledger = gw.usage.ledger();
-    ledger.forget(terms.windows.at(now_ms));
+    ledger.forget(config.windows.at(now_ms));
     reporter.next(now_ms, latest_ms, |window| ledger.is_complete(window, vms.iter().map(String::as_str)))
 }
 
-async fn take_step(
+async fn run_step(
     gw: &Gateway,
-    terms: Terms,
+    config: ReportConfig,
     lease: &LeaderLease,
     reporter: &mut Reporter,
     step: Step,
@@ -218,11 +218,11 @@
         Step::Read => {
             gw.metrics.store_call(StoreCall::Usage);
             let entry = gw.outside.kv.read(&key(gw)).await?;
-            reporter.stored(entry.as_ref().map(read).transpose()?);
+            reporter.stored(entry.as_ref().map(parse).transpose()?);
             Ok(())
         }
         Step::Store { window, expect } => store(gw, reporter, window, expect).await,
-        Step::Send(report) => send(gw, terms, lease, reporter, &report).await,
+        Step::Send(report) => send(gw, config, lease, reporter, &report).await,
     }
 }
 
@@ -231,7 +231,7 @@
     format!("{}usage", gw.settings.keyspace)
 }
 
-fn read(entry: &Entry) -> Result<(i64, Report), CallError> {
+fn parse(entry: &Entry) -> Result<(i64, Report), CallError> {
     let report = serde_json::from_str(&entry.value).map_err(|e| CallError::Lost(format!("unreadable report: {e}")))?;
     Ok((entry.revision, report))
 }
@@ -253,24 +253,24 @@
 
 async fn send(
     gw: &Gateway,
-    terms: Terms,
+    config: ReportConfig,
     lease: &LeaderLease,
     reporter: &mut Reporter,
     report: &Report,
 ) -> Result<(), CallError> {
     let holder = lease.holder(&gw.settings.vm);
-    let req = gw.outside.dialect.report_usage(terms.address, &holder, report);
+    let req = gw.outside.dialect.report_usage(config.address, &holder, report);
     let req = req.map_err(|e| CallError::NotSent(e.to_string()))?;
     gw.confirm_leadership(lease).await?;
-    let answered = once::call(terms.address, req, leadership::CALL_TIMEOUT).await;
-    let status = answered.as_ref().map_or(0, |(status, _)| status.as_u16());
-    let answer = answered.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
-    let late_ms = wall_millis().saturating_sub(terms.windows.end_ms(report.window));
+    let result = once::call(config.address, req, leadership::CALL_TIMEOUT).await;
+    let status = result.as_ref().map_or(0, |(status, _)| status.as_u16());
+    let answer = result.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
+    let late_ms = wall_millis().saturating_sub(config.windows.end_ms(report.window));
     emit!(info, USAGE_REPORTED, window = report.window, fence = lease.fence(), answer = ?answer, status, late_ms);
     gw.metrics.usage_report(answer.map_or("unanswered", DutyAnswer::name));
     match answer {
         Some(DutyAnswer::Taken | DutyAnswer::Refused) => reporter.done(report.window),
-        Some(DutyAnswer::Later) | None => gw.pause(RETRY_INTERVAL).await,
+        Some(DutyAnswer::Later) | None => gw.sleep(RETRY_INTERVAL).await,
     }
-    answered.map(|_| ())
+    result.map(|_| ())
 }
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -10,39 +10,39 @@
 
 use crate::{
     emit,
-    gateway::{state::Gateway, suspension::Away},
+    gateway::{state::Gateway, suspension::SuspendedTime},
 };
 
 /// One replica's work for a request. Dropping it ends the count.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct InFlightCall {
     gw: Arc<Gateway>,
     sent: Sent,
     end: StepEnd,
-    away: Away,
+    suspended_before: SuspendedTime,
 }
 
-impl Work {
+impl InFlightCall {
     /// Count work that is about to be sent; absent if the replica is no longer known.
     pub(super) fn begin(gw: &Arc<Gateway>, step: &Step, prompt: Option<&Prompt>) -> Option<Self> {
         let now = gw.now();
         let sent = gw.fleet().begin(step.key, step, prompt, now)?;
         gw.load_changed.notify_one();
-        Some(Self { gw: Arc::clone(gw), sent, end: StepEnd::Unknown, away: gw.away() })
+        Some(Self { gw: Arc::clone(gw), sent, end: StepEnd::Unknown, suspended_before: gw.suspended_time() })
     }
 
     /// Set how it will have ended.
-    pub(super) const fn ended(&mut self, end: StepEnd) {
+    pub(super) const fn set_end(&mut self, end: StepEnd) {
         self.end = end;
     }
 
     /// Whether the machine was suspended since it was sent, so that nothing can be learned from how long it took.
     pub(super) fn was_suspended(&self) -> bool {
-        self.gw.away().has_grown(self.away)
+        self.gw.suspended_time().has_grown_since(self.suspended_before)
     }
 
     /// The reading is over; the rest goes on.
-    pub(super) fn reading_over(&mut self, end: StepEnd) {
+    pub(super) fn record_prefill_end(&mut self, end: StepEnd) {
         let end = if self.was_suspended() { StepEnd::Unknown } else { end };
         let now = self.gw.now();
         self.gw.fleet().reading_over(&mut self.sent, end, now);
@@ -50,7 +50,7 @@
     }
 
     /// A plain call was answered.
-    pub(super) fn plain_over(&self) {
+    pub(super) fn record_plain_call(&self) {
         if self.was_suspended() {
             return;
         }
@@ -59,7 +59,7 @@
     }
 
     /// Where it is done.
-    pub(super) const fn replica(&self) -> ReplicaKey {
+    pub(super) const fn replica_key(&self) -> ReplicaKey {
         self.sent.key
     }
 
@@ -90,7 +90,7 @@
     }
 }
 
-impl Drop for Work {
+impl Drop for InFlightCall {
     fn drop(&mut self) {
         let now = self.gw.now();
         let end = if self.was_suspended() { StepEnd::Unknown } else { self.end };
