--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -158,17 +158,17 @@
     kind: EntryKind,
     content: ContentHash,
     /// Ends that a suspicion names.
-    ends: usize,
+    crashes: usize,
 }
 
 impl StoredEntry {
     fn parse(keyspace: &str, entry: &Entry) -> Option<Self> {
         let (kind, content) = EntryKind::parse_key(keyspace, &entry.key)?;
-        let ends = match kind {
+        let crashes = match kind {
             EntryKind::Refused => 0,
             EntryKind::Suspected => serde_json::from_str::<StoredSuspicion>(&entry.value).map_or(0, |s| s.ends.len()),
         };
-        Some(Self { key: entry.key.clone(), revision: entry.revision, kind, content, ends })
+        Some(Self { key: entry.key.clone(), revision: entry.revision, kind, content, crashes })
     }
 }
 
@@ -308,9 +308,11 @@
     }
     for (content, suspicion) in contents.suspicions_to_store(stored_entries) {
         let key = EntryKind::Suspected.key(keyspace, content);
-        let (expect, ends) =
-            stored_entries.iter().find(|entry| entry.key == key).map_or((0, 0), |entry| (entry.revision, entry.ends));
-        if ends < suspicion.ends.len() {
+        let (expect, crashes) = stored_entries
+            .iter()
+            .find(|entry| entry.key == key)
+            .map_or((0, 0), |entry| (entry.revision, entry.crashes));
+        if crashes < suspicion.ends.len() {
             let value = serde_json::to_string(&StoredSuspicion::new(suspicion)).ok();
             changes.push(Change { key, expect, value, not_before: not_before(suspicion.own, content) });
         }
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -53,7 +53,7 @@
 
     /// Its connection to a replica broke: find out whether the replica ended, and note that.
     pub(super) async fn check_replica(&self, replica: ReplicaFacts) {
-        let check = record_if_ended(Arc::clone(&self.gw), self.content, self.caller.id.clone(), replica);
+        let check = record_if_crashed(Arc::clone(&self.gw), self.content, self.caller.id.clone(), replica);
         // A task of its own, so that it is noted also if the caller leaves now, or if it takes longer.
         let check = tokio::spawn(check);
         if let Ok(Err(e)) = tokio::time::timeout(CHECK_TIMEOUT, check).await {
@@ -102,13 +102,13 @@
     }
 }
 
-async fn record_if_ended(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
+async fn record_if_crashed(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
     let broken_at = gw.now();
     // Where another start of it listens by now this one is over as well.
     if !gw.upstream.is_gone(replica.address).await && !gw.fleet().is_replaced(&replica) {
         return;
     }
-    let (ends, left_out) = {
+    let (crashes, left_out) = {
         let mut fleet = gw.fleet();
         (fleet.endings.ended(content, replica.start_id(), broken_at), fleet.nobody_listens(&replica, gw.now()))
     };
@@ -116,6 +116,6 @@
     if left_out {
         emit!(warn, REPLICA_LEFT_OUT, replica = %replica.id, end = "nobody listens");
     }
-    gw.metrics.replica_ended();
-    emit!(info, REPLICA_ENDED, request, content = %content, replica = %replica.id, hall = %replica.hall, ends);
+    gw.metrics.replica_crash();
+    emit!(info, REPLICA_ENDED, request, content = %content, replica = %replica.id, hall = %replica.hall, ends = crashes);
 }
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -62,7 +62,7 @@
     store_calls: Counter<u64>,
     store_answers: Counter<u64>,
     peer_messages: Counter<u64>,
-    replica_ends: Counter<u64>,
+    replica_crashes: Counter<u64>,
     usage_reports: Counter<u64>,
     size_orders: Counter<u64>,
     quota_units: Counter<u64>,
@@ -100,7 +100,7 @@
             store_calls: counter("dahliaseam_store_requests", "Calls to the key-value service, by what they are for"),
             store_answers: counter("dahliaseam_store_calls", "Calls that follow the key-value service, by end"),
             peer_messages: counter("dahliaseam_peer_messages", "Messages to and from other daemons"),
-            replica_ends: counter("dahliaseam_replica_ends", "Requests that were lost since their replica ended"),
+            replica_crashes: counter("dahliaseam_replica_ends", "Requests that were lost since their replica ended"),
             usage_reports: counter("dahliaseam_usage_reports", "Reports of usage that were sent, by answer"),
             size_orders: counter("dahliaseam_size_orders", "Orders of how many engines a hall has, by answer"),
             quota_units: counter("dahliaseam_quota_units", "Units of quotas that requests asked for, by outcome"),
@@ -145,8 +145,8 @@
     }
 
     /// A replica ended while it had a request.
-    pub(super) fn replica_ended(&self) {
-        self.replica_ends.add(1, &[]);
+    pub(super) fn replica_crash(&self) {
+        self.replica_crashes.add(1, &[]);
     }
 
     /// A report of usage was sent.
