--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -269,9 +269,7 @@
             let plan = self.req.next_plan().await.map_err(broke_off)?;
             match self.req.attempt(&plan).await {
                 Ok(resp) => break resp,
-                Err(failure) if failure.why == CallFailure::NobodyListens => {
-                    self.req.record_attempt_failure(&plan, &failure)
-                }
+                Err(failure) if failure.why == CallFailure::NobodyListens => self.req.record_failure(&plan, &failure),
                 Err(failure) => return Err(RelayError::BrokeOff(format!("{:?}", failure.why))),
             }
         };
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -134,7 +134,7 @@
         if req.has_started(&failure) {
             req.record_started(started_ms);
         }
-        req.record_attempt_failure(&plan, &failure);
+        req.record_failure(&plan, &failure);
     }
 }
 
@@ -379,7 +379,7 @@
         );
     }
 
-    pub(super) fn record_attempt_failure(&mut self, plan: &Plan, failure: &AttemptFailure) {
+    pub(super) fn record_failure(&mut self, plan: &Plan, failure: &AttemptFailure) {
         if failure.why == CallFailure::NobodyListens {
             self.gone_replicas += 1;
         } else {
