--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -1,8 +1,8 @@
-//! Orders for how many engines each hall has, where the configuration lets the system choose.
+//! Autoscaling: orders for the number of engines in each hall, where the configuration lets the system choose it.
 //!
-//! The leader decides ([`pool`]) and stores what it is about to order, so that its successor goes
-//! on from there. An order is repeated until it is taken; one that was taken and shows no effect, since
-//! engines were taken away or none were to be had, is made again.
+//! The leader decides ([`pool`]) and stores each order before sending it, so that its successor continues from there.
+//! An order is repeated until it is accepted. An accepted order without effect, because engines were taken away or none
+//! were available, is sent again.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,68 +21,68 @@
 use crate::{
     emit,
     gateway::{
-        leadership::{self, LeaderLease, UnderLease},
+        leadership::{self, LeaderLease, LeaseScoped},
         metrics::StoreCall,
         state::Gateway,
     },
 };
 
-/// Time between two passes of the reconcile loop.
+/// Interval between two passes of the reconcile loop.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time until an order that was not taken is made again. None may be to be had for some ten seconds.
+/// Delay before an order that was not accepted is sent again. Engines may be unavailable for some ten seconds.
 const RETRY_INTERVAL: Span = Span::millis(2_000);
-/// What is added to an engine's time to start before an order that was taken and shows no effect is made again.
+/// Added to the start time of an engine before an accepted order without effect is sent again.
 const EFFECT_TIMEOUT: Span = Span::millis(3_000);
 
-/// What is stored of one service.
+/// Stored state of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct StoredPool {
-    /// The size that is wanted in the end.
+    /// The target size.
     wanted: PoolSize,
-    /// What was ordered last on the way there, or is about to be.
+    /// The size that was last ordered on the way to the target, or is about to be.
     ordered: PoolSize,
-    /// What that size was chosen for, without headroom.
+    /// The number of engines that the target was chosen for, without headroom.
     #[serde(default)]
     needed: Option<Needed>,
 }
 
-/// Engines that a size was chosen for.
+/// Number of engines that a size was chosen for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Needed {
     engines: f64,
-    /// Whether a demand was seen that needs them; else they are expected.
+    /// Whether the engines are needed by demand that was observed; otherwise they are only expected to be needed.
     seen: bool,
 }
 
 type StoredPools = BTreeMap<Arc<str>, StoredPool>;
 
-/// Which order: a service's engines of one hall and kind.
-type Subject = (Arc<str>, Arc<str>, bool);
+/// Identifies an order: service, hall, and whether it is for reclaimable engines.
+type OrderKey = (Arc<str>, Arc<str>, bool);
 
-/// What one leader knows, from when it took over.
+/// State of a leader since it took over.
 #[derive(Debug, Default)]
 struct Autoscaler {
     revision: i64,
     stored: StoredPools,
     peaks: BTreeMap<Arc<str>, Peak>,
-    /// When an order is to be made again; absent where it was taken and has its effect.
-    due: BTreeMap<Subject, Time>,
+    /// When an order is to be sent; no entry if it was accepted and has taken effect.
+    due: BTreeMap<OrderKey, Time>,
 }
 
-/// Order sizes while this daemon leads.
+/// Orders sizes while this daemon is the leader.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let Some(address) = gw.size_address() else {
         return;
     };
-    let over = gw.stop.begun.clone();
+    let stop = gw.stop.begun.clone();
     tokio::select! {
         () = reconcile(&gw, address) => {}
-        () = over.cancelled() => {}
+        () = stop.cancelled() => {}
     }
 }
 
 impl Gateway {
-    /// Where orders for sizes go, if the platform takes any.
+    /// Address for size orders, if the platform accepts any.
     pub(super) fn size_address(&self) -> Option<SocketAddr> {
         let duties = self.settings.duties.as_ref()?;
         self.outside.dialect.takes_sizes(&duties.asked).then_some(duties.address)
@@ -90,13 +90,13 @@
 }
 
 async fn reconcile(gw: &Gateway, address: SocketAddr) {
-    let mut present = UnderLease::none();
+    let mut state = LeaseScoped::empty();
     loop {
-        gw.pause(RECONCILE_INTERVAL).await;
-        let Some((lease, kept)) = present.take(gw.leadership.current(gw.now())) else { continue };
+        gw.sleep(RECONCILE_INTERVAL).await;
+        let Some((lease, kept)) = state.take(gw.leadership.current(gw.now())) else { continue };
         match reconcile_once(gw, address, &lease, kept).await {
-            Ok(autoscaler) => present.keep(&lease, autoscaler),
-            // What is stored is not certain any more; it is read again.
+            Ok(autoscaler) => state.keep(&lease, autoscaler),
+            // The stored state is uncertain now; it is read again.
             Err(e) => emit!(info, SIZE_NOT_ORDERED, fence = lease.fence(), why = %e),
         }
     }
@@ -120,8 +120,8 @@
     format!("{}sizes", gw.settings.keyspace)
 }
 
-/// The services whose size may be chosen. Of plain ones nothing is known of what they could serve.
-fn scaled(gw: &Gateway) -> Vec<(Arc<str>, Scaling)> {
+/// The services whose size may be chosen. The capacity of plain services is unknown.
+fn scalable_services(gw: &Gateway) -> Vec<(Arc<str>, Scaling)> {
     let table = gw.table();
     let services = table.iter().flat_map(|table| table.services()).filter(|service| service.engine.is_some());
     services.filter_map(|service| Some((Arc::clone(&service.name), service.scaling.clone()?))).collect()
@@ -135,48 +135,48 @@
             return Ok(Self::default());
         };
         let stored: StoredPools = serde_json::from_str(&entry.value)
-            .map_err(|e| CallError::Lost(format!("the stored sizes cannot be read: {e}")))?;
+            .map_err(|e| CallError::Lost(format!("the stored pool sizes are unreadable: {e}")))?;
         let now = gw.now();
-        // Whether the leader before sent these is not known.
-        let due = stored.iter().flat_map(|(service, pool)| subjects(service, &pool.ordered)).map(|s| (s, now));
+        // It is unknown whether the previous leader sent these orders.
+        let due = stored.iter().flat_map(|(service, pool)| order_keys(service, &pool.ordered)).map(|s| (s, now));
         Ok(Self { revision: entry.revision, due: due.collect(), stored, peaks: BTreeMap::new() })
     }
 
     async fn step(&mut self, gw: &Gateway, address: SocketAddr, lease: &LeaderLease) -> Result<(), CallError> {
         let now = gw.now();
         let mut next = self.stored.clone();
-        for (service, scaling) in scaled(gw) {
-            let there = gw.fleet().pool_size(&service, now);
-            if there.is_empty() {
+        for (service, scaling) in scalable_services(gw) {
+            let current = gw.fleet().pool_size(&service, now);
+            if current.is_empty() {
                 continue;
             }
             let pool = next.entry(Arc::clone(&service)).or_insert_with(|| StoredPool {
                 wanted: PoolSize::new(),
-                ordered: there.clone(),
+                ordered: current.clone(),
                 needed: None,
             });
-            self.want(gw, &service, &scaling, pool, &there, now);
-            let ordered = scaling.next_order(&pool.wanted, &there, &pool.ordered);
-            self.note_due(&service, &scaling, &there, &pool.ordered, &ordered, now);
+            self.choose_size(gw, &service, &scaling, pool, &current, now);
+            let ordered = scaling.next_order(&pool.wanted, &current, &pool.ordered);
+            self.schedule_orders(&service, &scaling, &current, &pool.ordered, &ordered, now);
             pool.ordered = ordered;
         }
         if next != self.stored {
             self.store(gw, next).await?;
         }
-        self.send(gw, address, lease, now).await
+        self.send_due_orders(gw, address, lease, now).await
     }
 
-    /// Choose the size that is wanted.
-    fn want(
+    /// Updates the target size.
+    fn choose_size(
         &mut self,
         gw: &Gateway,
         service: &Arc<str>,
         scaling: &Scaling,
         pool: &mut StoredPool,
-        there: &PoolSize,
+        current: &PoolSize,
         now: Time,
     ) {
-        let there_all = there.values().map(|hall| f64::from(hall.total())).sum::<f64>();
+        let engines = current.values().map(|hall| f64::from(hall.total())).sum::<f64>();
         let known = pool.needed;
         let peak = self.peaks.entry(Arc::clone(service)).or_insert_with(|| match known {
             Some(Needed { engines, seen: true }) => Peak::observed(engines, now),
@@ -188,9 +188,9 @@
         if needed > 0.0 {
             peak.observe(needed, now);
         } else if !known.is_some_and(|known| known.seen) {
-            // Before any demand was seen the engines that operators gave say what they expect.
-            let given = there.values().map(|hall| f64::from(hall.staying)).sum();
-            peak.set_expected(known.map_or(given, |known| known.engines), now);
+            // Before any demand is observed, the engines that the operators configured tell what they expect.
+            let configured = current.values().map(|hall| f64::from(hall.staying)).sum();
+            peak.set_expected(known.map_or(configured, |known| known.engines), now);
         }
         let wanted = scaling.wanted(peak.at(now), &gw.settings.policy);
         if pool::should_replace(&wanted, &pool.wanted) {
@@ -203,7 +203,7 @@
                 peak = peak.at(now),
                 reading = demand.prefill,
                 slots = demand.slots,
-                there = there_all,
+                there = engines,
                 halls = wanted.len(),
                 staying = hall.staying,
                 reclaimable = hall.reclaimable
@@ -214,26 +214,26 @@
         }
     }
 
-    /// Note which orders are to be made, and when.
-    fn note_due(
+    /// Schedules the orders that are to be sent.
+    fn schedule_orders(
         &mut self,
         service: &Arc<str>,
         scaling: &Scaling,
-        there: &PoolSize,
+        current: &PoolSize,
         before: &PoolSize,
         next: &PoolSize,
         now: Time,
     ) {
-        let count = |pool: &PoolSize, (_, hall, reclaimable): &Subject| {
+        let count = |pool: &PoolSize, (_, hall, reclaimable): &OrderKey| {
             let size = pool.get(hall).copied().unwrap_or_default();
             if *reclaimable { size.reclaimable } else { size.staying }
         };
-        for subject in subjects(service, next) {
-            let ordered = count(next, &subject);
-            if ordered != count(before, &subject) {
-                self.due.insert(subject, now);
-            } else if count(there, &subject) < ordered {
-                self.due.entry(subject).or_insert(now + scaling.start_time + EFFECT_TIMEOUT);
+        for key in order_keys(service, next) {
+            let ordered = count(next, &key);
+            if ordered != count(before, &key) {
+                self.due.insert(key, now);
+            } else if count(current, &key) < ordered {
+                self.due.entry(key).or_insert(now + scaling.start_time + EFFECT_TIMEOUT);
             }
         }
     }
@@ -252,47 +252,47 @@
         }
     }
 
-    /// Make the orders that are due.
-    async fn send(
+    /// Sends the orders that are due.
+    async fn send_due_orders(
         &mut self,
         gw: &Gateway,
         address: SocketAddr,
         lease: &LeaderLease,
         now: Time,
     ) -> Result<(), CallError> {
-        let due: Vec<Subject> = self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(s, _)| s.clone()).collect();
+        let due: Vec<OrderKey> = self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(s, _)| s.clone()).collect();
         if due.is_empty() {
             return Ok(());
         }
-        for subject in due {
-            let Some(desired) = self.desired(&subject) else {
-                self.due.remove(&subject);
+        for key in due {
+            let Some(desired) = self.desired(&key) else {
+                self.due.remove(&key);
                 continue;
             };
             gw.confirm_leadership(lease).await?;
-            if order(gw, address, lease, &subject, desired).await {
-                self.due.remove(&subject);
+            if send_order(gw, address, lease, &key, desired).await {
+                self.due.remove(&key);
             } else {
-                self.due.insert(subject, gw.now() + RETRY_INTERVAL);
+                self.due.insert(key, gw.now() + RETRY_INTERVAL);
             }
         }
         Ok(())
     }
 
-    fn desired(&self, (service, hall, reclaimable): &Subject) -> Option<u32> {
+    fn desired(&self, (service, hall, reclaimable): &OrderKey) -> Option<u32> {
         let size = self.stored.get(service)?.ordered.get(hall)?;
         Some(if *reclaimable { size.reclaimable } else { size.staying })
     }
 }
 
-fn subjects(service: &Arc<str>, ordered: &PoolSize) -> Vec<Subject> {
-    let kinds = |hall: &Arc<str>| [false, true].map(|kind| (Arc::clone(service), Arc::clone(hall), kind));
-    ordered.keys().flat_map(kinds).collect()
+fn order_keys(service: &Arc<str>, ordered: &PoolSize) -> Vec<OrderKey> {
+    let keys = |hall: &Arc<str>| [false, true].map(|reclaimable| (Arc::clone(service), Arc::clone(hall), reclaimable));
+    ordered.keys().flat_map(keys).collect()
 }
 
-/// Make one order; returns whether it was taken.
-async fn order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, subject: &Subject, desired: u32) -> bool {
-    let (service, hall, reclaimable) = subject;
+/// Sends one order; returns whether it is settled, that is, accepted or refused for good.
+async fn send_order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, key: &OrderKey, desired: u32) -> bool {
+    let (service, hall, reclaimable) = key;
     let order = PoolOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
     let holder = lease.holder(&gw.settings.vm);
     let req = match gw.outside.dialect.order_size(address, &holder, &order) {
@@ -302,9 +302,9 @@
             return false;
         }
     };
-    let answered = once::call(address, req, leadership::CALL_TIMEOUT).await;
-    let status = answered.as_ref().map_or(0, |(status, _)| status.as_u16());
-    let answer = answered.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
+    let result = once::call(address, req, leadership::CALL_TIMEOUT).await;
+    let status = result.as_ref().map_or(0, |(status, _)| status.as_u16());
+    let answer = result.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
     emit!(
         info,
         SIZE_ORDERED,
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end: seeing that one did, and how such a request is treated.
+//! Requests during which replicas crash: detecting a crash, and deciding how such a request is handled.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,14 +13,15 @@
 use crate::{
     clock::duration,
     emit,
-    gateway::{answer::Refusal, attempt::CallFailure, request::Job, state::Gateway},
+    gateway::{answer::Refusal, attempt::CallFailure, request::ActiveRequest, state::Gateway},
 };
 
-/// Time for which a request's next try waits for what became of the replica: some times the way there and back and
-/// what a living one is listened to. A link that is cut would hold it up for longer, and says nothing.
-const LOOK: Duration = Duration::from_millis(30);
+/// Maximum time for which the next attempt of a request waits to learn whether its replica crashed: a few round trips
+/// plus the time for which a live replica's connection is observed. A broken link would delay it for longer without any
+/// result.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// A run that tells whether a request is to blame. It is over when this is dropped.
+/// A run that tells whether a request crashes replicas. Dropping it ends the run.
 #[derive(Debug)]
 pub(super) struct Trial {
     gw: Arc<Gateway>,
@@ -33,10 +34,10 @@
     }
 }
 
-impl Job {
-    /// Begin a run that tells whether it is to blame, if it is in such doubt.
+impl ActiveRequest {
+    /// Starts such a run if it is uncertain whether the request is the cause.
     pub(super) fn begin_trial(&self) -> Option<Trial> {
-        if !self.apart.is_some_and(|apart| apart.single_replica) {
+        if !self.isolation.is_some_and(|isolation| isolation.single_replica) {
             return None;
         }
         let now = self.gw.now();
@@ -44,40 +45,41 @@
         Some(Trial { gw: Arc::clone(&self.gw), content: self.content })
     }
 
-    /// If its connection broke, look what became of the replica.
-    pub(super) async fn look_if_broken(&self, replica: &ReplicaFacts, why: &CallFailure) {
+    /// Checks whether the replica crashed, if the connection to it broke.
+    pub(super) async fn check_replica_if_broken(&self, replica: &ReplicaFacts, why: &CallFailure) {
         if matches!(why, CallFailure::Broke(_)) {
-            self.look_at_replica(replica.clone()).await;
+            self.check_replica(replica.clone()).await;
         }
     }
 
-    /// Its connection to a replica broke: find out whether the replica ended, and note that.
-    pub(super) async fn look_at_replica(&self, replica: ReplicaFacts) {
-        let noted = note_if_ended(Arc::clone(&self.gw), self.content, self.caller.id.clone(), replica);
-        // A task of its own, so that it is noted also if the caller leaves now, or if it takes longer.
-        let noted = tokio::spawn(noted);
-        if let Ok(Err(e)) = tokio::time::timeout(LOOK, noted).await {
+    /// Checks whether a replica crashed after the connection to it broke, and records that.
+    pub(super) async fn check_replica(&self, replica: ReplicaFacts) {
+        let check = record_if_crashed(Arc::clone(&self.gw), self.content, self.caller.id.clone(), replica);
+        // Runs as a separate task so that the result is recorded even if the caller disconnects or the check takes
+        // longer than the timeout.
+        let check = tokio::spawn(check);
+        if let Ok(Err(e)) = tokio::time::timeout(CHECK_TIMEOUT, check).await {
             emit!(error, REPLICA_ENDED, request = self.caller.id, content = %self.content, why = %e);
         }
     }
 
-    /// Find out whether it may be sent to a replica at all, and how.
+    /// Determines whether the request may be sent to a replica, and how.
     ///
     /// # Errors
-    /// The refusal, if replicas end under it.
-    pub(super) async fn look_at_standing(&mut self) -> Result<(), Refusal> {
+    /// The refusal, if replicas crash while running it.
+    pub(super) async fn check_standing(&mut self) -> Result<(), Refusal> {
         self.trial = None;
         loop {
             let now = self.gw.now();
             let standing = self.gw.fleet().standing(self.content, now);
             match standing {
-                Verdict::Clear => self.apart = None,
-                Verdict::Isolated(apart) => self.apart = Some(apart),
+                Verdict::Clear => self.isolation = None,
+                Verdict::Isolated(isolation) => self.isolation = Some(isolation),
                 Verdict::Pending(until) if !self.deadline.is_past(now) => {
-                    self.gw.pause(duration(until.min(self.deadline).since(now))).await;
+                    self.gw.sleep(duration(until.min(self.deadline).since(now))).await;
                     continue;
                 }
-                Verdict::Pending(_) => return Err(self.last_word()),
+                Verdict::Pending(_) => return Err(self.final_refusal()),
                 Verdict::Refused(refused) => return Err(self.refuse_blamed(&refused)),
             }
             return Ok(());
@@ -96,26 +98,26 @@
             known_by = refused.known_by.name(),
             age_ms = now.since(refused.since).as_millis(),
             left_ms = refused.until.since(now).as_millis(),
-            ran = self.has_run()
+            ran = self.may_have_run()
         );
-        if self.has_run() { self.last_word() } else { Refusal::ReplicasEnded }
+        if self.may_have_run() { self.final_refusal() } else { Refusal::ReplicasEnded }
     }
 }
 
-async fn note_if_ended(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
-    let at = gw.now();
-    // Where another start of it listens by now this one is over as well.
+async fn record_if_crashed(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
+    let broken_at = gw.now();
+    // If another start of the same replica listens there, the previous process is gone as well.
     if !gw.upstream.is_gone(replica.address).await && !gw.fleet().is_replaced(&replica) {
         return;
     }
-    let (ends, left_out) = {
+    let (crashes, left_out) = {
         let mut fleet = gw.fleet();
-        (fleet.crashes.record_crash(content, replica.start_id(), at), fleet.mark_unreachable(&replica, gw.now()))
+        (fleet.crashes.record_crash(content, replica.start_id(), broken_at), fleet.mark_unreachable(&replica, gw.now()))
     };
     gw.load_changed.notify_one();
     if left_out {
         emit!(warn, REPLICA_LEFT_OUT, replica = %replica.id, end = "nobody listens");
     }
-    gw.metrics.replica_ended();
-    emit!(info, REPLICA_ENDED, request, content = %content, replica = %replica.id, hall = %replica.hall, ends);
+    gw.metrics.replica_crash();
+    emit!(info, REPLICA_ENDED, request, content = %content, replica = %replica.id, hall = %replica.hall, ends = crashes);
 }
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage: what each daemon counts and publishes to the leader, and what that one reports.
+//! Usage reports: each daemon publishes its counts to the leader, which reports them to the platform.
 
 use std::{
     net::SocketAddr,
@@ -21,7 +21,7 @@
     clock::wall_millis,
     emit,
     gateway::{
-        leadership::{self, LeaderLease, UnderLease},
+        leadership::{self, LeaderLease, LeaseScoped},
         metrics::StoreCall,
         packet::Packet,
         peers,
@@ -29,56 +29,56 @@
     },
 };
 
-/// Time between two times that a daemon publishes its counts: what it has not published is lost with it.
+/// Interval between two publications of a daemon's counts; counts that are not published yet are lost if it crashes.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(400);
-/// Milliseconds after a window's end until a daemon counts no more in it: answers that show a beginning
-/// before the end are still under way.
-const SETTLE_MS: u64 = 700;
-/// Part of the time until a report is due after which it no longer waits for daemons that have not published.
-const WAIT_SHARE: f64 = 0.5;
-/// Time until a report that was not taken is sent again.
+/// Milliseconds after the end of a window until a daemon's counts for it are final: responses that show that a run
+/// started before the end may still arrive.
+const WINDOW_GRACE_MS: u64 = 700;
+/// Share of the time until a report is due after which it no longer waits for daemons that have not published.
+const MAX_WAIT_SHARE: f64 = 0.5;
+/// Delay before a report that was not accepted is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(750);
-/// Time between two checks of the leader.
+/// Interval between two checks of the leader.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a daemon counts and, if it leads, what was published to it.
+/// Counts of this daemon and, if it is the leader, those that were published to it.
 #[derive(Debug)]
 pub(super) struct Usage {
-    /// Where reports go, and by which windows; absent where nobody asks for them.
-    terms: Option<Terms>,
-    /// The window in which the daemon began.
-    first: u64,
+    /// Where and for which windows to report; `None` if the platform does not ask for reports.
+    config: Option<ReportConfig>,
+    /// The window in which the daemon started.
+    first_window: u64,
     counter: Mutex<Counter>,
     ledger: Mutex<Ledger>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Terms {
+struct ReportConfig {
     address: SocketAddr,
     windows: WindowSchedule,
 }
 
 impl Usage {
-    pub(super) fn new(terms: Option<(SocketAddr, WindowSchedule)>) -> Self {
-        let terms = terms.map(|(address, windows)| Terms { address, windows });
-        let first = terms.map_or(0, |terms| terms.windows.window_at(wall_millis()));
-        Self { terms, first, counter: Mutex::default(), ledger: Mutex::default() }
+    pub(super) fn new(config: Option<(SocketAddr, WindowSchedule)>) -> Self {
+        let config = config.map(|(address, windows)| ReportConfig { address, windows });
+        let first_window = config.map_or(0, |config| config.windows.window_at(wall_millis()));
+        Self { config, first_window, counter: Mutex::default(), ledger: Mutex::default() }
     }
 
-    /// A request of a team began to run, at a Unix millisecond.
+    /// Counts a request of a team that started to run at a Unix millisecond.
     pub(super) fn count(&self, team: &Team, at_ms: u64) {
-        if let Some(terms) = self.terms {
-            self.counter().count(terms.windows.window_at(at_ms), &team.name);
+        if let Some(config) = self.config {
+            self.counter().count(config.windows.window_at(at_ms), &team.name);
         }
     }
 
-    /// What is to be published now, of the windows from `first` on.
+    /// Counts to publish now, for windows from `first` on.
     fn unacknowledged(&self, windows: WindowSchedule, first: u64) -> Vec<WindowCounts> {
         let now_ms = wall_millis();
-        let present = windows.window_at(now_ms);
+        let current = windows.window_at(now_ms);
         let mut counter = self.counter();
-        counter.prune(present);
-        counter.unacknowledged(first, present, windows.window_at(now_ms.saturating_sub(SETTLE_MS)))
+        counter.prune(current);
+        counter.unacknowledged(first, current, windows.window_at(now_ms.saturating_sub(WINDOW_GRACE_MS)))
     }
 
     fn counter(&self) -> MutexGuard<'_, Counter> {
@@ -91,74 +91,74 @@
 }
 
 impl Gateway {
-    /// Whether the platform asks for reports of usage.
+    /// Whether the platform asks for usage reports.
     pub(super) fn reports_usage(&self) -> bool {
-        self.usage.terms.is_some()
+        self.usage.config.is_some()
     }
 }
 
-/// Publish and report until the daemon is over.
+/// Publishes and reports until the daemon shuts down.
 pub(super) async fn run(gw: Arc<Gateway>) {
-    let Some(terms) = gw.usage.terms else {
+    let Some(config) = gw.usage.config else {
         return;
     };
-    let over = gw.stop.over.clone();
+    let stop = gw.stop.finished.clone();
     tokio::select! {
-        () = publish(&gw, terms) => {}
-        () = report(&gw, terms) => {}
-        () = over.cancelled() => {}
+        () = publish(&gw, config) => {}
+        () = report(&gw, config) => {}
+        () = stop.cancelled() => {}
     }
 }
 
-/// Publish for the last time what this daemon counted, when no request is under way any more.
-pub(super) async fn publish_last(gw: &Gateway) {
-    if let Some(terms) = gw.usage.terms {
-        publish_once(gw, terms.windows).await;
+/// Publishes the last counts of this daemon, when no request is in flight any more.
+pub(super) async fn publish_final(gw: &Gateway) {
+    if let Some(config) = gw.usage.config {
+        publish_once(gw, config.windows).await;
     }
 }
 
-/// Publish what this daemon counted; the leader records its own counts itself.
-async fn publish(gw: &Gateway, terms: Terms) {
-    let mut holder = None;
+/// Publishes the counts of this daemon; the leader records its own directly.
+async fn publish(gw: &Gateway, config: ReportConfig) {
+    let mut last_leader = None;
     loop {
-        gw.pause(PUBLISH_INTERVAL).await;
-        let present = leader_entry(gw).map(|entry| entry.revision);
-        if present != holder {
-            holder = present;
+        gw.sleep(PUBLISH_INTERVAL).await;
+        let leader = leader_entry(gw).map(|entry| entry.revision);
+        if leader != last_leader {
+            last_leader = leader;
             gw.usage.counter().resend_all();
         }
-        publish_once(gw, terms.windows).await;
+        publish_once(gw, config.windows).await;
     }
 }
 
 async fn publish_once(gw: &Gateway, windows: WindowSchedule) {
     let Some(entry) = leader_entry(gw) else { return };
-    let windows = gw.usage.unacknowledged(windows, first_owed(gw));
+    let windows = gw.usage.unacknowledged(windows, first_unreported(gw));
     if entry.value == gw.settings.vm {
         for window in windows {
-            record(gw, &gw.settings.vm, gw.start, window);
+            record(gw, &gw.settings.vm, gw.run_id, window);
         }
     } else if let Some(address) = gw.peers.address_of(&peers::registration_key(gw, &entry.value)) {
         for window in windows {
-            let packet = Packet::Usage { vm: gw.settings.vm.clone(), run: gw.start, window };
+            let packet = Packet::Usage { vm: gw.settings.vm.clone(), run: gw.run_id, window };
             peers::send_packet(gw, &packet, &[address]).await;
         }
     }
 }
 
-/// The first window that is not reported yet, as far as is known here.
-fn first_owed(gw: &Gateway) -> u64 {
-    let stored = gw.store_cache().daemons.get(&key(gw)).and_then(|entry| read(entry).ok());
-    stored.map_or(gw.usage.first, |(_, report)| gw.usage.first.max(report.window + 1))
+/// The first window that is not reported yet, as far as this daemon knows.
+fn first_unreported(gw: &Gateway) -> u64 {
+    let stored = gw.store_cache().daemons.get(&key(gw)).and_then(|entry| parse(entry).ok());
+    stored.map_or(gw.usage.first_window, |(_, report)| gw.usage.first_window.max(report.window + 1))
 }
 
-/// The entry of the leader.
+/// The leader's entry in the store.
 fn leader_entry(gw: &Gateway) -> Option<Entry> {
     gw.store_cache().daemons.get(&leadership::key(gw)).cloned()
 }
 
-/// Record what a daemon published; answer it if it need not publish that again.
-pub(super) async fn receive(gw: &Gateway, from: SocketAddr, vm: String, run: u64, window: WindowCounts) {
+/// Records what a daemon published; acknowledges it if it need not be published again.
+pub(super) async fn handle_usage(gw: &Gateway, from: SocketAddr, vm: String, run: u64, window: WindowCounts) {
     let Some(entry) = leader_entry(gw).filter(|entry| entry.value == gw.settings.vm) else {
         return;
     };
@@ -174,41 +174,41 @@
     gw.usage.ledger().record(vm, run, window);
 }
 
-/// The leader has recorded what this daemon published of a window that is over.
-pub(super) fn acknowledged(gw: &Gateway, fence: u64, window: u64) {
-    let is_present = leader_entry(gw).is_some_and(|entry| entry.revision as u64 == fence);
-    if is_present {
+/// Handles the leader's acknowledgement of a window that is over.
+pub(super) fn handle_ack(gw: &Gateway, fence: u64, window: u64) {
+    let is_current_leader = leader_entry(gw).is_some_and(|entry| entry.revision as u64 == fence);
+    if is_current_leader {
         gw.usage.counter().acknowledge(window);
     }
 }
 
-/// Report what is owed, while this daemon leads.
-async fn report(gw: &Gateway, terms: Terms) {
-    let mut present = UnderLease::none();
+/// Sends the outstanding reports while this daemon is the leader.
+async fn report(gw: &Gateway, config: ReportConfig) {
+    let mut state = LeaseScoped::empty();
     loop {
-        gw.pause(REPORT_INTERVAL).await;
-        let Some((lease, kept)) = present.take(gw.leadership.current(gw.now())) else { continue };
-        let mut reporter = kept.unwrap_or_else(|| Reporter::new(terms.windows, gw.usage.first));
-        let step = next_step(gw, terms, &mut reporter);
-        if let Err(e) = take_step(gw, terms, &lease, &mut reporter, step).await {
+        gw.sleep(REPORT_INTERVAL).await;
+        let Some((lease, kept)) = state.take(gw.leadership.current(gw.now())) else { continue };
+        let mut reporter = kept.unwrap_or_else(|| Reporter::new(config.windows, gw.usage.first_window));
+        let step = next_step(gw, config, &mut reporter);
+        if let Err(e) = run_step(gw, config, &lease, &mut reporter, step).await {
             emit!(info, USAGE_NOT_REPORTED, fence = lease.fence(), why = %e);
         }
-        present.keep(&lease, reporter);
+        state.keep(&lease, reporter);
     }
 }
 
-fn next_step(gw: &Gateway, terms: Terms, reporter: &mut Reporter) -> Step {
+fn next_step(gw: &Gateway, config: ReportConfig, reporter: &mut Reporter) -> Step {
     let now_ms = wall_millis();
-    let latest_ms = (terms.windows.due_ms as f64 * WAIT_SHARE) as u64;
+    let latest_ms = (config.windows.due_ms as f64 * MAX_WAIT_SHARE) as u64;
     let vms = gw.peers.registered_vms(&peers::prefix(gw));
     let mut ledger = gw.usage.ledger();
-    ledger.prune(terms.windows.window_at(now_ms));
+    ledger.prune(config.windows.window_at(now_ms));
     reporter.next_step(now_ms, latest_ms, |window| ledger.is_complete(window, vms.iter().map(String::as_str)))
 }
 
-async fn take_step(
+async fn run_step(
     gw: &Gateway,
-    terms: Terms,
+    config: ReportConfig,
     lease: &LeaderLease,
     reporter: &mut Reporter,
     step: Step,
@@ -218,28 +218,29 @@
         Step::Read => {
             gw.metrics.store_call(StoreCall::Usage);
             let entry = gw.outside.kv.read(&key(gw)).await?;
-            reporter.set_stored(entry.as_ref().map(read).transpose()?);
+            reporter.set_stored(entry.as_ref().map(parse).transpose()?);
             Ok(())
         }
         Step::Store { window, expect } => store(gw, reporter, window, expect).await,
-        Step::Send(report) => send(gw, terms, lease, reporter, &report).await,
+        Step::Send(report) => send(gw, config, lease, reporter, &report).await,
     }
 }
 
-/// Key of the report that was last begun.
+/// Key of the report that was started last.
 fn key(gw: &Gateway) -> String {
     format!("{}usage", gw.settings.keyspace)
 }
 
-fn read(entry: &Entry) -> Result<(i64, Report), CallError> {
-    let report = serde_json::from_str(&entry.value).map_err(|e| CallError::Lost(format!("unreadable report: {e}")))?;
+fn parse(entry: &Entry) -> Result<(i64, Report), CallError> {
+    let report = serde_json::from_str(&entry.value)
+        .map_err(|e| CallError::Lost(format!("the stored usage report is unreadable: {e}")))?;
     Ok((entry.revision, report))
 }
 
 async fn store(gw: &Gateway, reporter: &mut Reporter, window: u64, expect: i64) -> Result<(), CallError> {
     let report = Report { window, counts: gw.usage.ledger().sum(window) };
     let value = serde_json::to_string(&report).map_err(|e| CallError::NotSent(e.to_string()))?;
-    // Until its answer is there nobody knows what is stored.
+    // Until the response arrives, the stored report is unknown.
     reporter.forget_stored();
     gw.metrics.store_call(StoreCall::Usage);
     let swap = Swap { key: key(gw), expect, value: Some(value), lease: None };
@@ -253,24 +254,24 @@
 
 async fn send(
     gw: &Gateway,
-    terms: Terms,
+    config: ReportConfig,
     lease: &LeaderLease,
     reporter: &mut Reporter,
     report: &Report,
 ) -> Result<(), CallError> {
     let holder = lease.holder(&gw.settings.vm);
-    let req = gw.outside.dialect.report_usage(terms.address, &holder, report);
+    let req = gw.outside.dialect.report_usage(config.address, &holder, report);
     let req = req.map_err(|e| CallError::NotSent(e.to_string()))?;
     gw.confirm_leadership(lease).await?;
-    let answered = once::call(terms.address, req, leadership::CALL_TIMEOUT).await;
-    let status = answered.as_ref().map_or(0, |(status, _)| status.as_u16());
-    let answer = answered.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
-    let late_ms = wall_millis().saturating_sub(terms.windows.end_ms(report.window));
+    let result = once::call(config.address, req, leadership::CALL_TIMEOUT).await;
+    let status = result.as_ref().map_or(0, |(status, _)| status.as_u16());
+    let answer = result.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
+    let late_ms = wall_millis().saturating_sub(config.windows.end_ms(report.window));
     emit!(info, USAGE_REPORTED, window = report.window, fence = lease.fence(), answer = ?answer, status, late_ms);
     gw.metrics.usage_report(answer.map_or("unanswered", DutyAnswer::name));
     match answer {
         Some(DutyAnswer::Taken | DutyAnswer::Refused) => reporter.mark_done(report.window),
-        Some(DutyAnswer::Later) | None => gw.pause(RETRY_INTERVAL).await,
+        Some(DutyAnswer::Later) | None => gw.sleep(RETRY_INTERVAL).await,
     }
-    answered.map(|_| ())
+    result.map(|_| ())
 }
