--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -182,7 +182,8 @@
     /// The reason why no replica can be chosen.
     fn plan_error(&self) -> PlanError {
         match self.fleet.time_until_accepted(self.req, self.now) {
-            Some(wait) if wait > Span(0) => {PlanError::RateLimited { retry_after: retry_after(self.req, wait.as_millis_f64()) }
+            Some(wait) if wait > Span(0) => {
+                PlanError::RateLimited { retry_after: retry_after(self.req, wait.as_millis_f64()) }
             }
             _ => PlanError::NoReplica,
         }
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -64,9 +64,8 @@
         let lengths_known = state.long_answers.is_some_and(|long| long.lengths_known_from.is_past(now));
         let likely = req.prompt.and_then(|prompt| pace.likely_max_events(prompt, lengths_known));
         let max_interval_ms = match likely {
-            Some(events) => {
-                (req.time_left.as_millis_f64() * self.policy.answer_share / events).min(Self::max_steady_interval_ms(state))
-            }
+            Some(events) => (req.time_left.as_millis_f64() * self.policy.answer_share / events)
+                .min(Self::max_steady_interval_ms(state)),
             // However long they are, they end soonest where they go on fastest.
             None => pace.interval_ms(0.0),
         };
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -54,7 +54,12 @@
         if took < MIN_PART_TIME {
             return None;
         }
-        let part = StreamPart { events: self.count - self.part_start_count, total: self.count, took, longest_interval: Span(0) };
+        let part = StreamPart {
+            events: self.count - self.part_start_count,
+            total: self.count,
+            took,
+            longest_interval: Span(0),
+        };
         self.part_start_count = self.count;
         self.part_start = self.last_at;
         Some(part)
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -62,7 +62,7 @@
     let mut tried = Vec::new();
     loop {
         let asked_at = gw.now();
-        let need = CreditNeed { team: &team.name, terms: &terms, cost: units, tie_breaker: draw: random };
+        let need = CreditNeed { team: &team.name, terms: &terms, cost: units, tie_breaker: random };
         let is_owned = |shard| gw.quotas.owner(shard).is_some();
         let next = lock(&gw.quotas.client).next_step(&need, &tried, is_owned, asked_at);
         let shard = match next {
