--- a/crates/core/tests/content.rs
+++ b/crates/core/tests/content.rs
@@ -3,7 +3,7 @@
 use dahliaseam_core::content::ContentHash;
 
 #[test]
-fn the_same_request_has_the_same_content_and_any_other_differs() {
+fn equal_requests_have_equal_hashes_and_others_differ() {
     let of = |method, host, path, body: &str| ContentHash::of(method, host, path, body.as_bytes());
     let one = of("POST", "shop.example", "/match/7?a=1", "a worn hub");
     assert_eq!(one, of("POST", "shop.example", "/match/7?a=1", "a worn hub"));
--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -17,11 +17,11 @@
     fencing: Fencing,
     fence: Fence,
     status: EngineStatus,
-    changing_to: Option<Role>,
+    pending_role: Option<Role>,
     /// The last order it had taken when it crashed; it does not remember, the check does.
-    crashed_at: (u64, u64),
+    last_before_crash: (u64, u64),
     taken: usize,
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Engine {
@@ -39,10 +39,10 @@
                 running: 0,
                 loaded: Vec::new(),
             },
-            changing_to: None,
-            crashed_at: (0, 0),
+            pending_role: None,
+            last_before_crash: (0, 0),
             taken: 0,
-            faults: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -56,13 +56,13 @@
         }
         if self.status.changing {
             if self.fencing == Fencing::Ignores {
-                self.faults.push(format!("{order:?} while another is carried out"));
+                self.violations.push(format!("{order:?} while another is carried out"));
             }
             return;
         }
-        let last = self.crashed_at.max((self.status.epoch, self.status.sequence));
+        let last = self.last_before_crash.max((self.status.epoch, self.status.sequence));
         if (order.epoch, order.sequence) < last {
-            self.faults.push(format!("{order:?} after {last:?}"));
+            self.violations.push(format!("{order:?} after {last:?}"));
         }
         self.taken += 1;
         (self.status.epoch, self.status.sequence) = (order.epoch, order.sequence);
@@ -71,7 +71,7 @@
             OrderKind::Uncordon => self.status.cordoned = false,
             OrderKind::SetRole(role) => {
                 self.status.changing = true;
-                self.changing_to = Some(*role);
+                self.pending_role = Some(*role);
             }
             OrderKind::Load(name) => self.status.loaded.push(name.clone()),
             OrderKind::Fence => {}
@@ -79,7 +79,7 @@
     }
 
     fn finish(&mut self) {
-        if let Some(role) = self.changing_to.take() {
+        if let Some(role) = self.pending_role.take() {
             self.status.role = role;
             self.status.changing = false;
         }
@@ -87,10 +87,10 @@
 
     fn crash(&mut self) {
         self.status.boot += 1;
-        self.changing_to = None;
+        self.pending_role = None;
         self.status.changing = false;
         self.status.cordoned = false;
-        self.crashed_at = self.crashed_at.max((self.status.epoch, self.status.sequence));
+        self.last_before_crash = self.last_before_crash.max((self.status.epoch, self.status.sequence));
         (self.status.epoch, self.status.sequence) = (0, 0);
         self.fence = Fence::default();
     }
@@ -101,49 +101,49 @@
 struct Holder {
     me: Incarnation,
     /// What it believes its number is; kept through a pause past the lease.
-    believes: Option<u64>,
+    lease_epoch: Option<u64>,
     record: Option<(EngineRecord, u64)>,
     status: Option<EngineStatus>,
     /// An order that was decided on and not yet sent, as when a pause comes between.
-    deciding: Option<Order>,
+    pending_order: Option<Order>,
 }
 
 #[derive(Debug)]
-struct World {
+struct Simulation {
     engine: Engine,
     record: EngineRecord,
     revision: u64,
     epoch: u64,
     holders: Vec<Holder>,
-    starts: u64,
+    last_start: u64,
     in_flight: Vec<Order>,
     /// Orders that were settled as not taken: they must never take effect.
-    settled: Vec<Order>,
+    settled_as_not_taken: Vec<Order>,
 }
 
 #[derive(Clone, Debug)]
-enum Move {
-    Win(usize),
-    Read(usize),
-    Ask(usize),
-    Act(usize, OrderKind, bool),
-    SendDecided(usize, bool),
-    Deliver(usize),
-    Finish,
-    Crash,
-    KillAndRestart(usize),
+enum Event {
+    AcquireLease(usize),
+    ReadRecord(usize),
+    ReadStatus(usize),
+    TakeStep(usize, OrderKind, bool),
+    SendPending(usize, bool),
+    DeliverOrder(usize),
+    FinishChange,
+    CrashEngine,
+    RestartHolder(usize),
     LoseLease(usize),
-    StepDown(usize),
+    ReleaseCustody(usize),
 }
 
-impl World {
+impl Simulation {
     fn new(fencing: Fencing) -> Self {
         let holder = |n| Holder {
             me: Incarnation { vm: format!("vm-{n}"), start: 1 },
-            believes: None,
+            lease_epoch: None,
             record: None,
             status: None,
-            deciding: None,
+            pending_order: None,
         };
         Self {
             engine: Engine::new(fencing),
@@ -151,46 +151,46 @@
             revision: 1,
             epoch: 0,
             holders: (0..HOLDERS).map(holder).collect(),
-            starts: 1,
+            last_start: 1,
             in_flight: Vec::new(),
-            settled: Vec::new(),
+            settled_as_not_taken: Vec::new(),
         }
     }
 
     fn deliver(&mut self, order: &Order) {
         let before = self.engine.taken;
         self.engine.take(order);
-        if self.engine.taken > before && self.settled.contains(order) {
-            self.engine.faults.push(format!("{order:?} took effect after it was settled as not taken"));
+        if self.engine.taken > before && self.settled_as_not_taken.contains(order) {
+            self.engine.violations.push(format!("{order:?} took effect after it was settled as not taken"));
         }
     }
 
-    fn settle(&mut self, next: &EngineRecord) {
+    fn record_settled(&mut self, next: &EngineRecord) {
         let Some(intent) = self.record.intent.clone().filter(|_| next.intent.is_none()) else { return };
-        let last = self.engine.crashed_at.max((self.engine.status.epoch, self.engine.status.sequence));
+        let last = self.engine.last_before_crash.max((self.engine.status.epoch, self.engine.status.sequence));
         if last < (intent.epoch, intent.sequence) {
-            self.settled.push(intent);
+            self.settled_as_not_taken.push(intent);
         }
     }
 
     /// A process is known to be over when a later run stands in its place, and the bytes that it
     /// had sent are gone.
-    fn is_over(&self, process: &Incarnation) -> bool {
+    fn is_terminated(&self, process: &Incarnation) -> bool {
         let replaced = self.holders.iter().any(|h| h.me.vm == process.vm && h.me.start > process.start);
         replaced && !self.in_flight.iter().any(|order| order.by == *process)
     }
 
-    fn make(&mut self, step: &Move) {
+    fn apply(&mut self, step: &Event) {
         match step {
-            Move::Win(n) => {
+            Event::AcquireLease(n) => {
                 self.epoch += 1;
-                self.holders[*n].believes = Some(self.epoch);
+                self.holders[*n].lease_epoch = Some(self.epoch);
             }
-            Move::Read(n) => self.holders[*n].record = Some((self.record.clone(), self.revision)),
-            Move::Ask(n) => self.holders[*n].status = Some(self.engine.status.clone()),
-            Move::Act(n, wanted, answer_lost) => self.act(*n, wanted, *answer_lost),
-            Move::SendDecided(n, delivered) => {
-                if let Some(order) = self.holders[*n].deciding.take() {
+            Event::ReadRecord(n) => self.holders[*n].record = Some((self.record.clone(), self.revision)),
+            Event::ReadStatus(n) => self.holders[*n].status = Some(self.engine.status.clone()),
+            Event::TakeStep(n, wanted, answer_lost) => self.take_step(*n, wanted, *answer_lost),
+            Event::SendPending(n, delivered) => {
+                if let Some(order) = self.holders[*n].pending_order.take() {
                     self.holders[*n].status = None;
                     if *delivered {
                         self.deliver(&order);
@@ -199,42 +199,42 @@
                     }
                 }
             }
-            Move::Deliver(n) => {
+            Event::DeliverOrder(n) => {
                 if !self.in_flight.is_empty() {
                     let order = self.in_flight.remove(n % self.in_flight.len());
                     self.deliver(&order);
                 }
             }
-            Move::Finish => self.engine.finish(),
-            Move::Crash => self.engine.crash(),
-            Move::KillAndRestart(n) => {
-                self.starts += 1;
-                let me = Incarnation { vm: self.holders[*n].me.vm.clone(), start: self.starts };
-                self.holders[*n] = Holder { me, believes: None, record: None, status: None, deciding: None };
+            Event::FinishChange => self.engine.finish(),
+            Event::CrashEngine => self.engine.crash(),
+            Event::RestartHolder(n) => {
+                self.last_start += 1;
+                let me = Incarnation { vm: self.holders[*n].me.vm.clone(), start: self.last_start };
+                self.holders[*n] = Holder { me, lease_epoch: None, record: None, status: None, pending_order: None };
             }
-            Move::LoseLease(n) => self.holders[*n].believes = None,
-            Move::StepDown(n) => self.step_down(*n),
+            Event::LoseLease(n) => self.holders[*n].lease_epoch = None,
+            Event::ReleaseCustody(n) => self.release_custody(*n),
         }
     }
 
-    fn act(&mut self, n: usize, wanted: &OrderKind, answer_lost: bool) {
+    fn take_step(&mut self, n: usize, wanted: &OrderKind, answer_lost: bool) {
         let holder = &self.holders[n];
         // An order whose bytes may still be on their way holds everything else up, as the daemon's
         // quiet time does; what was decided on is sent before anything else is looked at.
         let own_in_flight = self.in_flight.iter().any(|order| order.by == holder.me);
-        if own_in_flight || holder.deciding.is_some() {
+        if own_in_flight || holder.pending_order.is_some() {
             return;
         }
         // As the daemon does: a record at hand is used until a write fails or it waits, and the
         // status may be as old as the last look.
         let (record, revision) = holder.record.clone().unwrap_or_else(|| (self.record.clone(), self.revision));
         let status = holder.status.clone().unwrap_or_else(|| self.engine.status.clone());
-        let custodian_over = record.custodian.as_ref().is_some_and(|c| *c != holder.me && self.is_over(c));
+        let custodian_terminated = record.custodian.as_ref().is_some_and(|c| *c != holder.me && self.is_terminated(c));
         let view = View {
             me: &holder.me,
-            epoch: holder.believes,
+            epoch: holder.lease_epoch,
             fencing: self.engine.fencing,
-            custodian_terminated: custodian_over,
+            custodian_terminated,
             status: Some(&status),
             wanted: Some(wanted),
         };
@@ -242,7 +242,7 @@
             Step::Write(record) => {
                 let applied = revision == self.revision;
                 if applied {
-                    self.settle(&record);
+                    self.record_settled(&record);
                     self.record = record;
                     self.revision += 1;
                 }
@@ -251,7 +251,7 @@
                 holder.record = known.then(|| (self.record.clone(), self.revision));
                 holder.status = None;
             }
-            Step::Send(order) => self.holders[n].deciding = Some(order),
+            Step::Send(order) => self.holders[n].pending_order = Some(order),
             Step::Wait(_) => {
                 self.holders[n].record = None;
                 self.holders[n].status = None;
@@ -260,10 +260,10 @@
         }
     }
 
-    fn step_down(&mut self, n: usize) {
+    fn release_custody(&mut self, n: usize) {
         let holder = &self.holders[n];
-        let free = holder.deciding.is_none() && !self.in_flight.iter().any(|order| order.by == holder.me);
-        if holder.believes.is_none()
+        let free = holder.pending_order.is_none() && !self.in_flight.iter().any(|order| order.by == holder.me);
+        if holder.lease_epoch.is_none()
             && free
             && let Some(next) = release(&self.record, &holder.me)
         {
@@ -274,7 +274,7 @@
     }
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn events() -> impl Strategy<Value = Event> {
     let kind = prop_oneof![
         Just(OrderKind::Cordon),
         Just(OrderKind::Uncordon),
@@ -283,31 +283,31 @@
     ];
     let n = 0..HOLDERS;
     prop_oneof![
-        2 => n.clone().prop_map(Move::Win),
-        1 => n.clone().prop_map(Move::Read),
-        1 => n.clone().prop_map(Move::Ask),
-        16 => (n.clone(), kind, any::<bool>()).prop_map(|(n, kind, lost)| Move::Act(n, kind, lost)),
-        6 => (n.clone(), prop::bool::weighted(0.8)).prop_map(|(n, now)| Move::SendDecided(n, now)),
-        3 => (0..8_usize).prop_map(Move::Deliver),
-        4 => Just(Move::Finish),
-        1 => Just(Move::Crash),
-        1 => n.clone().prop_map(Move::KillAndRestart),
-        1 => n.clone().prop_map(Move::LoseLease),
-        2 => n.prop_map(Move::StepDown),
+        2 => n.clone().prop_map(Event::AcquireLease),
+        1 => n.clone().prop_map(Event::ReadRecord),
+        1 => n.clone().prop_map(Event::ReadStatus),
+        16 => (n.clone(), kind, any::<bool>()).prop_map(|(n, kind, lost)| Event::TakeStep(n, kind, lost)),
+        6 => (n.clone(), prop::bool::weighted(0.8)).prop_map(|(n, now)| Event::SendPending(n, now)),
+        3 => (0..8_usize).prop_map(Event::DeliverOrder),
+        4 => Just(Event::FinishChange),
+        1 => Just(Event::CrashEngine),
+        1 => n.clone().prop_map(Event::RestartHolder),
+        1 => n.clone().prop_map(Event::LoseLease),
+        2 => n.prop_map(Event::ReleaseCustody),
     ]
 }
 
-fn check(fencing: Fencing, moves: &[Move]) -> Result<usize, TestCaseError> {
-    let mut world = World::new(fencing);
-    for step in moves {
-        world.make(step);
-        prop_assert!(world.engine.faults.is_empty(), "{:?} after {step:?}", world.engine.faults);
+fn run_events(fencing: Fencing, events: &[Event]) -> Result<usize, TestCaseError> {
+    let mut simulation = Simulation::new(fencing);
+    for step in events {
+        simulation.apply(step);
+        prop_assert!(simulation.engine.violations.is_empty(), "{:?} after {step:?}", simulation.engine.violations);
     }
-    Ok(world.engine.taken)
+    Ok(simulation.engine.taken)
 }
 
 /// So many cases of a fixed seed, so that each run gives the same verdict.
-fn fixed(cases: u32) -> ProptestConfig {
+fn fixed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -317,37 +317,37 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(1_000))]
+    #![proptest_config(fixed_config(1_000))]
 
     #[test]
-    fn engines_that_check_get_no_conflicting_orders(moves in prop::collection::vec(moves(), 50..400)) {
-        check(Fencing::Checks, &moves)?;
+    fn fencing_engines_take_no_conflicting_orders(events in prop::collection::vec(events(), 50..400)) {
+        run_events(Fencing::Checks, &events)?;
     }
 
     #[test]
-    fn engines_that_ignore_numbers_get_no_conflicting_orders(moves in prop::collection::vec(moves(), 50..400)) {
-        check(Fencing::Ignores, &moves)?;
+    fn engines_without_fencing_take_no_conflicting_orders(events in prop::collection::vec(events(), 50..400)) {
+        run_events(Fencing::Ignores, &events)?;
     }
 }
 
 /// The runs above are not empty: without any failure a whole change goes through.
 #[test]
-fn a_quiet_holder_changes_a_role() {
+fn role_change_completes_without_failures() {
     for fencing in [Fencing::Checks, Fencing::Ignores] {
-        let mut world = World::new(fencing);
-        world.make(&Move::Win(0));
+        let mut simulation = Simulation::new(fencing);
+        simulation.apply(&Event::AcquireLease(0));
         for _ in 0..8 {
             for step in [
-                Move::Read(0),
-                Move::Ask(0),
-                Move::Act(0, OrderKind::SetRole(Role::Decode), false),
-                Move::SendDecided(0, true),
-                Move::Finish,
+                Event::ReadRecord(0),
+                Event::ReadStatus(0),
+                Event::TakeStep(0, OrderKind::SetRole(Role::Decode), false),
+                Event::SendPending(0, true),
+                Event::FinishChange,
             ] {
-                world.make(&step);
+                simulation.apply(&step);
             }
         }
-        assert_eq!(world.engine.status.role, Role::Decode);
-        assert!(world.record.intent.is_none());
+        assert_eq!(simulation.engine.status.role, Role::Decode);
+        assert!(simulation.record.intent.is_none());
     }
 }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -29,14 +29,14 @@
     }
 }
 
-fn small() -> (Dispatcher, PoolKey, Vec<EndpointKey>) {
+fn three_endpoints() -> (Dispatcher, PoolKey, Vec<EndpointKey>) {
     let mut dispatcher = Dispatcher::new(Policy::default(), 3, START);
     let pool = dispatcher.add_pool(Rates::default());
     let keys = (0..3).map(|n| dispatcher.add_endpoint(&format!("e{n}"), pool, Role::Mixed)).collect();
     (dispatcher, pool, keys)
 }
 
-fn sent(actions: &[Action]) -> Option<(RequestKey, EndpointKey)> {
+fn first_send(actions: &[Action]) -> Option<(RequestKey, EndpointKey)> {
     actions.iter().find_map(|action| match action {
         Action::Send { request, choice, .. } => Some((*request, choice.chosen.endpoint)),
         _ => None,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_retry_goes_to_another_endpoint_and_what_may_not_be_repeated_is_over() {
+fn retry_uses_another_endpoint_and_unrepeatable_request_ends() {
     for (repeatable, end, outcome) in [
         (true, AttemptEnd::Broken, None),
         (false, AttemptEnd::NotSent, None),
@@ -53,12 +53,12 @@
         (false, AttemptEnd::Broken, Some(Outcome::Ran)),
         (true, AttemptEnd::Rejected, Some(Outcome::Ran)),
     ] {
-        let (mut dispatcher, pool, _) = small();
+        let (mut dispatcher, pool, _) = three_endpoints();
         let key = dispatcher.submit("t", spec(pool, repeatable, START, 9_000), START).expect("room");
-        let (_, first) = sent(&dispatcher.pump(pool, START)).expect("it is sent");
+        let (_, first) = first_send(&dispatcher.pump(pool, START)).expect("it is sent");
         match (dispatcher.attempt_ended(key, end, Site::Serving, START), outcome) {
             (Next::Retry, None) => {
-                let (_, second) = sent(&dispatcher.pump(pool, START)).expect("it is sent again");
+                let (_, second) = first_send(&dispatcher.pump(pool, START)).expect("it is sent again");
                 assert_ne!(first, second, "{end:?}");
             }
             (Next::Finished(got), Some(wanted)) => assert_eq!(got, wanted, "{end:?}"),
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn an_end_without_an_attempt_changes_nothing() {
-    let (mut dispatcher, pool, keys) = small();
+fn end_without_running_attempt_changes_nothing() {
+    let (mut dispatcher, pool, keys) = three_endpoints();
     for key in keys {
         dispatcher.set_admin_state(key, AdminState::Draining);
     }
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn teams_share_their_rate_over_live_daemons() {
-    let (mut dispatcher, pool, _) = small();
+fn team_rate_is_split_over_live_daemons() {
+    let (mut dispatcher, pool, _) = three_endpoints();
     dispatcher.set_team_rates(HashMap::from([("t".to_owned(), 8.0)]), 4, START);
     let mut refused = None;
     for _ in 0..8 {
@@ -97,17 +97,17 @@
 }
 
 #[derive(Clone, Debug)]
-enum Move {
+enum Event {
     Submit(bool, u64),
-    End(usize, AttemptEnd),
+    EndAttempt(usize, AttemptEnd),
     Progress(usize),
-    Abandon(usize),
-    Duty(usize, bool),
+    Cancel(usize),
+    SetOpen(usize, bool),
     Remove(usize),
     Tick(u64),
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn events() -> impl Strategy<Value = Event> {
     let end = prop::sample::select(vec![
         AttemptEnd::Whole,
         AttemptEnd::NotSent,
@@ -119,13 +119,13 @@
         AttemptEnd::Cancelled,
     ]);
     prop_oneof![
-        6 => (any::<bool>(), 50..9_000_u64).prop_map(|(repeatable, millis)| Move::Submit(repeatable, millis)),
-        6 => (0..64_usize, end).prop_map(|(n, end)| Move::End(n, end)),
-        3 => (0..64_usize).prop_map(Move::Progress),
-        1 => (0..64_usize).prop_map(Move::Abandon),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(n, open)| Move::Duty(n, open)),
-        1 => (0..40_usize).prop_map(Move::Remove),
-        4 => (1..400_u64).prop_map(Move::Tick),
+        6 => (any::<bool>(), 50..9_000_u64).prop_map(|(repeatable, millis)| Event::Submit(repeatable, millis)),
+        6 => (0..64_usize, end).prop_map(|(n, end)| Event::EndAttempt(n, end)),
+        3 => (0..64_usize).prop_map(Event::Progress),
+        1 => (0..64_usize).prop_map(Event::Cancel),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(n, open)| Event::SetOpen(n, open)),
+        1 => (0..40_usize).prop_map(Event::Remove),
+        4 => (1..400_u64).prop_map(Event::Tick),
     ]
 }
 
@@ -134,21 +134,21 @@
 struct Driver {
     sends: HashMap<RequestKey, usize>,
     running: Vec<RequestKey>,
-    over: Vec<RequestKey>,
+    finished: Vec<RequestKey>,
     repeatable: HashMap<RequestKey, bool>,
     may_have_run: HashMap<RequestKey, bool>,
 }
 
 impl Driver {
-    fn hear(&mut self, actions: &[Action], closed: &[EndpointKey]) -> Result<(), TestCaseError> {
+    fn check(&mut self, actions: &[Action], closed: &[EndpointKey]) -> Result<(), TestCaseError> {
         for action in actions {
             match action {
                 Action::Send { request, choice, .. } => {
                     prop_assert!(!self.running.contains(request), "two attempts at once");
-                    prop_assert!(!self.over.contains(request), "sent after it was over");
+                    prop_assert!(!self.finished.contains(request), "sent after it was over");
                     prop_assert!(!closed.contains(&choice.chosen.endpoint), "sent to a closed endpoint");
-                    let once = !self.repeatable[request] && self.may_have_run.get(request) == Some(&true);
-                    prop_assert!(!once, "sent again although it may have run");
+                    let must_not_repeat = !self.repeatable[request] && self.may_have_run.get(request) == Some(&true);
+                    prop_assert!(!must_not_repeat, "sent again although it may have run");
                     *self.sends.entry(*request).or_default() += 1;
                     self.running.push(*request);
                 }
@@ -156,7 +156,7 @@
                     prop_assert!(!self.running.contains(request), "refused with an attempt under way");
                     let ran = self.may_have_run.get(request) == Some(&true);
                     prop_assert!(!(ran && *outcome == Outcome::NotRun), "not run, and it may have run");
-                    self.over.push(*request);
+                    self.finished.push(*request);
                 }
                 Action::Stop { request, .. } => prop_assert!(self.running.contains(request), "stopped without attempt"),
             }
@@ -171,19 +171,19 @@
     })]
 
     #[test]
-    fn nothing_is_sent_twice_at_once_or_to_a_closed_endpoint(moves in prop::collection::vec(moves(), 1..300)) {
-        let (mut dispatcher, pool, mut endpoints) = small();
+    fn no_concurrent_attempts_and_no_sends_to_closed_endpoints(events in prop::collection::vec(events(), 1..300)) {
+        let (mut dispatcher, pool, mut endpoints) = three_endpoints();
         let mut driver = Driver::default();
         let mut closed = Vec::new();
         let mut now = START;
-        for step in moves {
+        for step in events {
             match step {
-                Move::Submit(repeatable, millis) => {
+                Event::Submit(repeatable, millis) => {
                     if let Ok(key) = dispatcher.submit("t", spec(pool, repeatable, now, millis), now) {
                         driver.repeatable.insert(key, repeatable);
                     }
                 }
-                Move::End(n, end) => {
+                Event::EndAttempt(n, end) => {
                     if driver.running.is_empty() { continue; }
                     let key = driver.running.swap_remove(n % driver.running.len());
                     if !end.is_certainly_not_run() {
@@ -192,41 +192,41 @@
                     if let Next::Finished(outcome) = dispatcher.attempt_ended(key, end, Site::Serving, now) {
                         let ran = driver.may_have_run.get(&key) == Some(&true);
                         prop_assert!(!(ran && outcome == Outcome::NotRun));
-                        driver.over.push(key);
+                        driver.finished.push(key);
                     }
                 }
-                Move::Progress(n) => {
+                Event::Progress(n) => {
                     if driver.running.is_empty() { continue; }
                     let key = driver.running[n % driver.running.len()];
                     driver.may_have_run.insert(key, true);
                     dispatcher.progress(key, 1, now);
                 }
-                Move::Abandon(n) => {
+                Event::Cancel(n) => {
                     if driver.running.is_empty() { continue; }
                     let key = driver.running.swap_remove(n % driver.running.len());
                     dispatcher.cancel(key, now);
-                    driver.over.push(key);
+                    driver.finished.push(key);
                 }
-                Move::Duty(n, open) => {
+                Event::SetOpen(n, open) => {
                     let Some(key) = endpoints.get(n).copied() else { continue };
                     closed.retain(|k| *k != key);
                     if !open { closed.push(key); }
-                    let duty = if open { AdminState::Serving } else { AdminState::Draining };
-                    let actions = dispatcher.set_admin_state(key, duty);
-                    driver.hear(&actions, &closed)?;
+                    let admin_state = if open { AdminState::Serving } else { AdminState::Draining };
+                    let actions = dispatcher.set_admin_state(key, admin_state);
+                    driver.check(&actions, &closed)?;
                 }
-                Move::Remove(n) => {
+                Event::Remove(n) => {
                     if n < endpoints.len() && endpoints.len() > 1 {
                         let key = endpoints.remove(n);
                         closed.push(key);
                         let actions = dispatcher.remove_endpoint(key);
-                        driver.hear(&actions, &closed)?;
+                        driver.check(&actions, &closed)?;
                     }
                 }
-                Move::Tick(millis) => now = now + Span::millis(millis),
+                Event::Tick(millis) => now = now + Span::millis(millis),
             }
             let actions = dispatcher.tick(now);
-            driver.hear(&actions, &closed)?;
+            driver.check(&actions, &closed)?;
             prop_assert!(dispatcher.request_count() >= driver.running.len());
         }
         // Whatever is left comes to an end.
@@ -236,7 +236,7 @@
         let end = now + Span::millis(20_000);
         for _ in 0..8 {
             let actions = dispatcher.tick(end);
-            driver.hear(&actions, &closed)?;
+            driver.check(&actions, &closed)?;
             for key in std::mem::take(&mut driver.running) {
                 let _ = dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, end);
             }
--- a/crates/core/tests/member.rs
+++ b/crates/core/tests/member.rs
@@ -19,20 +19,20 @@
 /// One probe of `to` by `from`, as the daemon does it.
 fn probe(tables: &mut [Members], from: usize, to: usize, now: Time) {
     let key = tables[from].others().find(|(_, m)| m.contact == contact(to)).map(|(key, _)| key).expect("listed");
-    let mut news = tables[from].take_updates();
-    news.extend(tables[from].update_to_refute(key));
-    tables[to].apply(&news, now);
-    let (start, refutation, news) = (tables[to].me().start, tables[to].refutation(), tables[to].take_updates());
+    let mut updates = tables[from].take_updates();
+    updates.extend(tables[from].update_to_refute(key));
+    tables[to].apply(&updates, now);
+    let (start, refutation, updates) = (tables[to].me().start, tables[to].refutation(), tables[to].take_updates());
     tables[from].record_answer(key, start, refutation, now);
-    tables[from].apply(&news, now);
+    tables[from].apply(&updates, now);
 }
 
-fn believed(table: &Members, n: usize) -> Health {
+fn believed_health(table: &Members, n: usize) -> Health {
     table.by_vm(&format!("vm-{n}")).map_or(Health::Listed, |m| m.health)
 }
 
 #[test]
-fn one_that_all_believe_dead_comes_back_with_one_probe() {
+fn member_believed_dead_by_all_recovers_with_one_probe() {
     let mut tables: Vec<_> = (0..3).map(|n| table(n, 3)).collect();
     let at = Time(1);
     for (from, to) in [(0, 1), (0, 2), (1, 2), (2, 0), (2, 1), (1, 0)] {
@@ -43,27 +43,27 @@
         let key = table.others().find(|(_, m)| m.contact.vm == "vm-2").map(|(k, _)| k).expect("listed");
         table.record_unreached(key, at);
         let _ = table.next_probe_target(late);
-        assert_eq!(believed(table, 2), Health::Dead);
+        assert_eq!(believed_health(table, 2), Health::Dead);
         // The news of the death is told until nobody wants it any more.
         for _ in 0..100 {
             let _ = table.take_updates();
         }
     }
     probe(&mut tables, 0, 2, late);
-    assert_eq!(believed(&tables[0], 2), Health::Alive);
+    assert_eq!(believed_health(&tables[0], 2), Health::Alive);
     probe(&mut tables, 0, 1, late);
-    assert_eq!(believed(&tables[1], 2), Health::Alive);
+    assert_eq!(believed_health(&tables[1], 2), Health::Alive);
 }
 
 #[test]
-fn a_process_is_over_only_on_proof() {
+fn process_is_terminated_only_on_evidence() {
     let mut tables: Vec<_> = (0..2).map(|n| table(n, 2)).collect();
     let process = Incarnation { vm: "vm-1".to_owned(), start: 1 };
     probe(&mut tables, 0, 1, Time(1));
     let key = tables[0].others().next().map(|(k, _)| k).expect("one other");
     tables[0].record_unreached(key, Time(1));
     let _ = tables[0].next_probe_target(Time(1) + Span::millis(60_000));
-    assert_eq!(believed(&tables[0], 1), Health::Dead);
+    assert_eq!(believed_health(&tables[0], 1), Health::Dead);
     assert!(!tables[0].is_terminated(&process), "silence proves nothing: it may be paused");
     tables[0].set_listed(&[contact(0)]);
     assert!(tables[0].is_terminated(&process), "its VM was listed and no longer is");
@@ -74,17 +74,17 @@
 }
 
 /// Cases of a fixed seed, so that each run gives the same verdict.
-fn fixed() -> ProptestConfig {
+fn fixed_config() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(20_261_202), failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_config())]
 
     /// However probes, silences and restarts interleave, once all can reach each other for one
     /// whole round of probes, all believe all alive under the latest start.
     #[test]
-    fn beliefs_heal(steps in prop::collection::vec((0..4_usize, 0..4_usize, 0..4_u8), 1..200)) {
+    fn beliefs_converge_after_faults(steps in prop::collection::vec((0..4_usize, 0..4_usize, 0..4_u8), 1..200)) {
         let mut tables: Vec<_> = (0..4).map(|n| table(n, 4)).collect();
         let mut now = Time(1);
         for (from, to, what) in steps {
--- a/crates/core/tests/proof.rs
+++ b/crates/core/tests/proof.rs
@@ -16,7 +16,7 @@
 const DAEMONS: usize = 5;
 
 #[test]
-fn a_call_that_waited_its_time_out_proves_the_whole_wait() {
+fn completed_wait_proves_until_its_end() {
     let (asked, wait) = (Time(1_000_000), Span::millis(600));
     assert_eq!(proved_at(asked, wait, false, asked + wait), asked + wait);
     assert_eq!(proved_at(asked, wait, true, asked + wait), asked);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_proof_of_a_newer_configuration_counts_once_that_is_in_force() {
+fn proof_of_newer_configuration_counts_once_in_force() {
     let mut proofs = Proofs::default();
     proofs.set_in_force(10);
     proofs.record(Proof { revision: 10, at: Time(1_000_000) });
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn without_a_proof_nothing_holds() {
+fn nothing_is_fresh_without_proof() {
     let mut proofs = Proofs::default();
     assert!(!proofs.is_fresh(BOUND, Time(0)));
     proofs.set_in_force(1);
@@ -47,24 +47,24 @@
 }
 
 /// A message on its way.
-struct OnItsWay {
+struct InFlight {
     arrives_ms: u64,
     to: usize,
-    what: What,
+    payload: Payload,
 }
 
-enum What {
+enum Payload {
     /// The store's answer to a question asked then.
-    Stored {
+    StoreAnswer {
         asked: Time,
         revision: i64,
     },
-    Asked {
+    PeerQuestion {
         by: usize,
-        question: Time,
+        asked: Time,
     },
-    Answered {
-        question: Time,
+    PeerAnswer {
+        asked: Time,
         revision: i64,
         age: Span,
     },
@@ -78,15 +78,15 @@
 struct Daemon {
     offset_ms: u64,
     /// Thousandths by which its clock is fast.
-    fast: u64,
+    drift_per_mille: u64,
     suspended_until_ms: u64,
     revision: i64,
     proofs: Proofs,
 }
 
 impl Daemon {
-    fn clock(&self, true_ms: u64) -> Time {
-        Time((true_ms * 1_000 + true_ms * self.fast) + self.offset_ms * 1_000)
+    fn local_time(&self, true_ms: u64) -> Time {
+        Time((true_ms * 1_000 + true_ms * self.drift_per_mille) + self.offset_ms * 1_000)
     }
 }
 
@@ -100,16 +100,16 @@
 }
 
 /// What a play showed.
-struct Played {
+struct RunResult {
     /// Requests that ran.
-    ran: u64,
+    requests_run: u64,
     /// Milliseconds after a withdrawal at which one ran at the latest.
-    latest_ms: u64,
+    max_delay_ms: u64,
 }
 
 /// A play: versions of the configuration come at random times; messages are delayed, lost, doubled and
 /// overtake each other; daemons are suspended.
-fn play(seed: u64, dating: Dating) -> Played {
+fn run(seed: u64, dating: Dating) -> RunResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     // Revision `n + 1` is acknowledged then.
     let mut acknowledged: Vec<u64> = (0..rng.random_range(1..6)).map(|_| rng.random_range(1..LENGTH_MS)).collect();
@@ -117,14 +117,14 @@
     let mut daemons: Vec<Daemon> = (0..DAEMONS)
         .map(|_| Daemon {
             offset_ms: rng.random_range(0..1_000_000),
-            fast: rng.random_range(0..5),
+            drift_per_mille: rng.random_range(0..5),
             suspended_until_ms: 0,
             revision: 0,
             proofs: Proofs::default(),
         })
         .collect();
-    let mut under_way: Vec<OnItsWay> = Vec::new();
-    let mut played = Played { ran: 0, latest_ms: 0 };
+    let mut in_flight: Vec<InFlight> = Vec::new();
+    let mut result = RunResult { requests_run: 0, max_delay_ms: 0 };
     for now_ms in (0..LENGTH_MS).step_by(20) {
         for (at, daemon) in daemons.iter_mut().enumerate() {
             if daemon.suspended_until_ms > now_ms {
@@ -134,32 +134,32 @@
                 daemon.suspended_until_ms = now_ms + rng.random_range(100..8_000);
                 continue;
             }
-            let clock = daemon.clock(now_ms);
+            let local_time = daemon.local_time(now_ms);
             if rng.random_bool(0.05) {
-                send(&mut rng, &mut under_way, now_ms, at, &acknowledged, clock);
+                send(&mut rng, &mut in_flight, now_ms, at, &acknowledged, local_time);
             }
             // A request that was sent now or before, and is judged now.
-            if daemon.proofs.is_fresh(BOUND, clock) {
-                played.ran += 1;
+            if daemon.proofs.is_fresh(BOUND, local_time) {
+                result.requests_run += 1;
                 let superseded = acknowledged.get(daemon.revision as usize - 1);
                 let late_ms = superseded.map_or(0, |acknowledged| now_ms.saturating_sub(*acknowledged));
-                played.latest_ms = played.latest_ms.max(late_ms);
+                result.max_delay_ms = result.max_delay_ms.max(late_ms);
             }
         }
-        let (arrived, still): (Vec<_>, Vec<_>) = under_way
+        let (arrived, not_arrived): (Vec<_>, Vec<_>) = in_flight
             .into_iter()
             .partition(|message| message.arrives_ms <= now_ms && daemons[message.to].suspended_until_ms <= now_ms);
-        under_way = still;
+        in_flight = not_arrived;
         for mut message in arrived {
-            if let What::Answered { question, .. } = &mut message.what
+            if let Payload::PeerAnswer { asked, .. } = &mut message.payload
                 && dating == Dating::Arrived
             {
-                *question = daemons[message.to].clock(now_ms);
+                *asked = daemons[message.to].local_time(now_ms);
             }
-            take_in(&mut rng, &mut under_way, &mut daemons, now_ms, revision_at(&acknowledged, now_ms), &message);
+            receive(&mut rng, &mut in_flight, &mut daemons, now_ms, revision_at(&acknowledged, now_ms), &message);
         }
     }
-    played
+    result
 }
 
 /// Revision of the newest configuration at a time, 1 before the first change.
@@ -168,51 +168,51 @@
 }
 
 /// A daemon asks the store, or another daemon.
-fn send(rng: &mut SmallRng, under_way: &mut Vec<OnItsWay>, now_ms: u64, at: usize, acknowledged: &[u64], asked: Time) {
+fn send(rng: &mut SmallRng, in_flight: &mut Vec<InFlight>, now_ms: u64, at: usize, acknowledged: &[u64], asked: Time) {
     if at < 2 {
         // The store looks at some time after the question, and its answer takes some time.
         let looked_ms = now_ms + delay(rng);
         let revision = revision_at(acknowledged, looked_ms);
         let arrives_ms = looked_ms + delay(rng);
-        under_way.push(OnItsWay { arrives_ms, to: at, what: What::Configuration { revision } });
-        under_way.push(OnItsWay { arrives_ms, to: at, what: What::Stored { asked, revision } });
+        in_flight.push(InFlight { arrives_ms, to: at, payload: Payload::Configuration { revision } });
+        in_flight.push(InFlight { arrives_ms, to: at, payload: Payload::StoreAnswer { asked, revision } });
     } else {
         let to = rng.random_range(0..DAEMONS);
-        for _ in 0..copies(rng) {
+        for _ in 0..copy_count(rng) {
             let arrives_ms = now_ms + delay(rng);
-            under_way.push(OnItsWay { arrives_ms, to, what: What::Asked { by: at, question: asked } });
+            in_flight.push(InFlight { arrives_ms, to, payload: Payload::PeerQuestion { by: at, asked } });
         }
     }
 }
 
-fn take_in(
+fn receive(
     rng: &mut SmallRng,
-    under_way: &mut Vec<OnItsWay>,
+    in_flight: &mut Vec<InFlight>,
     daemons: &mut [Daemon],
     now_ms: u64,
     newest: i64,
-    message: &OnItsWay,
+    message: &InFlight,
 ) {
     let to = message.to;
-    let clock = daemons[to].clock(now_ms);
-    match message.what {
-        What::Stored { asked, revision } => daemons[to].proofs.record(Proof { revision, at: asked }),
-        What::Asked { by, question } => {
+    let local_time = daemons[to].local_time(now_ms);
+    match message.payload {
+        Payload::StoreAnswer { asked, revision } => daemons[to].proofs.record(Proof { revision, at: asked }),
+        Payload::PeerQuestion { by, asked } => {
             if let Some(proof) = daemons[to].proofs.newest() {
-                let age = clock.since(proof.at);
-                for _ in 0..copies(rng) {
+                let age = local_time.since(proof.at);
+                for _ in 0..copy_count(rng) {
                     let arrives_ms = now_ms + delay(rng);
-                    let what = What::Answered { question, revision: proof.revision, age };
-                    under_way.push(OnItsWay { arrives_ms, to: by, what });
+                    let payload = Payload::PeerAnswer { asked, revision: proof.revision, age };
+                    in_flight.push(InFlight { arrives_ms, to: by, payload });
                 }
                 // What is in force there can be borrowed, now or never.
                 let revision = daemons[to].revision.min(newest);
                 let arrives_ms = now_ms + delay(rng);
-                under_way.push(OnItsWay { arrives_ms, to: by, what: What::Configuration { revision } });
+                in_flight.push(InFlight { arrives_ms, to: by, payload: Payload::Configuration { revision } });
             }
         }
-        What::Answered { question, revision, age } => daemons[to].proofs.record(Proof { revision, at: question - age }),
-        What::Configuration { revision } => {
+        Payload::PeerAnswer { asked, revision, age } => daemons[to].proofs.record(Proof { revision, at: asked - age }),
+        Payload::Configuration { revision } => {
             let daemon = &mut daemons[to];
             daemon.revision = daemon.revision.max(revision);
             daemon.proofs.set_in_force(daemon.revision);
@@ -225,26 +225,26 @@
 }
 
 /// None is lost, one arrives, or it arrives twice.
-fn copies(rng: &mut SmallRng) -> usize {
+fn copy_count(rng: &mut SmallRng) -> usize {
     [0, 1, 1, 1, 1, 1, 1, 2][rng.random_range(0..8)]
 }
 
 /// Withdrawals behind delay, loss, repetition and suspensions: no request runs later than the bound after one.
 #[test]
-fn no_request_runs_later_than_the_bound_after_a_withdrawal() {
-    let mut ran = 0;
+fn no_request_runs_later_than_bound_after_withdrawal() {
+    let mut requests_run = 0;
     for seed in 0..SEEDS {
-        let played = play(seed, Dating::Asked);
-        assert!(played.latest_ms <= BOUND.as_millis(), "seed {seed}: {} ms after a withdrawal", played.latest_ms);
-        ran += played.ran;
+        let result = run(seed, Dating::Asked);
+        assert!(result.max_delay_ms <= BOUND.as_millis(), "seed {seed}: {} ms after a withdrawal", result.max_delay_ms);
+        requests_run += result.requests_run;
     }
     // Of a thousand steps of five daemons in each play most find a proof, or the test shows nothing.
-    assert!(ran > SEEDS * 2_000, "only {ran} requests ran");
+    assert!(requests_run > SEEDS * 2_000, "only {requests_run} requests ran");
 }
 
 /// News without an echo: the plays do find what goes wrong with it.
 #[test]
-fn answers_dated_by_their_arrival_would_let_requests_run_too_late() {
-    let late = (0..SEEDS / 10).filter(|seed| play(*seed, Dating::Arrived).latest_ms > BOUND.as_millis()).count();
+fn dating_answers_by_arrival_violates_bound() {
+    let late = (0..SEEDS / 10).filter(|seed| run(*seed, Dating::Arrived).max_delay_ms > BOUND.as_millis()).count();
     assert!(late > 0, "no play found it");
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -26,8 +26,8 @@
 
 /// What is left out of the protocol, to show that the check finds it.
 #[derive(Clone, Copy, PartialEq)]
-enum Broken {
-    Nothing,
+enum Mutation {
+    None,
     /// A new owner's buckets begin full.
     FullAtTakeover,
     /// An owner goes on without looking at its lease.
@@ -43,117 +43,117 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Event {
     Request { daemon: usize, cost: u64 },
     Ask { shard: u8, from: usize, to: usize, asked: Time, cost: u64, number: u64 },
     Answer { shard: u8, to: usize, asked: Time, number: u64, granted: bool, left: u64 },
-    Unanswered { shard: u8, number: u64 },
+    AskTimeout { shard: u8, number: u64 },
     Renew { shard: u8 },
     TakeOver { shard: u8 },
-    Disturb,
+    InjectFault,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     tolerance: Tolerance,
     now: Time,
-    broken: Broken,
+    mutation: Mutation,
     lossy: bool,
     /// Chance that a message is under way for long.
-    late: f64,
+    delay_probability: f64,
     /// Whether daemons rest after an owner did not answer; the bound must not hang on it.
-    rests: bool,
+    backs_off: bool,
     /// Whether all that happens is that owners are killed.
-    kills_only: bool,
+    restarts_only: bool,
     terms: ShardTerms,
     /// Former owners go on until they see that they are none.
     owners: Vec<(u8, Owner)>,
     clients: Vec<QuotaClient>,
     /// Until when a daemon is cut off from the others, and from the store.
-    cut: [(Time, Time); DAEMONS],
+    partitioned_until: [(Time, Time); DAEMONS],
     paused: [Time; DAEMONS],
-    open: HashMap<u64, (usize, u64, Vec<u8>)>,
-    events: BinaryHeap<std::cmp::Reverse<(Time, u64, What)>>,
+    pending: HashMap<u64, (usize, u64, Vec<u8>)>,
+    events: BinaryHeap<std::cmp::Reverse<(Time, u64, Event)>>,
     number: u64,
     spent: Vec<(Time, u64)>,
     refused: u64,
     requests: u64,
 }
 
-impl World {
-    fn new(seed: u64, broken: Broken, lossy: bool, tolerance: Tolerance) -> Self {
-        let mut world = Self {
+impl Simulation {
+    fn new(seed: u64, mutation: Mutation, lossy: bool, tolerance: Tolerance) -> Self {
+        let mut simulation = Self {
             rng: SmallRng::seed_from_u64(seed),
             now: Time(0),
-            broken,
+            mutation,
             lossy,
-            late: if seed.is_multiple_of(2) { 0.0 } else { 0.3 },
-            rests: seed.is_multiple_of(3),
-            kills_only: seed.is_multiple_of(5),
+            delay_probability: if seed.is_multiple_of(2) { 0.0 } else { 0.3 },
+            backs_off: seed.is_multiple_of(3),
+            restarts_only: seed.is_multiple_of(5),
             terms: ShardTerms::split(&QUOTA, &tolerance),
             tolerance,
             owners: Vec::new(),
             clients: (0..DAEMONS).map(|_| QuotaClient::default()).collect(),
-            cut: [(Time(0), Time(0)); DAEMONS],
+            partitioned_until: [(Time(0), Time(0)); DAEMONS],
             paused: [Time(0); DAEMONS],
-            open: HashMap::new(),
+            pending: HashMap::new(),
             events: BinaryHeap::new(),
             number: 0,
             spent: Vec::new(),
             refused: 0,
             requests: 0,
         };
-        for shard in world.terms.shards_of(TEAM) {
-            world.push(Span::default(), What::TakeOver { shard });
+        for shard in simulation.terms.shards_of(TEAM) {
+            simulation.push(Span::default(), Event::TakeOver { shard });
         }
         if lossy {
-            world.push(Span::millis(500), What::Disturb);
+            simulation.push(Span::millis(500), Event::InjectFault);
         }
-        world
+        simulation
     }
 
-    fn push(&mut self, after: Span, what: What) {
+    fn push(&mut self, after: Span, event: Event) {
         self.number += 1;
-        self.events.push(std::cmp::Reverse((self.now + after, self.number, what)));
+        self.events.push(std::cmp::Reverse((self.now + after, self.number, event)));
     }
 
     /// Requests of a team that wants so many times its rate, most of them at few daemons.
-    fn load(&mut self, times: f64, from: Time) {
+    fn add_requests(&mut self, load_factor: f64, from: Time) {
         let mut at = from;
         while at < LENGTH {
             let cost = if self.rng.random_bool(0.2) { 8_000 } else { 900 };
-            let mean_s = 2_320.0 / (QUOTA.rate * times);
+            let mean_s = 2_320.0 / (QUOTA.rate * load_factor);
             at = at + Span::seconds(-self.rng.random::<f64>().ln() * mean_s);
             let daemon = (self.rng.random::<f64>().powi(3) * DAEMONS as f64) as usize;
             self.number += 1;
-            self.events.push(std::cmp::Reverse((at, self.number, What::Request { daemon, cost })));
+            self.events.push(std::cmp::Reverse((at, self.number, Event::Request { daemon, cost })));
         }
     }
 
     fn run(&mut self) {
-        while let Some(std::cmp::Reverse((at, _, what))) = self.events.pop() {
+        while let Some(std::cmp::Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
             if at > LENGTH {
                 return;
             }
-            self.handle(what);
+            self.handle(event);
         }
     }
 
-    fn handle(&mut self, what: What) {
-        match what {
-            What::Request { daemon, cost } => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Request { daemon, cost } => {
                 self.requests += 1;
                 self.next(daemon, cost, Vec::new());
             }
-            What::Ask { shard, from, to, asked, cost, number } => self.ask(shard, (from, to), asked, cost, number),
-            What::Answer { shard, to, asked, number, granted, left } => {
-                self.answer(shard, to, asked, number, granted, left);
+            Event::Ask { shard, from, to, asked, cost, number } => self.on_ask(shard, (from, to), asked, cost, number),
+            Event::Answer { shard, to, asked, number, granted, left } => {
+                self.on_answer(shard, to, asked, number, granted, left);
             }
-            What::Unanswered { shard, number } => self.unanswered(shard, number),
-            What::Renew { shard } => self.renew(shard),
-            What::TakeOver { shard } => self.take_over(shard),
-            What::Disturb => self.disturb(),
+            Event::AskTimeout { shard, number } => self.on_timeout(shard, number),
+            Event::Renew { shard } => self.renew(shard),
+            Event::TakeOver { shard } => self.take_over(shard),
+            Event::InjectFault => self.inject_fault(),
         }
     }
 
@@ -170,17 +170,17 @@
                 tried.push(shard);
                 self.number += 1;
                 let number = self.number;
-                self.open.insert(number, (daemon, cost, tried));
-                self.push(TIMEOUT, What::Unanswered { shard, number });
-                self.send(daemon, to, |asked| What::Ask { shard, from: daemon, to, asked, cost, number });
+                self.pending.insert(number, (daemon, cost, tried));
+                self.push(TIMEOUT, Event::AskTimeout { shard, number });
+                self.send(daemon, to, |asked| Event::Ask { shard, from: daemon, to, asked, cost, number });
             }
             Next::Denied(_) | Next::Unavailable => self.refused += 1,
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, what: impl Fn(Time) -> What) {
-        let is_cut = |(cut, _): (Time, Time)| !cut.is_past(self.now);
-        if from != to && (is_cut(self.cut[from]) || is_cut(self.cut[to])) {
+    fn send(&mut self, from: usize, to: usize, event: impl Fn(Time) -> Event) {
+        let is_cut = |(partitioned_until, _): (Time, Time)| !partitioned_until.is_past(self.now);
+        if from != to && (is_cut(self.partitioned_until[from]) || is_cut(self.partitioned_until[to])) {
             return;
         }
         let copies = match self.rng.random_range(0..100) {
@@ -190,18 +190,18 @@
             _ => 1,
         };
         for _ in 0..copies {
-            let late = self.lossy && self.rng.random_bool(self.late);
+            let late = self.lossy && self.rng.random_bool(self.delay_probability);
             let delay = self.rng.random_range(if late { 100..4_000 } else { 1..4 });
             let paused = self.paused[to].since(self.now);
-            self.push(Span::millis(delay).max(paused), what(self.now));
+            self.push(Span::millis(delay).max(paused), event(self.now));
         }
     }
 
-    fn ask(&mut self, shard: u8, (from, to): (usize, usize), asked: Time, cost: u64, number: u64) {
-        let (terms, now, broken) = (self.terms, self.now, self.broken);
+    fn on_ask(&mut self, shard: u8, (from, to): (usize, usize), asked: Time, cost: u64, number: u64) {
+        let (terms, now, mutation) = (self.terms, self.now, self.mutation);
         let owners = self.owners.iter_mut().rev();
         let mut mine = owners.filter(|(of, owner)| *of == shard && owner.daemon == to).map(|(_, owner)| owner);
-        let Some(owner) = mine.next().filter(|owner| owner.authority.holds(now) || broken == Broken::IgnoresLease)
+        let Some(owner) = mine.next().filter(|owner| owner.authority.holds(now) || mutation == Mutation::IgnoresLease)
         else {
             return;
         };
@@ -210,12 +210,12 @@
             Answer::Denied { left } => (false, left),
         };
         let left = left as u64;
-        self.send(to, from, |_| What::Answer { shard, to: from, asked, number, granted, left });
+        self.send(to, from, |_| Event::Answer { shard, to: from, asked, number, granted, left });
     }
 
-    fn answer(&mut self, shard: u8, to: usize, asked: Time, number: u64, granted: bool, left: u64) {
+    fn on_answer(&mut self, shard: u8, to: usize, asked: Time, number: u64, granted: bool, left: u64) {
         self.clients[to].record_level(TEAM, shard, left as f64, &self.terms, self.now);
-        let Some((daemon, cost, tried)) = self.open.remove(&number) else { return };
+        let Some((daemon, cost, tried)) = self.pending.remove(&number) else { return };
         if granted && Credit::requested_at(asked).is_usable(self.now) {
             self.spent.push((self.now, cost));
         } else if !granted {
@@ -223,10 +223,10 @@
         }
     }
 
-    fn unanswered(&mut self, shard: u8, number: u64) {
-        if let Some((daemon, cost, tried)) = self.open.get(&number).cloned() {
+    fn on_timeout(&mut self, shard: u8, number: u64) {
+        if let Some((daemon, cost, tried)) = self.pending.get(&number).cloned() {
             // An answer that comes yet may still be used, which is the worst that can be.
-            if self.rests {
+            if self.backs_off {
                 self.clients[daemon].mark_unavailable(shard, self.now);
             }
             self.next(daemon, cost, tried);
@@ -235,30 +235,30 @@
 
     fn renew(&mut self, shard: u8) {
         let now = self.now;
-        let (cut, paused) = (self.cut, self.paused);
+        let (partitioned_until, paused) = (self.partitioned_until, self.paused);
         let answered = self.rng.random_bool(if self.lossy { 0.8 } else { 1.0 });
-        let way = Span::millis(self.rng.random_range(1..if self.lossy { 300 } else { 5 }));
+        let delay = Span::millis(self.rng.random_range(1..if self.lossy { 300 } else { 5 }));
         let Some((_, owner)) = self.owners.iter_mut().rev().find(|(of, _)| *of == shard) else { return };
         if owner.lease_ends.is_past(now) {
             let after = Span::millis(200);
-            return self.push(after, What::TakeOver { shard });
+            return self.push(after, Event::TakeOver { shard });
         }
-        let reaches = cut[owner.daemon].1.is_past(now) && paused[owner.daemon].is_past(now);
+        let reaches = partitioned_until[owner.daemon].1.is_past(now) && paused[owner.daemon].is_past(now);
         if reaches {
-            owner.lease_ends = owner.lease_ends.max(now + way + LEASE);
+            owner.lease_ends = owner.lease_ends.max(now + delay + LEASE);
             if answered {
                 owner.authority.renewed(now, LEASE);
             }
         }
-        self.push(Span::millis(500), What::Renew { shard });
+        self.push(Span::millis(500), Event::Renew { shard });
     }
 
     fn take_over(&mut self, shard: u8) {
         let daemon = self.rng.random_range(0..DAEMONS);
-        if !self.cut[daemon].1.is_past(self.now) || !self.paused[daemon].is_past(self.now) {
-            return self.push(Span::millis(200), What::TakeOver { shard });
+        if !self.partitioned_until[daemon].1.is_past(self.now) || !self.paused[daemon].is_past(self.now) {
+            return self.push(Span::millis(200), Event::TakeOver { shard });
         }
-        let since = if self.broken == Broken::FullAtTakeover { Time(0) } else { self.now };
+        let since = if self.mutation == Mutation::FullAtTakeover { Time(0) } else { self.now };
         let owner = Owner {
             daemon,
             authority: Authority::granted(self.number, self.now, LEASE),
@@ -266,38 +266,38 @@
             shard: Shard::taken_over(since),
         };
         self.owners.push((shard, owner));
-        self.push(Span::millis(500), What::Renew { shard });
+        self.push(Span::millis(500), Event::Renew { shard });
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         // Most often the daemon that has the most callers.
         let any = (self.rng.random::<f64>().powi(3) * DAEMONS as f64) as usize;
         let at = self.owners.last().filter(|_| self.rng.random_bool(0.5)).map_or(any, |(_, owner)| owner.daemon);
         let until = self.now + Span::millis(self.rng.random_range(200..6_000));
         match self.rng.random_range(0..4) {
-            _ if self.kills_only => self.kill(at),
-            0 => self.cut[at].0 = until,
-            1 => self.cut[at].1 = until,
+            _ if self.restarts_only => self.restart(at),
+            0 => self.partitioned_until[at].0 = until,
+            1 => self.partitioned_until[at].1 = until,
             2 => self.paused[at] = until,
-            _ => self.kill(at),
+            _ => self.restart(at),
         }
         let after = Span::millis(self.rng.random_range(100..800));
-        self.push(after, What::Disturb);
+        self.push(after, Event::InjectFault);
     }
 
     /// Its next run takes over again at once what was its own, under the same lease.
-    fn kill(&mut self, daemon: usize) {
+    fn restart(&mut self, daemon: usize) {
         let now = self.now;
-        let broken = self.broken;
+        let mutation = self.mutation;
         self.clients[daemon] = QuotaClient::default();
         for (_, owner) in self.owners.iter_mut().filter(|(_, owner)| owner.daemon == daemon) {
-            let since = if broken == Broken::FullAtTakeover { Time(0) } else { now };
+            let since = if mutation == Mutation::FullAtTakeover { Time(0) } else { now };
             owner.shard = Shard::taken_over(since);
         }
     }
 
     /// The most that was spent in any window.
-    fn most(&self) -> f64 {
+    fn max_window_usage(&self) -> f64 {
         let mut most = 0;
         let mut sum = 0;
         let mut first = 0;
@@ -313,11 +313,11 @@
     }
 }
 
-fn most_spent(seed: u64, broken: Broken) -> f64 {
-    let mut world = World::new(seed, broken, true, TOLERANCE);
-    world.load(8.0, Time(4_000_000));
-    world.run();
-    world.most()
+fn max_window_usage_of_run(seed: u64, mutation: Mutation) -> f64 {
+    let mut simulation = Simulation::new(seed, mutation, true, TOLERANCE);
+    simulation.add_requests(8.0, Time(4_000_000));
+    simulation.run();
+    simulation.max_window_usage()
 }
 
 #[test]
@@ -326,7 +326,7 @@
     let seeds = 200 * std::env::var("TIMES").ok().and_then(|times| times.parse().ok()).unwrap_or(1);
     let mut served = 0.0;
     for seed in 0..seeds {
-        let most = most_spent(seed, Broken::Nothing);
+        let most = max_window_usage_of_run(seed, Mutation::None);
         assert!(most <= allowed, "seed {seed}: {most} of {allowed}");
         served += most / seeds as f64;
     }
@@ -334,18 +334,19 @@
 }
 
 #[test]
-fn what_is_left_out_is_found() {
+fn mutated_protocols_exceed_bound() {
     let allowed = TOLERANCE.allowed(&QUOTA);
-    for (broken, name) in [(Broken::FullAtTakeover, "full at a takeover"), (Broken::IgnoresLease, "ignores its lease")]
+    for (mutation, name) in
+        [(Mutation::FullAtTakeover, "full at a takeover"), (Mutation::IgnoresLease, "ignores its lease")]
     {
-        let found = (0..500).any(|seed| most_spent(seed, broken) > allowed);
+        let found = (0..500).any(|seed| max_window_usage_of_run(seed, mutation) > allowed);
         assert!(found, "{name}");
     }
 }
 
 /// Answers that wait while their daemon is suspended come all at once when it goes on.
 #[test]
-fn credit_that_waited_through_a_suspension_is_not_spent() {
+fn credit_received_after_suspension_is_not_spent() {
     let terms = ShardTerms::split(&QUOTA, &TOLERANCE);
     let mut shard = Shard::taken_over(Time(0));
     let resumed = Time(10_000_000);
@@ -363,31 +364,31 @@
 }
 
 #[test]
-fn a_team_below_its_limit_is_hardly_refused_at_any_skew() {
+fn team_below_limit_is_rarely_refused_with_skewed_load() {
     let (mut requests, mut refused) = (0, 0);
     for seed in 0..50 {
-        let mut world = World::new(seed, Broken::Nothing, false, ROOMY);
-        world.load(0.8, Time(3_000_000));
-        world.run();
-        requests += world.requests;
-        refused += world.refused;
+        let mut simulation = Simulation::new(seed, Mutation::None, false, ROOMY);
+        simulation.add_requests(0.8, Time(3_000_000));
+        simulation.run();
+        requests += simulation.requests;
+        refused += simulation.refused;
     }
     assert!(refused * 200 < requests, "{refused} of {requests}");
 }
 
 /// All that is asked is spent within the quota of a long time, and hardly less.
 #[test]
-fn a_team_beyond_its_limit_gets_its_rate() {
-    let mut world = World::new(1, Broken::Nothing, false, TOLERANCE);
-    world.load(4.0, Time(0));
-    world.run();
-    let spent: u64 = world.spent.iter().map(|(_, cost)| cost).sum();
+fn team_above_limit_gets_its_rate() {
+    let mut simulation = Simulation::new(1, Mutation::None, false, TOLERANCE);
+    simulation.add_requests(4.0, Time(0));
+    simulation.run();
+    let spent: u64 = simulation.spent.iter().map(|(_, cost)| cost).sum();
     let share = spent as f64 / (QUOTA.rate * LENGTH.since(Time(0)).as_seconds());
     assert!((0.95..1.0).contains(&share), "{share}");
 }
 
 #[test]
-fn terms_keep_every_window_with_any_tolerance() {
+fn shard_limits_keep_window_bound_for_any_tolerance() {
     let life_s = 0.75;
     for (over, slack, rate, burst) in
         [(0.0, 0.0, 10.0, 1.0), (0.0, 0.0, 10.0, 40.0), (0.1, 140_000.0, 36_000.0, 36_000.0), (0.5, 0.0, 0.0, 5.0)]
@@ -405,7 +406,7 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_binds_what_the_bucket_holds() {
+fn lowered_limit_caps_existing_tokens() {
     let terms = ShardTerms { rate: 100.0, depth: 1_000.0, count: 1 };
     let lower = ShardTerms { rate: 10.0, depth: 100.0, count: 1 };
     let mut shard = Shard::taken_over(Time(0));
@@ -417,7 +418,7 @@
 }
 
 #[test]
-fn ten_thousand_teams_do_not_stay_in_memory() {
+fn full_buckets_of_many_teams_are_dropped() {
     let terms = ShardTerms { rate: 100.0, depth: 100.0, count: 1 };
     let mut shard = Shard::taken_over(Time(0));
     for team in 0..10_000_u64 {
@@ -428,7 +429,7 @@
 }
 
 #[test]
-fn a_request_larger_than_any_bucket_is_denied_for_good() {
+fn oversized_request_is_denied_permanently() {
     let terms = ShardTerms { rate: 100.0, depth: 1_000.0, count: 1 };
     let need = CreditNeed { team: TEAM, terms: &terms, cost: 1_001, tie_breaker: 1 };
     assert_eq!(QuotaClient::default().next_step(&need, &[], |_| true, Time(0)), Next::Denied(None));
--- a/crates/core/tests/revision_table.rs
+++ b/crates/core/tests/revision_table.rs
@@ -6,33 +6,33 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 #[test]
-fn a_copy_that_follows_the_changes_equals_the_store() {
+fn copy_updated_by_changes_equals_store() {
     for seed in 0..300 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut store: BTreeMap<String, i64> = BTreeMap::new();
-        let (mut first, mut second) = (RevisionTable::default(), RevisionTable::default());
+        let (mut source, mut copy_table) = (RevisionTable::default(), RevisionTable::default());
         let mut seen = 0;
         for revision in 1..2_000 {
             let key = format!("k{}", rng.random_range(0..60));
             if rng.random_bool(0.4) {
                 store.remove(&key);
-                first.remove(&key, revision);
+                source.remove(&key, revision);
             } else {
                 store.insert(key.clone(), revision);
-                first.put(&key, revision, (key.clone(), revision));
+                source.put(&key, revision, (key.clone(), revision));
             }
             if rng.random_bool(0.02) {
-                assert!(first.is_complete_after(seen));
-                let changed: Vec<(String, i64)> = first.changed_after(seen).cloned().collect();
+                assert!(source.is_complete_after(seen));
+                let changed: Vec<(String, i64)> = source.changed_after(seen).cloned().collect();
                 let removed: Vec<(String, i64)> =
-                    first.removed_after(seen).map(|(key, at)| (key.to_owned(), at)).collect();
+                    source.removed_after(seen).map(|(key, at)| (key.to_owned(), at)).collect();
                 for (key, at) in changed {
-                    second.put(&key, at, (key.clone(), at));
+                    copy_table.put(&key, at, (key.clone(), at));
                 }
                 for (key, at) in removed {
-                    second.remove(&key, at);
+                    copy_table.remove(&key, at);
                 }
-                let copy: BTreeMap<String, i64> = second.values().cloned().collect();
+                let copy: BTreeMap<String, i64> = copy_table.values().cloned().collect();
                 assert_eq!(copy, store, "seed {seed}, revision {revision}");
                 seen = revision;
             }
@@ -43,7 +43,7 @@
 /// Thousands of engines are exchanged for others within seconds: three times as many removals as were once
 /// remembered, after which all entries were sent to each daemon at each change.
 #[test]
-fn an_exchange_of_most_entries_is_told_by_what_changed() {
+fn replacing_most_entries_keeps_removal_history() {
     let mut table = RevisionTable::default();
     for n in 0..3_000 {
         table.put(&format!("old-{n}"), n + 1, n);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_is_remembered_of_removals_is_bounded_by_the_entries() {
+fn removal_history_is_bounded_by_entries() {
     let mut table = RevisionTable::default();
     for n in 0..50_000 {
         table.put("a", 2 * n + 1, n);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn older_changes_are_no_news() {
+fn older_changes_are_ignored() {
     let mut table = RevisionTable::default();
     assert!(table.put("a", 5, "five"));
     assert!(!table.put("a", 5, "again"));
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -7,10 +7,10 @@
 
 const WINDOWS: WindowSchedule = WindowSchedule { length_ms: 5_000, due_ms: 10_000 };
 /// Milliseconds after a window's end for which its holder waits for those who have not told.
-const LATEST_MS: u64 = 5_000;
+const MAX_WAIT_MS: u64 = 5_000;
 
 #[test]
-fn counts_that_come_twice_late_and_in_any_order_are_counted_once() {
+fn repeated_and_reordered_counts_are_counted_once() {
     for seed in 0..1_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut ledger = Ledger::default();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_a_daemon_told_before_it_ended_counts_beside_its_next_run() {
+fn counts_of_earlier_run_are_added_to_next_run() {
     let mut ledger = Ledger::default();
     let team: Arc<str> = Arc::from("a");
     for run in [1, 2] {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_new_holder_is_told_again_what_the_one_before_knew() {
+fn acknowledged_windows_are_resent_to_new_leader() {
     let mut counter = Counter::default();
     counter.count(10, &Arc::from("a"));
     counter.acknowledge(10);
@@ -74,15 +74,15 @@
 
 /// The store's one key, and what the platform was sent.
 #[derive(Default)]
-struct Outside {
+struct Environment {
     stored: Option<(i64, Report)>,
     revision: i64,
     accepted: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
-impl Outside {
+impl Environment {
     /// Do a holder's step; `lost` loses the answer of what was done.
-    fn take(&mut self, seed: u64, reporter: &mut Reporter, step: Step, counts: u64, lost: bool) {
+    fn perform(&mut self, seed: u64, reporter: &mut Reporter, step: Step, counts: u64, lost: bool) {
         match step {
             Step::Wait => {}
             Step::Read => reporter.set_stored(self.stored.clone()),
@@ -112,40 +112,43 @@
 /// Holders that are lost one after the other, at any step, with answers that are lost; each has counted
 /// something else.
 #[test]
-fn two_reports_of_one_window_never_differ_whoever_holds_the_duty() {
+fn reports_of_one_window_never_differ_across_leaders() {
     for seed in 0..10_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut outside = Outside::default();
-        let mut holder = (0, Reporter::new(WINDOWS, 100));
+        let mut environment = Environment::default();
+        let mut leader = (0, Reporter::new(WINDOWS, 100));
         for now_ms in (500_000..600_000).step_by(250) {
             if rng.random_bool(0.02) {
-                holder = (holder.0 + 1, Reporter::new(WINDOWS, 100));
+                leader = (leader.0 + 1, Reporter::new(WINDOWS, 100));
             }
             let complete = rng.random_bool(0.5);
-            let step = holder.1.next_step(now_ms, LATEST_MS, |_| complete);
+            let step = leader.1.next_step(now_ms, MAX_WAIT_MS, |_| complete);
             let lost = rng.random_bool(0.2);
-            outside.take(seed, &mut holder.1, step, holder.0, lost);
+            environment.perform(seed, &mut leader.1, step, leader.0, lost);
         }
         // Those whose report was due, but for what a holder could not do in time.
-        assert!(outside.accepted.len() >= 17, "seed {seed}: only {} windows", outside.accepted.len());
+        assert!(environment.accepted.len() >= 17, "seed {seed}: only {} windows", environment.accepted.len());
     }
 }
 
 #[test]
-fn a_window_waits_for_those_who_have_not_told_until_a_bound() {
+fn window_waits_for_missing_counts_up_to_max_wait() {
     let mut reporter = Reporter::new(WINDOWS, 100);
     reporter.set_stored(None);
     let end_ms = WINDOWS.end_ms(100);
-    assert_eq!(reporter.next_step(end_ms - 1, LATEST_MS, |_| true), Step::Wait);
-    assert_eq!(reporter.next_step(end_ms, LATEST_MS, |_| false), Step::Wait);
-    assert_eq!(reporter.next_step(end_ms, LATEST_MS, |_| true), Step::Store { window: 100, expect: 0 });
-    assert_eq!(reporter.next_step(end_ms + LATEST_MS, LATEST_MS, |_| false), Step::Store { window: 100, expect: 0 });
+    assert_eq!(reporter.next_step(end_ms - 1, MAX_WAIT_MS, |_| true), Step::Wait);
+    assert_eq!(reporter.next_step(end_ms, MAX_WAIT_MS, |_| false), Step::Wait);
+    assert_eq!(reporter.next_step(end_ms, MAX_WAIT_MS, |_| true), Step::Store { window: 100, expect: 0 });
+    assert_eq!(
+        reporter.next_step(end_ms + MAX_WAIT_MS, MAX_WAIT_MS, |_| false),
+        Step::Store { window: 100, expect: 0 }
+    );
 }
 
 #[test]
-fn what_is_overdue_is_passed_over() {
+fn overdue_windows_are_skipped() {
     let mut reporter = Reporter::new(WINDOWS, 100);
     reporter.set_stored(Some((5, Report { window: 100, counts: BTreeMap::new() })));
     let now_ms = WINDOWS.due_at_ms(103);
-    assert_eq!(reporter.next_step(now_ms, LATEST_MS, |_| true), Step::Store { window: 104, expect: 5 });
+    assert_eq!(reporter.next_step(now_ms, MAX_WAIT_MS, |_| true), Step::Store { window: 104, expect: 5 });
 }
