--- a/crates/core/src/fleet/budget.rs
+++ b/crates/core/src/fleet/budget.rs
@@ -1,21 +1,22 @@
-//! The budget of repeated sends to a service, shared by all daemons.
+//! The retry budget of a service, shared by all daemons.
 //!
-//! Each daemon spends a part of what its own requests earn and its share of the fixed slack, so
-//! the sum stays within the bound without any daemon asking another.
+//! Each daemon spends a share of what its own requests earn and its share of the fixed slack. The total therefore
+//! stays within the limit without coordination between daemons.
 
 use crate::time::{Span, Time};
 
-/// Slices of a window; a window slides by one slice.
+/// Number of slices in a window; the window slides by one slice at a time.
 const SLICES: u64 = 10;
-/// Part of the bound that is spent, since the daemons' windows are not the judge's.
+/// Share of the limit that is spent, since the daemons' windows are not aligned with those in which the limit is
+/// checked.
 const SAFE_SHARE: f64 = 0.7;
 
-/// Bounds on repeated sends, over all daemons.
+/// Limits on the retries of all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetTerms {
-    /// Repeats for each new request.
+    /// Retries for each new request.
     pub ratio: f64,
-    /// Repeats in a window beside those.
+    /// Additional retries in each window.
     pub slack: f64,
     /// Length of a window.
     pub window: Span,
@@ -28,19 +29,19 @@
     retries: u32,
 }
 
-/// What this daemon sent to one service lately.
+/// Recent requests and retries of this daemon to one service.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     slices: [Slice; SLICES as usize],
 }
 
 impl RetryBudget {
-    /// Note a new request.
+    /// Records a new request.
     pub fn record_request(&mut self, terms: &RetryBudgetTerms, now: Time) {
         self.slice(terms, now).requests += 1;
     }
 
-    /// Take so many repeats if the budget has them, for a daemon among `daemons`.
+    /// Takes `count` retries if the budget of one of `daemons` daemons allows them; returns whether it does.
     pub fn take(&mut self, count: u32, terms: &RetryBudgetTerms, daemons: usize, now: Time) -> bool {
         let number = slice_number(terms, now);
         let recent = self.slices.iter().filter(|slice| slice.number + SLICES > number);
@@ -54,7 +55,7 @@
         allowed
     }
 
-    /// Count a repeat that turned out to be one only after it was sent.
+    /// Charges a call that turned out to be a retry only after it was sent.
     pub fn charge(&mut self, terms: &RetryBudgetTerms, now: Time) {
         self.slice(terms, now).retries += 1;
     }
@@ -70,6 +71,6 @@
 }
 
 fn slice_number(terms: &RetryBudgetTerms, now: Time) -> u64 {
-    // Counted from one slice's length on, so that a fresh slice never looks recent.
+    // Numbers start at `SLICES`, so that a default slice never counts as recent.
     now.0 / (terms.window.0 / SLICES).max(1) + SLICES
 }
--- a/crates/core/src/fleet/cache.rs
+++ b/crates/core/src/fleet/cache.rs
@@ -1,13 +1,13 @@
-//! What an engine's memory probably still holds of earlier prompts.
+//! Estimates which prompt parts an engine still holds in its KV cache.
 //!
-//! The model follows what this daemon and its peers sent there and gives up the parts unused
-//! longest, as engines do. It is an estimate: a wrong one costs time, never an answer.
+//! The model follows the prompts that this daemon and its peers sent to the engine and evicts the least recently used
+//! parts, as engines do. A wrong estimate costs time but never affects an answer.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::prompt::{Part, Prompt};
 
-/// The estimated contents of one engine's memory.
+/// The estimated contents of one engine's KV cache.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity: u64,
@@ -18,22 +18,22 @@
 }
 
 impl PrefixCache {
-    /// An empty memory that keeps `tokens`.
+    /// Creates an empty cache with a capacity in tokens.
     #[must_use]
     pub fn new(tokens: u64) -> Self {
         Self { capacity: tokens, ..Self::default() }
     }
 
-    /// Tokens at the beginning of `prompt` that need not be read again.
+    /// Number of tokens at the start of `prompt` that need no prefill.
     #[must_use]
     pub fn held_tokens(&self, prompt: &Prompt) -> u32 {
         let held = prompt.parts.iter().take_while(|part| self.parts.contains_key(&part.chain));
         held.map(|part| part.tokens).sum()
     }
 
-    /// Note that a prompt with these parts is read there.
+    /// Records that a prompt with these parts is prefilled.
     pub fn insert(&mut self, parts: &[Part]) {
-        // The first part is used by the most prompts, so it is noted last.
+        // The first part is used by the most prompts, so it is marked as the most recently used.
         for part in parts.iter().rev() {
             self.touch(*part);
         }
--- a/crates/core/src/fleet/candidates.rs
+++ b/crates/core/src/fleet/candidates.rs
@@ -1,8 +1,8 @@
-//! The replicas that a request is chosen among.
+//! The candidate replicas for a request.
 //!
-//! A service with few replicas is looked at whole. Of many, a choice looks at a sample drawn for the request,
-//! most of it in the own hall, and at those that hold a part of its prompt: what a choice costs does not
-//! grow with the service, and the best of a hundred is hardly worse than the best of all.
+//! In a service with few replicas, all are candidates. In larger ones the candidates are a random sample for each
+//! request, most of it from the own hall, and the replicas that hold a part of the prompt. The cost of a selection
+//! therefore does not grow with the service, and the best of a hundred is hardly worse than the best of all.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,27 +15,26 @@
     prompt::{Part, Prompt},
 };
 
-/// Replicas of a service up to which all are looked at.
+/// Number of replicas in a service up to which all are candidates.
 const FULL_SCAN_LIMIT: usize = 128;
-/// Replicas of a sample in the own hall.
+/// Number of replicas sampled from the own hall.
 const SAMPLE_IN_HALL: usize = 64;
-/// Replicas of a sample in any hall.
+/// Number of replicas sampled from all halls.
 const SAMPLE_ANYWHERE: usize = 32;
-/// Replicas that are remembered to hold a part, the latest.
+/// Maximum number of replicas recorded as holders of a part; the most recent ones are kept.
 const MAX_HOLDERS: usize = 8;
-/// Parts whose holders are remembered, the latest.
+/// Maximum number of parts with recorded holders; the most recently added ones are kept.
 const MAX_PARTS: usize = 32_768;
 
-/// Replicas by service, and those that hold parts of prompts.
+/// The replicas of each service, and the holders of prompt parts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Candidates {
     services: HashMap<Arc<str>, Members>,
     holders: HashMap<u64, VecDeque<ReplicaKey>>,
-    /// Parts in the order in which they were first read.
+    /// Parts in the order in which they were added.
     parts: VecDeque<u64>,
 }
 
-/// The replicas of a service.
 #[derive(Clone, Debug, Default)]
 struct Members {
     all: Vec<ReplicaKey>,
@@ -43,7 +42,7 @@
 }
 
 impl Candidates {
-    /// Note a new replica.
+    /// Adds a replica.
     pub(super) fn add(&mut self, service: &Arc<str>, key: ReplicaKey, in_hall: bool) {
         let members = self.services.entry(Arc::clone(service)).or_default();
         members.all.push(key);
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Forget a replica.
+    /// Removes a replica.
     pub(super) fn remove(&mut self, service: &str, key: ReplicaKey) {
         if let Some(members) = self.services.get_mut(service) {
             members.all.retain(|other| *other != key);
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Note that a replica reads these parts.
+    /// Records that a replica prefills these parts and so will hold them.
     pub(super) fn record_prompt(&mut self, key: ReplicaKey, parts: &[Part]) {
         for part in parts {
             let holders = self.holders.entry(part.chain).or_default();
@@ -80,12 +79,12 @@
         }
     }
 
-    /// Replicas of a service.
+    /// All replicas of a service.
     pub(super) fn all(&self, service: &str) -> &[ReplicaKey] {
         self.services.get(service).map_or(&[], |members| &members.all)
     }
 
-    /// The replicas that a request looks at, each once.
+    /// The candidates for a request, without duplicates.
     pub(super) fn select(&self, service: &str, prompt: Option<&Prompt>, draw: u64) -> Vec<ReplicaKey> {
         let Some(members) = self.services.get(service) else {
             return Vec::new();
@@ -104,7 +103,7 @@
     }
 }
 
-/// So many keys, drawn with replacement.
+/// Draws `count` keys with replacement.
 fn sample_keys(keys: &[ReplicaKey], count: usize, draw: u64) -> impl Iterator<Item = ReplicaKey> {
     let count = if keys.is_empty() { 0 } else { count };
     (0..count as u64).map(move |n| keys[rendezvous(draw, n) as usize % keys.len()])
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -1,9 +1,9 @@
-//! Which replicas serve a request, and whether it can be in time.
+//! Replica selection and admission.
 //!
-//! A prompt is read by a prefill engine and answered by a decode engine, or read and answered by
-//! one engine. For each way the time to the first event is predicted from the work that is known
-//! to be ahead, and the way that costs least is taken: its time, and something for crossing
-//! halls. What cannot be in time is refused before anything is sent.
+//! A prompt is either prefilled by one engine and decoded by another, or one engine does both. For each option the
+//! time to the first event is predicted from the work known to be queued. The option with the lowest cost is chosen:
+//! its predicted time plus a penalty for crossing halls. Requests that cannot be served in time are refused before
+//! anything is sent.
 
 use slotmap::Key as _;
 
@@ -20,77 +20,77 @@
     time::{Span, Time},
 };
 
-/// How many times the time to send it counts for a request that is sent twice: the second send
-/// itself, and what waits behind it on the link.
+/// Weight of the send time of a request that is sent twice: the second send itself, and what is queued behind it on
+/// the link.
 const RESEND_FACTOR: f64 = 2.0;
-/// Milliseconds for each request beyond an engine's slots.
+/// Predicted wait in milliseconds for each request beyond an engine's slots.
 const SLOT_WAIT_MS: f64 = 20.0;
-/// The same for long answers, which keep their slots for seconds.
+/// Like [`SLOT_WAIT_MS`], for long answers, which occupy their slots for seconds.
 const LONG_SLOT_WAIT_MS: f64 = 60.0;
-/// Milliseconds that a short request counts more where it halts a long answer.
+/// Cost in milliseconds of a short request that preempts a long answer.
 const PREEMPTION_COST_MS: f64 = 10.0;
-/// Milliseconds that a plain replica counts more when all its slots are taken, since it slows down.
+/// Cost in milliseconds of a plain replica with all slots in use, since it slows down under load.
 const FULL_LOAD_COST_MS: f64 = 10.0;
-/// Tokens that an engine must hold more of a prompt than another one to be copied from.
+/// Minimum number of additional prompt tokens that another engine must hold for them to be copied from it.
 const MIN_COPY_TOKENS: u32 = 512;
-/// Milliseconds that the longest answers of a size must take for them to count as long.
+/// Answers count as long if the longest answers of their size take at least this many milliseconds.
 const LONG_ANSWER_MS: f64 = 1_000.0;
-/// Tokens of an answer from which on it counts as long in any case: the quickest engines take a second for them.
+/// Answers with at least this token limit always count as long: the fastest engines take a second for them.
 const LONG_OUTPUT_TOKENS: u32 = 1_500;
-/// Milliseconds of a read that disturbs nobody: one piece of a prompt.
+/// Prefill time in milliseconds that disturbs no other request: one chunk of a prompt.
 const SHORT_PREFILL_MS: f64 = 12.0;
-/// Milliseconds that each long answer counts more where a prompt is read beside it.
+/// Cost in milliseconds, for each long answer on an engine, of prefilling a prompt on the same engine.
 const INTERFERENCE_COST_MS: f64 = 1.0;
-/// Milliseconds that each request at an engine counts where a prompt is handed over to it.
+/// Cost in milliseconds of each active request on the engine that a prompt is handed over to.
 const ACTIVE_REQUEST_COST_MS: f64 = 0.2;
-/// Share of their time that readers have for what is late, at least: under an overload that is
-/// measured as such, nothing late is begun, but no prediction is endless.
+/// Minimum share of their time that prefill engines are assumed to have for late prompts. Under an overload that
+/// shows in the measured demand no late prompt is started, but no prediction becomes infinite.
 const MIN_FREE_SHARE: f64 = 0.05;
-/// Milliseconds that a replica counts more whose entry lapsed, or that a peer could not reach.
+/// Cost in milliseconds of a replica whose store entry lapsed or that a peer could not reach.
 const MAY_BE_GONE_COST_MS: f64 = 80.0;
-/// Milliseconds of chance for each daemon, and at most.
+/// Upper bound in milliseconds of the random jitter, for each daemon.
 const JITTER_MS_PER_DAEMON: f64 = 0.15;
-/// See [`JITTER_MS_EACH`].
+/// Upper bound in milliseconds of the random jitter for any number of daemons.
 const MAX_JITTER_MS: f64 = 25.0;
-/// Milliseconds by which the replicas that a request draws differ which is kept apart: more than anything else
-/// counts. It costs such a request the best place; drawn by chance, two of them would meet on one of
-/// twelve engines as often, but nobody would know what the others drew.
+/// Range in milliseconds of the costs that an isolated request draws for its replicas; larger than all other costs.
+/// Such a request loses the best replica. With a purely random choice two isolated requests would meet on one of
+/// twelve engines just as often, but other daemons would not know which engines were drawn.
 const ISOLATION_DRAW_MS: f64 = 10_000.0;
-/// Part of its remaining time after which a caller does not come back any more.
+/// Share of its remaining time after which a caller no longer retries.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.33;
-/// Shortest time after which a caller is told to come back.
+/// Minimum retry time that is sent to callers.
 const MIN_RETRY_AFTER: Span = Span::millis(60);
 
-/// A prompt that is to be read.
+/// A prompt to be prefilled.
 #[derive(Clone, Copy, Debug)]
 struct PrefillInput<'a> {
     prompt: &'a Prompt,
-    /// What is learned of the engines.
+    /// Learned model of the service's engines.
     engine: EngineModel,
-    /// The engine that holds the most of it, and how many tokens.
+    /// The engine that holds most of the prompt in its KV cache, and the number of tokens it holds.
     holder: Option<(ReplicaKey, u32)>,
-    /// Whether it can only be late.
+    /// Whether the request can no longer be in time.
     late: bool,
-    /// Whether its answer will keep a slot for seconds.
+    /// Whether its answer will occupy a slot for seconds.
     long: bool,
 }
 
 impl Fleet {
-    /// Choose how to serve a request.
+    /// Selects the replicas that serve a request.
     ///
     /// # Errors
-    /// Why it is not to be served.
+    /// Returns the reason why the request cannot be served.
     pub fn choose(&self, req: &RouteRequest<'_>, now: Time) -> Result<Plan, PlanError> {
         Selection::new(self, req, now).plan()
     }
 
-    /// The engine that answers a prompt which another one reads or has read.
+    /// Selects the engine that decodes a prompt which another engine prefills or has prefilled.
     #[must_use]
     pub fn choose_decode_step(&self, req: &RouteRequest<'_>, prefill: &Step, long: bool, now: Time) -> Option<Step> {
         Selection::new(self, req, now).decode_step(prefill, long)
     }
 
-    /// The replicas that a request may go to, of those that it looks at.
+    /// The replicas among the candidates of a request that accept requests from this daemon now.
     fn eligible(&self, req: &RouteRequest<'_>, now: Time) -> Vec<(ReplicaKey, &Replica)> {
         let mut rows = self.available(req, now);
         rows.retain(|(_, replica)| replica.accepts(self.slot_share, now));
@@ -103,10 +103,10 @@
         available.map(|(_, replica)| replica.time_until_accepted(self.slot_share, now)).min()
     }
 
-    /// The replicas that a request may go to, regardless of their rate limits and retry times.
+    /// The candidates of a request that are available, regardless of their rate limits and retry times.
     fn available(&self, req: &RouteRequest<'_>, now: Time) -> Vec<(ReplicaKey, &Replica)> {
         let candidates = match req.isolation {
-            // What it draws must be the same on all daemons.
+            // All daemons must draw from the same replicas.
             Some(_) => self.candidates.all(req.service).to_vec(),
             None => self.candidates.select(req.service, req.prompt, req.draw),
         };
@@ -117,18 +117,18 @@
         rows.filter(is_available).collect()
     }
 
-    /// Whether an answer of so many tokens at most may keep its slot for a second or more.
+    /// Whether an answer with this token limit may occupy its slot for a second or more.
     fn is_long(&self, service: &str, tokens: u32) -> bool {
         let longest_ms = self.services.get(service).and_then(|state| state.engine.answers.longest_ms(tokens));
         tokens >= LONG_OUTPUT_TOKENS || longest_ms.is_some_and(|longest_ms| longest_ms >= LONG_ANSWER_MS)
     }
 
-    /// What is learned of the engines of a service.
+    /// The learned model of a service's engines.
     fn engine(&self, service: &str) -> EngineModel {
         self.services.get(service).map(|state| state.engine).unwrap_or_default()
     }
 
-    /// Milliseconds of reading at once that do not hold up the streams beside it for too long.
+    /// Longest uninterrupted prefill in milliseconds that does not delay streams on the same engine for too long.
     fn max_prefill_burst_ms(&self, service: &str, engine: &EngineModel) -> f64 {
         let pause = self.services.get(service).and_then(|state| state.max_pause);
         let pause_ms = pause.map_or(self.policy.pause_ms, Span::in_millis);
@@ -136,21 +136,21 @@
         (room * self.policy.pause_share).max(SHORT_PREFILL_MS)
     }
 
-    /// Whether this daemon has not heard for long enough what its peers do.
+    /// Whether this daemon started so recently that it may not have received the load of all peers.
     #[must_use]
     pub fn is_warming_up(&self, now: Time) -> bool {
         !self.warm_at.is_past(now)
     }
 }
 
-/// One choice: its request, and what is the same for all replicas that it looks at.
+/// The selection of replicas for one request, with the inputs that are the same for all candidates.
 struct Selection<'a> {
     fleet: &'a Fleet,
     req: &'a RouteRequest<'a>,
     now: Time,
     eligible: Vec<(ReplicaKey, &'a Replica)>,
-    /// Milliseconds of chance at most, so that daemons whose view is equally old do not all choose the same
-    /// replica. The view gets older with the number of daemons, since each then reports less often.
+    /// Upper bound in milliseconds of the random jitter, which keeps daemons with equally old views from all choosing
+    /// the same replica. The views are older the more daemons there are, since each daemon then reports less often.
     jitter_ms: f64,
 }
 
@@ -172,7 +172,7 @@
         if urgent.predicted_ms() - self.discount_ms(&urgent, prompt) <= in_time_ms {
             return Ok(urgent);
         }
-        // It is worth less when late, but not nothing, and costs others no time behind them.
+        // A late answer is worth less, but still something, and it is queued such that it delays no other request.
         let late = self.engine_plan(&PrefillInput { late: true, ..input }).ok_or_else(|| self.plan_error())?;
         let left = self.req.first_event_left.min(self.req.time_left);
         let late = self.with_urgent_delay(late);
@@ -189,12 +189,12 @@
         }
     }
 
-    /// The eligible engines that answer.
+    /// The eligible engines that decode.
     fn answering(&self) -> impl Iterator<Item = (ReplicaKey, &'a Replica)> {
         self.eligible.iter().copied().filter(|(_, replica)| replica.facts.role != Role::Prefill)
     }
 
-    /// Milliseconds that are not counted for a large prompt, if such are served too seldom.
+    /// Milliseconds by which the predicted time of a large prompt is reduced if large prompts are served too seldom.
     fn discount_ms(&self, plan: &Plan, prompt: &Prompt) -> f64 {
         let state = self.fleet.services.get(self.req.service).filter(|_| !plan.is_long());
         state.map_or(0.0, |state| state.large_prompts.discount_ms(prompt.tokens, plan.prefill_step().work_ms))
@@ -244,9 +244,10 @@
         }
     }
 
-    /// The engine that reads and answers a prompt. One with long answers under way reads no longer
-    /// than their pause allows; with `spare_short` one with short answers neither, and nothing larger at
-    /// all where the long ones would end too late.
+    /// The engine that both prefills and decodes a prompt. An engine with long answers takes no prefill that is
+    /// longer than the maximum pause of their streams allows. With `protect_short` the same holds for engines with
+    /// short answers only, and an engine whose long answers would end too late takes no prefill above
+    /// [`SHORT_PREFILL_MS`].
     fn single_step(&self, input: &PrefillInput<'_>, protect_short: bool) -> Option<Step> {
         let pause_ms = self.fleet.max_prefill_burst_ms(self.req.service, &input.engine);
         let placement = self.fleet.placement(self.req, input.long, self.now);
@@ -270,7 +271,7 @@
         }))
     }
 
-    /// The engine that only reads a prompt.
+    /// The engine that only prefills a prompt.
     fn prefill_step(&self, input: &PrefillInput<'_>) -> Option<Step> {
         let engines = self.eligible.iter().filter(|(_, replica)| replica.facts.role == Role::Prefill);
         cheapest(engines.map(|(key, replica)| {
@@ -280,7 +281,7 @@
         }))
     }
 
-    /// The engine whose memory holds the most of a prompt, and how many tokens.
+    /// The engine whose KV cache holds most of a prompt, and the number of tokens it holds.
     fn holder(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
         let sure = self.eligible.iter().filter(|(_, replica)| !replica.may_be_gone(self.now));
         let held = sure.map(|(key, replica)| (*key, replica.cache.held_tokens(prompt)));
@@ -327,7 +328,7 @@
         let ahead_ms = if late { replica.prefill_ms(self.now) } else { replica.urgent_prefill_ms(self.now) };
         Step {
             key,
-            // The engine goes on with what it has while the request is on its way.
+            // The engine works on its queue while the request is being sent.
             wait_ms: ahead_ms.max(link_ms),
             link_ms,
             work_ms: engine.read.work_ms(reading) * factor * replica.slowness(self.now) + copy_ms,
@@ -340,8 +341,8 @@
         }
     }
 
-    /// A late plan with the time for which what is more urgent keeps coming before it. Its own
-    /// reading is not broken off once it has begun.
+    /// Extends a late plan by the time for which more urgent requests keep being served first. Its own prefill is not
+    /// preempted once it has started.
     fn with_urgent_delay(&self, plan: Plan) -> Plan {
         let service = self.req.service;
         let all = self.fleet.candidates.all(service).iter().filter_map(|key| self.fleet.replicas.get(*key));
@@ -359,7 +360,7 @@
         self.jitter_ms * unit_fraction(rendezvous(self.req.draw, key.data().as_ffi()))
     }
 
-    /// What tells the replicas apart that may answer: some chance, or the draw of a request that is kept apart.
+    /// The cost that distinguishes otherwise equal replicas: random jitter, or the draw of an isolated request.
     fn tie_break_ms(&self, key: ReplicaKey) -> f64 {
         let Some(Isolation { content, .. }) = self.req.isolation else {
             return self.jitter_ms(key);
@@ -368,7 +369,7 @@
         ISOLATION_DRAW_MS * unit_fraction(rendezvous(content.0, u64::from(id)))
     }
 
-    /// What copied tokens cost, since they push out others.
+    /// Cost of the copied tokens, since they evict others.
     fn eviction_cost_ms(&self, step: &Step) -> f64 {
         f64::from(step.copy_tokens) / 1_000.0 * self.fleet.policy.copy_cost_ms
     }
@@ -378,7 +379,7 @@
         if self.req.was_refused { policy.admit_share_returned } else { policy.admit_share }
     }
 
-    /// What the way to a replica counts: another hall and how far it is, and doubt whether it is there at all.
+    /// Cost of reaching a replica: the latency to another hall, and a penalty if the replica may be gone.
     fn reachability_cost_ms(&self, replica: &Replica) -> f64 {
         let Fleet { hall, policy, hall_latencies, .. } = self.fleet;
         let is_own = *replica.facts.hall == **hall;
@@ -387,8 +388,8 @@
     }
 }
 
-/// The wait for one of an engine's slots. Engines admit urgent short requests before the long
-/// answers that fill them, so only their like is ahead of those.
+/// Predicted wait for a slot of an engine. Engines admit urgent short requests before the long answers that occupy
+/// the slots, so a short request waits only for other short ones.
 fn slot_wait_ms(replica: &Replica, long: bool) -> f64 {
     let slots = replica.facts.slots;
     let active = replica.active();
@@ -400,7 +401,7 @@
     crowded + f64::from((short + 1).saturating_sub(slots)) * SLOT_WAIT_MS
 }
 
-/// The plan, or a refusal if it is predicted to take longer than `limit`.
+/// Returns the plan, or a refusal if it is predicted to take longer than `limit`.
 fn admit_within(limit: Span, plan: Plan, req: &RouteRequest<'_>) -> Result<Plan, PlanError> {
     let predicted_ms = plan.predicted_ms();
     let over_ms = predicted_ms - limit.in_millis();
@@ -411,7 +412,7 @@
     Ok(plan)
 }
 
-/// A drawn number as a part of one.
+/// Maps a random number to the range from 0 to 1.
 fn unit_fraction(draw: u64) -> f64 {
     draw as f64 / u64::MAX as f64
 }
@@ -420,7 +421,8 @@
     steps.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, step)| step)
 }
 
-/// When a refused caller should come back: once the work ahead is likely to be done, spread out.
+/// Time after which a refused caller should retry: once the queued work is probably done, spread at random up to
+/// [`MAX_RETRY_AFTER_SHARE`] of its remaining time.
 fn retry_after(req: &RouteRequest<'_>, over_ms: f64) -> Span {
     let longest = Span::seconds(req.time_left.as_seconds() * MAX_RETRY_AFTER_SHARE);
     let earliest = Span::seconds(over_ms / 1_000.0).max(MIN_RETRY_AFTER).min(longest);
--- a/crates/core/src/fleet/discovery.rs
+++ b/crates/core/src/fleet/discovery.rs
@@ -1,12 +1,12 @@
-//! Which replicas there are, from the entries that they keep in the store.
+//! Adds, updates and removes replicas according to their entries in the store.
 //!
-//! An entry that is removed means that the replica left. Right after the store was away that is
-//! not certain: entries lapsed that their replicas could not renew. Such a replica stays for a
-//! short while, and counts as gone if its entry does not come back by then.
+//! A removed entry means that the replica has left. Shortly after an outage of the store this is not certain, since
+//! replicas could not renew their entries and some lapsed. Such a replica is kept for a grace period and counts as
+//! gone if its entry is not restored by then.
 //!
-//! A replica that starts again may keep its identifier. Then it gets a row of its own, with a key and a hash of its own, so
-//! nothing that is believed of the start before reaches it: work under way, memory, health, orders, what peers tell.
-//! How slow the machine is stays.
+//! A restarted replica may keep its identifier. It is then added as a new replica with a key and a hash of its own,
+//! so that no state of the previous start applies to it: load, cache, health, orders, and reports of peers. Only the
+//! slowness is kept, since it is a property of the machine.
 
 use std::sync::Arc;
 
@@ -19,9 +19,9 @@
 };
 
 impl Fleet {
-    /// Note a replica's entry at a revision of the store; older news is ignored.
+    /// Applies a replica's entry at a store revision; older information is ignored.
     ///
-    /// Returns whether something that matters changed.
+    /// Returns whether relevant information changed.
     pub fn put(&mut self, facts: ReplicaFacts, revision: i64) -> bool {
         let known = self.by_id.get(&facts.id).copied();
         let Some((key, replica)) = known.and_then(|key| Some((key, self.replicas.get(key)?))) else {
@@ -66,9 +66,9 @@
         key
     }
 
-    /// Note that a replica's entry was removed at a revision; it counts as gone at `gone_at`.
+    /// Records that a replica's entry was removed at a store revision; the replica counts as gone at `gone_at`.
     ///
-    /// Returns whether the replica was known.
+    /// Returns whether the replica is known and the information is not outdated.
     pub fn mark_removed(&mut self, id: &str, revision: i64, gone_at: Time) -> bool {
         let Some(replica) = self.by_id.get(id).and_then(|key| self.replicas.get_mut(*key)) else {
             return false;
@@ -81,14 +81,14 @@
         true
     }
 
-    /// Note that the process at a replica's address is another one.
+    /// Records that another process now listens at a replica's address.
     pub fn mark_replaced(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.gone_at = now;
         }
     }
 
-    /// Forget replicas that are gone and have nothing under way.
+    /// Removes replicas that are gone and have no active requests; returns their identifiers.
     pub fn remove_gone(&mut self, now: Time) -> Vec<Arc<str>> {
         let gone: Vec<ReplicaKey> = self
             .replicas
@@ -115,7 +115,7 @@
             return false;
         }
         let changed = replica.facts != facts || replica.gone_at != Time::NEVER;
-        // A replica that said that it leaves does not come back under the same identifier.
+        // A draining replica does not become available again under the same identifier.
         let draining = replica.facts.draining || facts.draining;
         if replica.facts.role != facts.role {
             replica.role_change_until = Time(0);
--- a/crates/core/src/fleet/distance.rs
+++ b/crates/core/src/fleet/distance.rs
@@ -1,23 +1,23 @@
-//! How far halls are, learned from the time that connections to their replicas take.
+//! Latencies to the halls, learned from the time that connections to their replicas take.
 
 use std::sync::Arc;
 
 use crate::{fleet::engine::running_mean::RunningMean, time::Span};
 
-/// Weight of a new observation, once there are many.
+/// Minimum weight of a new observation.
 const MIN_WEIGHT: f64 = 0.05;
-/// How many times as long as usual a connection counts at most: most of what is longer was waiting.
+/// Observations count as at most this multiple of the mean: most of the excess was waiting time.
 const MAX_OUTLIER_FACTOR: f64 = 3.0;
-/// Connections after which a distance is known.
+/// Number of connections after which a latency counts as known.
 const MIN_OBSERVATIONS: u32 = 5;
-/// Round trips of a call: one for its connection, one for the request and the first bytes of its answer.
+/// Round trips of a call: one for the connection, one for the request and the first bytes of the answer.
 const ROUND_TRIPS_PER_CALL: f64 = 2.0;
 
-/// A hall's place in the table.
+/// Index of a hall in [`HallLatencies`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct HallKey(usize);
 
-/// The halls that replicas are in.
+/// Learned latencies of the halls that have replicas.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HallLatencies {
     halls: Vec<Hall>,
@@ -31,7 +31,7 @@
 }
 
 impl HallLatencies {
-    /// The place of a hall.
+    /// The index of a hall, which is added if it is new.
     pub(super) fn key(&mut self, name: &Arc<str>) -> HallKey {
         let known = self.halls.iter().position(|hall| hall.name == *name);
         HallKey(known.unwrap_or_else(|| {
@@ -44,7 +44,7 @@
         }))
     }
 
-    /// Learn from a connection that took so long.
+    /// Learns from the time that a connection took.
     pub(super) fn learn(&mut self, key: HallKey, took: Span) {
         if let Some(hall) = self.halls.get_mut(key.0) {
             let longest = if hall.observations >= MIN_OBSERVATIONS {
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Milliseconds that a call to a hall takes longer than one to the nearest; none while its distance is not known.
+    /// Milliseconds by which a call to a hall takes longer than one to the nearest; zero while its latency is not
+    /// known.
     pub(super) fn extra_ms(&self, key: HallKey) -> f64 {
         let Some(hall) = self.halls.get(key.0).filter(|hall| hall.observations >= MIN_OBSERVATIONS) else {
             return 0.0;
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! The replicas behind the routes: which there are, what they are doing, and who gets a request.
+//! The replicas behind the routes: their state, their load, and the selection of replicas for requests.
 //!
-//! [`replica`] is a row of the table. Discovery changes which rows there are ([`discovery`]);
-//! daemons report to each other what they have under way ([`peers`]). [`plan`] says what a request asks for and
-//! how it is to be served; `choose` picks replicas for it from that view, among its `candidates`, or says that
-//! it cannot be in time, and `packing` says where long answers go. [`cache`], [`engine`] and `distance` are
-//! estimates that this needs, [`budget`] bounds repeated sends, and [`split`] decides which role an engine
-//! should play. [`rate_limit`] divides the rate limit of a replica among the daemons. [`endings`] finds the requests
-//! that end replicas.
+//! [`replica`] holds the state of one replica. Replicas are added and removed by [`discovery`]; daemons report their
+//! load to each other ([`peers`]). [`plan`] describes a request and how it will be served. `choose` selects replicas
+//! from its `candidates` or refuses requests that cannot be served in time; `packing` places long answers. The
+//! selection uses the estimates of [`cache`], [`engine`] and `distance`. [`budget`] limits retries, [`split`] chooses
+//! the roles of engines, `sizes` keeps large prompts from being refused far more often than others, [`pool`] chooses
+//! the number of engines, and [`rate_limit`] divides the rate limit of a replica among the daemons. [`endings`]
+//! identifies requests that crash replicas.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -54,39 +54,39 @@
 mod sizes;
 pub mod split;
 
-/// Milliseconds of a plain call before anything is learned.
+/// Estimated milliseconds of a plain call before any was observed.
 const INITIAL_PLAIN_MS: f64 = 20.0;
-/// Weight of a new observation of a plain call.
+/// Weight of a new observation of a plain call's duration.
 const PLAIN_WEIGHT: f64 = 0.05;
-/// Time after the start in which a daemon may not have heard of all that its peers do.
+/// Time after its start in which a daemon may not yet have received the load of all peers.
 const WARM_UP: Span = Span::millis(1_000);
-/// Memory of an engine whose configuration is not known yet, in tokens.
+/// KV cache capacity in tokens of engines whose configuration is not yet known.
 const DEFAULT_KV_CAPACITY: u64 = 100_000;
 
-/// What is learned of one service.
+/// What this daemon has learned about one service.
 #[derive(Clone, Debug)]
 struct ServiceState {
     engine: EngineModel,
     plain_ms: f64,
     budget: RetryBudget,
     kv_capacity_tokens: u64,
-    /// Longest pause between the events of its streams that is in time; absent if none is known.
+    /// Longest pause between events of a stream that callers accept; `None` if not configured.
     max_pause: Option<Span>,
-    /// What is asked of long answers; absent before there was one.
+    /// Requirements on long answers; `None` until one was requested.
     long_answers: Option<LongAnswers>,
     demand_meter: DemandMeter,
     large_prompts: LargePromptFairness,
 }
 
-/// What callers req of a service's long answers.
+/// What callers require of a service's long answers.
 #[derive(Clone, Copy, Debug)]
 struct LongAnswers {
-    /// Time that they have, as the last of them was asked for.
+    /// Time limit of the most recently requested long answer.
     limit: Span,
-    /// Tokens of that answer at most.
+    /// Token limit of that answer.
     tokens: u32,
-    /// When the first of them must be over: until then only the shorter have ended, and do not tell how
-    /// long the longest are.
+    /// Time at which the first long answer must have ended. Until then only shorter ones have ended, which do not
+    /// show how long the longest answers are.
     lengths_known_from: Time,
 }
 
@@ -105,76 +105,76 @@
     }
 }
 
-/// How one step at a replica ended, for what is learned from it.
+/// How a step on a replica ended, which determines what is learned from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepEnd {
-    /// It did what was asked.
+    /// The replica did what was requested.
     Done,
-    /// It rejected the request without running it.
+    /// The replica rejected the request without running it.
     Rejected,
-    /// It failed, or its answer was lost.
+    /// The replica failed, or its answer was lost.
     Failed,
-    /// It could not be reached, or said nothing.
+    /// The replica could not be reached or did not answer.
     Silent,
-    /// The caller left or the daemon gave up first; nothing is learned.
+    /// The caller disconnected or the daemon gave up first; nothing is learned.
     Unknown,
 }
 
-/// Work that was sent to a replica and is not over.
+/// A step that was sent to a replica and has not ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentStep {
-    /// Where.
+    /// The replica.
     pub key: ReplicaKey,
-    /// What it counts as.
+    /// The load that it is counted as.
     pub load: Load,
-    /// What is to be read.
+    /// The prompt tokens to prefill.
     pub reading: Reading,
-    /// What is to be handed over to it.
+    /// The KV cache to be transferred to the replica.
     pub moved: Option<Moved>,
-    /// Milliseconds after which it should be over.
+    /// Predicted milliseconds until it ends.
     pub expected_ms: f64,
-    /// Time that this VM's link needs to send it.
+    /// Time that this VM's link takes to send it.
     pub link: Span,
-    /// Whether the replica had nothing else to read.
+    /// Whether the replica had no other prompt to prefill.
     pub had_no_prefill: bool,
-    /// Long answers that were known to be there.
+    /// Number of other long answers known to be on the replica.
     pub other_streams: u32,
-    /// Tokens of its answer at most.
+    /// Token limit of the answer.
     pub max_output: u32,
-    /// Tokens of its answer as its caller guesses.
+    /// Number of answer tokens that the caller expects.
     pub output_hint: Option<u32>,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub at: Time,
 }
 
-/// A part of a stream, as it was passed on.
+/// A part of a stream that was forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamPart {
-    /// Its events.
+    /// Number of events in this part.
     pub events: u64,
-    /// Events of the stream until the part's end, but for the first.
+    /// Number of events of the stream up to the end of this part, without the first.
     pub total: u64,
-    /// What they took.
+    /// Duration of this part.
     pub took: Span,
-    /// The longest time between two of them; none where that is not known.
+    /// Longest time between two of its events; zero if not known.
     pub longest_interval: Span,
 }
 
 impl StreamPart {
-    /// The mean time between two events; absent if there were none.
+    /// Mean time between two events; `None` if there were none.
     #[must_use]
     pub fn interval(&self) -> Option<Span> {
         self.took.0.checked_div(self.events).map(Span)
     }
 }
 
-/// The replicas of all services, as this daemon sees them.
+/// The replicas of all services as this daemon sees them.
 #[derive(Debug, Default)]
 pub struct Fleet {
     hall: String,
     policy: FleetPolicy,
     replicas: SlotMap<ReplicaKey, Replica>,
-    /// When this daemon began to hear its peers; before, it does not know what they do.
+    /// Time from which the load of all peers is known.
     warm_at: Time,
     by_id: HashMap<Arc<str>, ReplicaKey>,
     by_start_id: HashMap<u32, ReplicaKey>,
@@ -183,54 +183,53 @@
     prompt_notes: Vec<peers::PromptNote>,
     /// Hash of this daemon's hall.
     hall_hash: u32,
-    /// Prompts that daemons of this hall sent since other halls were last told.
+    /// Prompts that daemons of this hall have sent since the last summary for other halls.
     hall_prompt_notes: Vec<peers::PromptNote>,
     candidates: Candidates,
-    /// Replicas of which this daemon may have something to report.
+    /// Replicas for which this daemon may have something to report.
     reportable: HashSet<ReplicaKey>,
-    /// How far halls are.
     hall_latencies: HallLatencies,
-    /// When others are told again what was learned.
+    /// Time of the next report of what was learned.
     next_learned_report: Time,
-    /// Daemons that are listed, whether they are heard or not.
+    /// Number of daemons that are registered, whether or not their reports arrive.
     listed_daemons: usize,
     /// Determines which rate-limit slots belong to this daemon.
     slot_share: SlotShare,
-    /// Requests under which replicas ended.
+    /// Requests during which replicas crashed.
     pub crashes: Endings,
 }
 
 impl Fleet {
-    /// No replicas, seen from `hall`.
+    /// Creates a fleet without replicas for a daemon in `hall`.
     #[must_use]
     pub fn new(hall: &str, policy: FleetPolicy, now: Time) -> Self {
         Self { hall: hall.to_owned(), hall_hash: short_id(hall), policy, warm_at: now + WARM_UP, ..Self::default() }
     }
 
-    /// A replica's row.
+    /// The replica with this key.
     #[must_use]
     pub fn get(&self, key: ReplicaKey) -> Option<&Replica> {
         self.replicas.get(key)
     }
 
-    /// The key of the replica `id`.
+    /// The key of the replica with this identifier.
     #[must_use]
     pub fn key(&self, id: &str) -> Option<ReplicaKey> {
         self.by_id.get(id).copied()
     }
 
-    /// All rows.
+    /// All replicas.
     pub fn replicas(&self) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         self.replicas.iter()
     }
 
-    /// Note how many daemons are listed, this one included.
+    /// Sets the number of registered daemons, including this one.
     pub const fn set_listed_daemons(&mut self, daemons: usize) {
         self.listed_daemons = daemons;
     }
 
-    /// Set the zero-based rank of this daemon among those that are listed, and the offset from its clock to the time of
-    /// day.
+    /// Sets the zero-based rank of this daemon among the registered ones, and the offset from its clock to the time
+    /// of day.
     pub fn set_slot_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
         let (daemons, rank) = (self.daemons().max(self.listed_daemons) as u64, rank as u64);
         let changed = (daemons, rank) != (self.slot_share.daemons, self.slot_share.rank);
@@ -238,17 +237,17 @@
         self.slot_share = SlotShare { daemons, rank, clock_offset, changed_at };
     }
 
-    /// Note what the configuration says of the memory of a service's engines.
+    /// Sets the configured KV cache capacity of a service's engines, in tokens.
     pub fn set_kv_capacity(&mut self, service: &Arc<str>, tokens: u64) {
         self.service_mut(service).kv_capacity_tokens = tokens;
     }
 
-    /// Note the longest pause between the events of a service's streams that is in time.
+    /// Sets the longest pause between events of a service's streams that callers accept.
     pub fn set_max_pause(&mut self, service: &Arc<str>, pause: Option<Span>) {
         self.service_mut(service).max_pause = pause;
     }
 
-    /// Learn from a whole stream that was passed on.
+    /// Learns from a stream that was forwarded to its end.
     pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
@@ -265,13 +264,13 @@
         }
     }
 
-    /// Learn from a part of a stream that was passed on and may go on.
+    /// Learns from a part of a stream that was forwarded and may continue.
     pub fn learn_stream(&mut self, sent: &SentStep, part: &StreamPart) {
         let (Some(replica), Some(interval)) = (self.replicas.get_mut(sent.key), part.interval()) else {
             return;
         };
         let engine = &mut self.services.entry(Arc::clone(&replica.facts.service)).or_default().engine;
-        // Until the pace is known nobody can tell which answers are long.
+        // Until the pace is known, long answers cannot be told from short ones.
         if sent.load.streams > 0 || !engine.answers.is_known() {
             let slowness = engine.answers.learn(interval, replica.streams(), replica.answer_slowness.value());
             replica.learn_answer_slowness(slowness);
@@ -279,7 +278,7 @@
         }
     }
 
-    /// Note a new request, what it would req of engines, and whether it is admitted.
+    /// Records a new request, the work it would require of engines, and whether it is admitted.
     pub fn record_demand(
         &mut self,
         service: &Arc<str>,
@@ -309,8 +308,8 @@
         state.demand_meter.record_request(&request, now);
     }
 
-    /// Note that work begins at a replica; `prompt` is what it reads. Returns `None` if the replica is gone or
-    /// its rate limit or retry time does not let this daemon send now.
+    /// Records that a step starts on a replica; `prompt` is the prompt to prefill. Returns `None` if the replica is
+    /// gone or its rate limit or retry time does not let this daemon send now.
     pub fn begin(
         &mut self,
         key: ReplicaKey,
@@ -358,7 +357,7 @@
         })
     }
 
-    /// Note that reading is over while the request goes on; returns the work that remains counted.
+    /// Records that the prefill has ended while the request continues; removes it from the load of `sent`.
     pub fn prefill_ended(&mut self, sent: &mut SentStep, end: StepEnd, now: Time) {
         let read = Load { prefill_ms: sent.load.prefill_ms, late_ms: sent.load.late_ms, ..Load::default() };
         if let Some(replica) = self.replicas.get_mut(sent.key) {
@@ -370,14 +369,14 @@
         sent.load = sent.load.minus(read);
     }
 
-    /// Note that work at a replica is over; returns whether the replica is left out from now on.
+    /// Records that a step on a replica has ended; returns whether this ejects the replica.
     pub fn end(&mut self, sent: &SentStep, end: StepEnd, now: Time) -> bool {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return false;
         };
         replica.own_load = replica.own_load.minus(sent.load);
         if replica.own_load.active == 0 {
-            // Rounding errors do not add up.
+            // Prevents rounding errors from accumulating.
             replica.own_load.prefill_ms = 0.0;
             replica.own_load.late_ms = 0.0;
         }
@@ -390,16 +389,17 @@
         false
     }
 
-    /// Learn from the time that a connection to a replica took.
+    /// Learns from the time that it took to connect to a replica.
     pub fn learn_connection(&mut self, key: ReplicaKey, took: Span) {
         if let Some(replica) = self.replicas.get(key) {
             self.hall_latencies.learn(replica.hall, took);
         }
     }
 
-    /// Note that nothing listens where this start of a replica was; returns whether it is left out from now on.
+    /// Records that nothing listens at the address of this start of a replica; returns whether this ejects the
+    /// replica.
     ///
-    /// What broke one request is not learned by the next and by other daemons anew, each by a try of its own.
+    /// Other requests and daemons then do not each have to find out by an attempt of their own.
     pub fn mark_unreachable(&mut self, facts: &ReplicaFacts, now: Time) -> bool {
         let key = self.key(&facts.id);
         self.reportable.extend(key);
@@ -408,8 +408,8 @@
         replica.is_some_and(|replica| replica.health.unreachable(now))
     }
 
-    /// Apply the rate limit, or its absence, from an answer of this start of a replica to a request that was sent at
-    /// `sent_at`; returns whether the limit changed.
+    /// Applies the rate limit, or its absence, from an answer of this start of a replica to a request that was sent
+    /// at `sent_at`; returns whether the limit changed.
     pub fn set_rate_limit(&mut self, facts: &ReplicaFacts, limit: Option<f64>, sent_at: Time, now: Time) -> bool {
         let Some(key) = self.key(&facts.id) else {
             return false;
@@ -426,7 +426,7 @@
         changed
     }
 
-    /// Postpone the time from which a replica accepts requests from this daemon again; returns whether it changed.
+    /// Postpones the time from which a replica accepts requests from this daemon again; returns whether it changed.
     ///
     /// Has no effect if `retry_at` is not later than the present retry time, or if the replica is unknown or has
     /// restarted since it was selected.
@@ -440,7 +440,7 @@
         is_later
     }
 
-    /// Mark a replica as draining because an answer states that it is leaving; returns whether the mark is new.
+    /// Marks a replica as draining because an answer states that it is leaving; returns whether the mark is new.
     ///
     /// Has no effect if the replica is unknown or has restarted since it was selected.
     pub fn set_draining(&mut self, facts: &ReplicaFacts) -> bool {
@@ -453,14 +453,14 @@
         is_new
     }
 
-    /// Whether another start of a replica is known by now.
+    /// Whether the replica is known to have restarted since.
     #[must_use]
     pub fn is_replaced(&self, facts: &ReplicaFacts) -> bool {
         let replica = self.key(&facts.id).and_then(|key| self.replicas.get(key));
         replica.is_some_and(|replica| !replica.facts.is_same_start(facts))
     }
 
-    /// Learn from a plain call that took `took`.
+    /// Learns from a plain call that took `took`.
     pub fn learn_plain_call(&mut self, sent: &SentStep, took: Span, now: Time) {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return;
@@ -471,26 +471,26 @@
         state.plain_ms += PLAIN_WEIGHT * (took.in_millis() - state.plain_ms);
     }
 
-    /// How to treat a request, by the replicas that ended under it.
+    /// How to treat a request, given the replicas that crashed during it.
     pub fn standing(&mut self, content: ContentHash, now: Time) -> Standing {
         let daemons = self.daemons();
         let is_cut_off = daemons == 1 && self.listed_daemons > 1;
         self.crashes.standing(content, daemons, is_cut_off, now)
     }
 
-    /// Note a new request for a service.
+    /// Adds a new request to the retry budget of a service.
     pub fn record_request(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
         self.service_mut(service).budget.record_request(terms, now);
     }
 
-    /// Count a repeated send that turned out to be one only after it was sent.
+    /// Charges a call that turned out to be a retry only after it was sent.
     pub fn charge_retry(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
         self.service_mut(service).budget.charge(terms, now);
     }
 
-    /// Take so many repeated sends to a service from the budget, if they are there.
+    /// Takes `count` retries from the budget of a service; returns whether the budget allows them.
     pub fn take_retries(&mut self, count: u32, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) -> bool {
-        // A daemon that is cut off from the others must not take their part of the budget.
+        // A daemon that is cut off from its peers must not use their shares of the budget.
         let daemons = self.daemons().max(self.listed_daemons);
         self.service_mut(service).budget.take(count, terms, daemons, now)
     }
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -1,37 +1,37 @@
-//! Where long answers go, among the engines that can answer.
+//! Placement of long answers on engines.
 //!
-//! They are kept together on few engines, so that the others read undisturbed or can change their role, but
-//! each ends in time and goes on without long pauses: an engine computes all its answers together, and each
-//! goes on the slower the more it has. Answers that are likely to be short go where others go on slowest
-//! already, and leave the rest to those that need it.
+//! Long answers are packed on few engines, so that the others can prefill undisturbed or change their role, as long
+//! as each ends in time and has no long pauses. An engine computes a step for all its answers together, so each
+//! answer proceeds more slowly the more of them there are. Answers that are probably short are placed on the engines
+//! that are already slowest, which leaves the others to answers that need them.
 
 use crate::{
     fleet::{Fleet, ServiceState, engine::answer_pace::AnswerPace, plan::RouteRequest, replica::Replica},
     time::Time,
 };
 
-/// Milliseconds that an engine counts more at most for a long answer that ends there in time.
+/// Maximum cost in milliseconds of an engine on which a long answer ends in time.
 const PACKING_MS: f64 = 40.0;
-/// How many times that an engine counts more where the last event would come too late by the whole time left.
-/// A tenth of that time counts as much as opening an empty engine, so that answers go where all of them
-/// go on fastest once no engine has room.
+/// Multiple of [`PACKING_MS`] that an engine costs if the last event would be late by the whole remaining time. Being
+/// late by a tenth of that time costs as much as using an empty engine, so that answers go where all of them proceed
+/// fastest once no engine has room.
 const LATENESS_WEIGHT: f64 = 10.0;
 
-/// What placing one long answer goes by, the same for all engines of its service.
+/// Inputs for the placement of one long answer, which are the same for all engines of its service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Placement<'a> {
-    /// How fast answers go on; absent while nothing is known of that.
+    /// The pace of answers; `None` while it is not known.
     pace: Option<&'a AnswerPace>,
-    /// Milliseconds between two events at which the answer ends in time.
+    /// Longest interval in milliseconds between two events with which the answer ends in time.
     max_interval_ms: f64,
-    /// Part of an engine's slots that long answers may take.
+    /// Share of an engine's slots that long answers may use.
     packed_share: f64,
 }
 
 impl Placement<'_> {
-    /// Milliseconds that a replica counts more for the answer.
+    /// Cost in milliseconds of placing the answer on a replica.
     ///
-    /// While nothing is known of their pace, engines are filled one after the other.
+    /// While the pace is not known, engines are filled one after the other.
     pub(super) fn cost_ms(&self, replica: &Replica) -> f64 {
         let slots = f64::from(replica.facts.slots) * self.packed_share;
         let streams = f64::from(replica.streams());
@@ -50,7 +50,8 @@
 }
 
 impl Fleet {
-    /// What placing an answer goes by; absent if it is not a long one, or nobody knows where others are.
+    /// Inputs for the placement of an answer; `None` if it is not long or this daemon does not know its peers' load
+    /// yet.
     pub(super) fn placement(&self, req: &RouteRequest<'_>, long: bool, now: Time) -> Option<Placement<'_>> {
         if !long || self.is_warming_up(now) {
             return None;
@@ -67,20 +68,20 @@
             Some(events) => {
                 (req.time_left.in_millis() * self.policy.answer_share / events).min(Self::max_steady_interval_ms(state))
             }
-            // However long they are, they end soonest where they go on fastest.
+            // Whatever their length, answers end soonest where they proceed fastest.
             None => pace.interval_ms(0.0),
         };
         let max_interval_ms = max_interval_ms.max(f64::MIN_POSITIVE);
         Some(Placement { pace: Some(pace), max_interval_ms, packed_share })
     }
 
-    /// Milliseconds between two events on average at which single ones hardly pause beyond what is in time.
+    /// Mean interval in milliseconds between events up to which few single intervals exceed the accepted pause.
     fn max_steady_interval_ms(state: &ServiceState) -> f64 {
         state.max_pause.map_or(f64::INFINITY, |pause| state.engine.answers.steady_ms(pause))
     }
 
-    /// Long answers that a usual engine of a service can have at once so that the longest end in time and none
-    /// pauses for too long; absent while their pace or lengths are not known.
+    /// Number of long answers that a usual engine can have so that the longest end in time and none pauses for too
+    /// long; `None` while their pace or lengths are not known.
     pub(super) fn max_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
         let pace = &state.engine.answers;
         let long = state.long_answers.filter(|_| pace.is_known())?;
@@ -89,9 +90,9 @@
         Some(pace.answers_within(in_time_ms.min(Self::max_steady_interval_ms(state))))
     }
 
-    /// Whether the longest answers that a replica has end in time though it also reads prompts. Reading
-    /// takes a fifth of the time of engines with long answers under load; where the last events are
-    /// late already, engines that only read do it.
+    /// Whether a replica's longest answers end in time even if it also prefills prompts. Under load prefill takes a
+    /// fifth of the time of engines with long answers; where the last events would already be late, prefill is left
+    /// to engines that only prefill.
     pub(super) fn has_decode_slack(&self, replica: &Replica, now: Time) -> bool {
         let Some(state) = self.services.get(&replica.facts.service) else {
             return true;
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -1,9 +1,9 @@
-//! Load reports: what daemons report to each other of the work that they have under way.
+//! Load reports, in which daemons tell each other the load that they cause.
 //!
-//! Each message carries absolute figures, so a lost one is made good by the next. A few daemons
-//! all report to each other. Where there are many, each reports only to its hall peers, and one of them
-//! aggregates what it received for the other halls: what a daemon sends and receives then grows with its
-//! hall and the number of halls, not with the number of daemons.
+//! Each message contains absolute figures, so the next message makes up for a lost one. A small number of daemons all
+//! report to each other. With many daemons, each reports only to its hall peers, and one of them sends a summary of
+//! their reports to the other halls. The number of messages that a daemon sends and receives then grows with its hall
+//! and the number of halls, not with the number of daemons.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -24,24 +24,24 @@
     time::{Span, Time},
 };
 
-/// Silence after which a daemon's work counts as over.
+/// Time without a report after which a daemon's load is dropped.
 pub const PEER_TIMEOUT: Span = Span::millis(1_500);
-/// Time for which a peer's failure to reach a replica counts, unless it repeats it.
+/// Time for which a peer's failure to reach a replica counts unless it is reported again.
 const UNREACHABLE_PERIOD: Span = Span::millis(600);
-/// Time between two reports of what was learned.
+/// Interval between reports of what was learned.
 const LEARNED_INTERVAL: Span = Span::millis(500);
-/// Prompts in one report at most; the rest is not reported.
+/// Maximum number of prompts in a report; further ones are not reported.
 const MAX_PROMPT_NOTES: usize = 32;
-/// The same for a summary of a hall.
+/// Maximum number of prompts in the summary of a hall.
 const MAX_HALL_PROMPT_NOTES: usize = 96;
 
-/// Rate limits in one report at most, of some twenty bytes each.
+/// Maximum number of rate limits in a report, of about twenty bytes each.
 const MAX_LIMIT_NOTES: usize = 256;
-/// Parts of prompts in one message at most, of some fourteen bytes each, so that a datagram holds it
-/// whatever prompts are made of.
+/// Maximum number of prompt parts in a message, of about fourteen bytes each, so that it fits into a datagram however
+/// many parts prompts have.
 const MAX_PARTS: usize = 384;
 
-/// Whose work a report is about.
+/// The daemons whose load a report describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
     /// The daemon of this run.
@@ -50,112 +50,112 @@
     Hall(u32),
 }
 
-/// What identifies a message.
+/// Identifies a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportId {
-    /// Whose work it is about.
+    /// The daemons whose load it describes.
     pub source: Source,
-    /// The run of the daemon that wrote it.
+    /// Run of the daemon that sent it.
     pub sender: u64,
-    /// Its number among those of that daemon.
+    /// Sequence number of that daemon.
     pub number: u64,
     /// Hash of that daemon's hall.
     pub hall: u32,
-    /// Daemons that it is about.
+    /// Number of daemons that it describes.
     pub daemons: u32,
 }
 
-/// What one daemon has under way at one replica.
+/// The load of a daemon or a hall on one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// Hash of the replica's identifier.
+    /// Hash of the replica's start.
     pub replica: u32,
-    /// Milliseconds of reading.
+    /// Milliseconds of prefill.
     pub reading_ms: u32,
-    /// The part of that which is read behind all else.
+    /// The part of `reading_ms` that is processed after all other prefill.
     pub late_ms: u32,
-    /// Requests under way.
+    /// Active requests.
     pub active: u32,
-    /// Those of them whose answers are long.
+    /// Active requests with long answers.
     pub streams: u32,
-    /// Whether it could not be reached lately.
+    /// Whether the replica could not be reached recently.
     pub unreachable: bool,
 }
 
-/// What a daemon sees of the demand for one service.
+/// The demand that a daemon observes for one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceDemand {
     /// Hash of the service's name.
     pub service: u32,
-    /// Engines that would be reading all the time.
+    /// Number of engines that prefill would keep busy.
     pub reading: f32,
-    /// The part of that which can be in time.
+    /// The part of `reading` that can be in time.
     pub urgent: f32,
-    /// Slots that answers would take.
+    /// Slots that answers would occupy.
     pub slots: f32,
-    /// Tokens of memory that answers would take.
+    /// Tokens of KV cache that answers would occupy.
     pub tokens: f32,
-    /// Engines that would be taking over prompts all the time.
+    /// Number of engines that receiving transfers would keep busy.
     pub moving: f32,
 }
 
-/// An engine whose role is about to change.
+/// An engine whose role is changing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangingEngine {
-    /// Hash of the replica's identifier.
+    /// Hash of the replica's start.
     pub replica: u32,
-    /// Whether it becomes a prefill engine; a decode engine otherwise.
+    /// Whether it becomes a prefill engine, or else a decode engine.
     pub to_prefill: bool,
     /// Milliseconds for which it gets no new work.
     pub left_ms: u32,
 }
 
-/// All that a daemon reports at once.
+/// The contents of a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Its work, by replica.
+    /// Load on each replica.
     pub loads: Vec<ReplicaLoad>,
-    /// Prompts that it sent since its last message.
+    /// Prompts that were sent since the previous report.
     pub reads: Vec<PromptNote>,
-    /// The demand that it sees, by service.
+    /// Observed demand for each service.
     pub demands: Vec<ServiceDemand>,
-    /// Engines whose role it is changing.
+    /// Engines whose role is being changed by the reporting daemons.
     pub changing: Vec<ChangingEngine>,
-    /// What it has learned of engines, now and then.
+    /// What was learned about engines; empty in most reports.
     pub learned: Vec<ServiceLearned>,
-    /// Requests under which replicas ended.
+    /// Requests during which replicas crashed.
     pub requests: Vec<RequestNote>,
     /// Rate limits that replicas stated.
     pub rate_limits: Vec<RateLimitNote>,
 }
 
-/// What a daemon has learned of the engines of one service.
+/// What a daemon has learned about the engines of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLearned {
     /// Hash of the service's name.
     pub service: u32,
-    /// What it has learned.
+    /// The learned model.
     pub learned: Learned,
 }
 
-/// A prompt that was sent to a replica, so that its memory holds it.
+/// A prompt that was sent to a replica, whose KV cache therefore holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptNote {
-    /// Hash of the replica's identifier.
+    /// Hash of the replica's start.
     pub replica: u32,
-    /// Chain identifiers and tokens of the prompt's parts.
+    /// Chain identifier and number of tokens of each part of the prompt.
     pub parts: Vec<(u64, u32)>,
 }
 
 impl PromptNote {
-    /// A note of a prompt that is read at this start of a replica.
+    /// A note of a prompt that is prefilled by this start of a replica.
     #[must_use]
     pub fn new(start_id: u32, prompt: &Prompt) -> Self {
         Self { replica: start_id, parts: prompt.parts.iter().map(|part| (part.chain, part.tokens)).collect() }
     }
 }
 
-/// What a daemon or a hall last reported.
+/// The last report of a daemon or a hall.
 #[derive(Clone, Debug)]
 pub struct PeerState {
     id: ReportId,
@@ -163,12 +163,12 @@
     loads: HashMap<ReplicaKey, Load>,
     /// Replicas that it could not reach.
     unreachable: Vec<ReplicaKey>,
-    /// By the hash of the service's name.
+    /// Demand by the hash of the service's name.
     pub(super) demands: HashMap<u32, Demand>,
 }
 
 impl Fleet {
-    /// What this daemon has to report now.
+    /// The present report of this daemon for its peers.
     pub fn own_report(&mut self, now: Time) -> LoadReport {
         let learned = self.learned_report(now);
         let daemons = self.daemons();
@@ -194,7 +194,7 @@
         }
     }
 
-    /// What all daemons of this hall have to report now, for other halls; and how many they are.
+    /// The present summary of all daemons of this hall for other halls, and the number of these daemons.
     pub fn hall_summary(&mut self, now: Time) -> (LoadReport, u32) {
         let hall_peers: Vec<&PeerState> =
             self.peers.values().filter(|peer| peer.is_hall_peer(self.hall_hash)).collect();
@@ -236,7 +236,7 @@
         (report, daemons)
     }
 
-    /// Apply a report; returns the replicas whose rate limits changed.
+    /// Applies a report; returns the replicas whose rate limits changed.
     pub fn apply_report(&mut self, id: ReportId, report: &LoadReport, now: Time) -> Vec<ReplicaKey> {
         let in_hall = id.hall == self.hall_hash;
         self.crashes.apply_notes(&report.requests, in_hall, now);
@@ -278,7 +278,7 @@
         reportable.take(MAX_LIMIT_NOTES).map(|replica| replica.rate_limit.note(replica.start_id, now)).collect()
     }
 
-    /// Apply reported rate limits; returns the replicas whose limits changed.
+    /// Applies reported rate limits; returns the replicas whose limits changed.
     fn apply_rate_limits(&mut self, notes: &[RateLimitNote], in_hall: bool, now: Time) -> Vec<ReplicaKey> {
         if notes.is_empty() {
             return Vec::new();
@@ -296,7 +296,7 @@
         changed
     }
 
-    /// What this daemon has learned, when it is time to report it again.
+    /// What this daemon has learned, if the next report of it is due.
     fn learned_report(&mut self, now: Time) -> Vec<ServiceLearned> {
         if !self.next_learned_report.is_past(now) {
             return Vec::new();
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Whether a summary of a daemon's hall covers its own report.
+    /// Whether the report is already contained in a summary of its hall, or summarizes this hall.
     fn is_covered(&self, id: &ReportId) -> bool {
         match id.source {
             Source::Daemon(_) => id.hall != self.hall_hash && self.peers.contains_key(&Source::Hall(id.hall)),
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Forget reports of single daemons that a summary of their hall covers now.
+    /// Removes reports of single daemons that are now contained in a summary of their hall.
     fn remove_covered(&mut self, id: &ReportId, now: Time) {
         let Source::Hall(hall) = id.source else {
             return;
@@ -341,12 +341,12 @@
         }
     }
 
-    /// Replicas of which there may be something to report.
+    /// Replicas for which there may be something to report.
     fn reportable_replicas(&self) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         self.reportable.iter().filter_map(|key| Some((*key, self.replicas.get(*key)?)))
     }
 
-    /// Forget those of which there is nothing to report any more.
+    /// Drops replicas for which there is nothing left to report.
     fn prune_reportable(&mut self, now: Time) {
         let replicas = &self.replicas;
         self.reportable.retain(|key| {
@@ -386,7 +386,8 @@
         }
     }
 
-    /// Forget daemons and halls that have been silent for long; returns the runs of those that spoke.
+    /// Removes daemons and halls without a report for [`PEER_TIMEOUT`]; returns the runs of the daemons that sent the
+    /// last reports.
     pub fn remove_expired_peers(&mut self, now: Time) -> Vec<u64> {
         let silent: Vec<ReportId> =
             self.peers.values().filter(|peer| now.since(peer.heard_at) > PEER_TIMEOUT).map(|peer| peer.id).collect();
@@ -396,13 +397,13 @@
         silent.into_iter().map(|id| id.sender).collect()
     }
 
-    /// Daemons heard of lately, this one included.
+    /// Number of daemons whose reports arrive, including this one.
     #[must_use]
     pub fn daemons(&self) -> usize {
         self.peers.values().map(|peer| peer.id.daemons as usize).sum::<usize>() + 1
     }
 
-    /// Age of the oldest view that a peer gave, in milliseconds.
+    /// Age of the oldest peer report in milliseconds.
     #[must_use]
     pub fn peers_age_ms(&self, now: Time) -> u64 {
         self.peers.values().map(|peer| now.since(peer.heard_at).as_millis()).max().unwrap_or(0)
@@ -449,14 +450,14 @@
 }
 
 impl ReportId {
-    /// Whether `other` is an older message of the same daemon.
+    /// Whether `other` is not newer than this report and was sent by the same daemon.
     const fn supersedes(&self, other: &Self) -> bool {
         self.sender == other.sender && self.number >= other.number
     }
 }
 
 impl PeerState {
-    /// Whether this is a single daemon of that hall.
+    /// Whether this is a single daemon of the given hall.
     const fn is_hall_peer(&self, hall: u32) -> bool {
         matches!(self.id.source, Source::Daemon(_)) && self.id.hall == hall
     }
@@ -475,7 +476,7 @@
     }
 }
 
-/// How a demand is reported, if there is any.
+/// The reported form of a demand; `None` if there is none.
 fn to_service_demand((service, demand): (u32, Demand)) -> Option<ServiceDemand> {
     let reported = ServiceDemand {
         service,
@@ -488,7 +489,7 @@
     (reported.reading > 0.0 || reported.slots > 0.0).then_some(reported)
 }
 
-/// Leave out the last notes, so that the parts of all together fit into a message.
+/// Drops the last notes if the parts of all notes do not fit into a message.
 fn limit_parts(notes: &mut Vec<PromptNote>) {
     let mut parts = 0;
     notes.retain(|note| {
--- a/crates/core/src/fleet/plan.rs
+++ b/crates/core/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a request asks of replicas, and how it is to be served.
+//! Describes a request to the selection, and how the request will be served.
 
 use crate::{
     content::ContentHash,
@@ -10,71 +10,71 @@
     time::Span,
 };
 
-/// What is asked for.
+/// A request for which replicas are to be selected.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// The service.
+    /// The requested service.
     pub service: &'a str,
-    /// The prompt, if engines are to read one.
+    /// The prompt, if the service consists of engines.
     pub prompt: Option<&'a Prompt>,
-    /// Time left in which the first event would be in time.
+    /// Time left in which the first event meets the route's objective.
     pub objective_left: Span,
-    /// Time left until its caller leaves if nothing has come.
+    /// Time left until the caller disconnects if it has received no event.
     pub first_event_left: Span,
-    /// Time left at all.
+    /// Time left until the caller's deadline.
     pub time_left: Span,
-    /// Whether its caller seems to have been refused before.
+    /// Whether the caller appears to be retrying after a refusal.
     pub was_refused: bool,
-    /// Whether to refuse what cannot be in time.
+    /// Whether to refuse the request if it cannot be served in time.
     pub may_refuse: bool,
     /// Milliseconds that this VM's link takes to send the request once.
     pub send_ms: f64,
-    /// Milliseconds until the link has sent what waits on it.
+    /// Milliseconds until the link has sent what is already queued on it.
     pub link_ms: f64,
-    /// Replicas that were tried.
+    /// Replicas on which the request was already attempted.
     pub tried: &'a [ReplicaKey],
-    /// How it is kept apart from others, if it is.
+    /// Isolation from other requests; `None` for normal requests.
     pub isolation: Option<Isolation>,
-    /// A number drawn for this request.
+    /// Random number of this request.
     pub draw: u64,
 }
 
-/// How a request is kept apart from others under which replicas ended as well.
+/// Isolation of a request during which replicas crashed from other such requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Isolation {
-    /// The request; it draws the replica that answers it.
+    /// Hash of the request, from which the draw of its replica is derived.
     pub content: ContentHash,
-    /// Whether one replica is to do it all, so that it reaches no other.
+    /// Whether one replica must both prefill and decode, so that the request reaches no other replica.
     pub single_replica: bool,
 }
 
-/// One replica's part in serving a request.
+/// The part of one replica in serving a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Step {
-    /// Where.
+    /// The replica.
     pub key: ReplicaKey,
-    /// Milliseconds of work that are ahead of it.
+    /// Milliseconds of work queued before it.
     pub wait_ms: f64,
-    /// Milliseconds of work that it is.
+    /// Milliseconds of its own work.
     pub work_ms: f64,
-    /// Milliseconds of that until the request is sent.
+    /// Milliseconds until the request has been sent, during which the replica continues with its queue.
     pub link_ms: f64,
-    /// What is to be read.
+    /// The prompt tokens to prefill.
     pub reading: Reading,
-    /// What is to be handed over to it.
+    /// The KV cache to be transferred to the replica.
     pub moved: Option<Moved>,
-    /// An engine that holds more of the prompt, to copy that from.
+    /// An engine that holds more of the prompt, from which to copy it.
     pub copy_from: Option<ReplicaKey>,
-    /// Tokens to be copied from it.
+    /// Number of tokens to copy from it.
     pub copy_tokens: u32,
-    /// Whether its answer will keep a slot for seconds.
+    /// Whether the answer will occupy a slot for seconds.
     pub long: bool,
-    /// Whether it is known to be late, and goes behind all that can still be in time.
+    /// Whether it is known to be late; it is queued behind all requests that can still be in time.
     pub late: bool,
 }
 
 impl Step {
-    /// A step that takes no time at all.
+    /// A step on `key` that takes no time.
     #[must_use]
     pub fn at(key: ReplicaKey) -> Self {
         Self {
@@ -92,24 +92,24 @@
     }
 }
 
-/// How a request is to be served.
+/// How a request will be served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Plan {
-    /// One replica does it all.
+    /// One replica serves the whole request.
     Single(Step),
-    /// One engine reads the prompt, another one answers.
+    /// One engine prefills the prompt, another one decodes.
     Disaggregated {
-        /// The reading engine.
+        /// The step on the prefill engine.
         prefill: Step,
-        /// The answering engine.
+        /// The step on the decode engine.
         decode: Step,
     },
 }
 
-/// Why a request is not served.
+/// Why a request cannot be served.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanError {
-    /// No replica of the service takes work.
+    /// No replica of the service is available.
     NoReplica,
     /// Replicas are available, but their rate limits or retry times do not let this daemon send now.
     RateLimited {
@@ -118,17 +118,17 @@
     },
     /// No replica would be in time.
     TooLate {
-        /// What would have been tried.
+        /// The plan with the lowest cost.
         plan: Box<Plan>,
         /// Predicted milliseconds to the first event.
         predicted_ms: u64,
-        /// When the caller may come back.
+        /// Time after which the caller should retry.
         retry_after: Span,
     },
 }
 
 impl Plan {
-    /// The step that reads the prompt.
+    /// The step that prefills the prompt, or the only step.
     #[must_use]
     pub const fn prefill_step(&self) -> &Step {
         match self {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether the answer will keep a slot for seconds.
+    /// Whether the answer will occupy a slot for seconds.
     #[must_use]
     pub const fn is_long(&self) -> bool {
         match self {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether it is known to be late.
+    /// Whether the request is known to be late.
     #[must_use]
     pub const fn is_late(&self) -> bool {
         self.prefill_step().late
--- a/crates/core/src/fleet/policy.rs
+++ b/crates/core/src/fleet/policy.rs
@@ -1,47 +1,48 @@
-//! Figures of the policy that operators may set; docs/POLICY.md has what they were measured to be worth.
+//! Policy parameters that operators may set; docs/POLICY.md lists their measured effects.
 
 use serde::Deserialize;
 
-/// Figures of the policy.
+/// Parameters of replica selection, roles and pool sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetPolicy {
-    /// Part of the remaining objective that a prediction may use up; beyond it a request is refused.
+    /// Share of the remaining objective that the predicted time to the first event may use; requests above it are
+    /// refused.
     pub admit_share: f64,
-    /// The same for a request whose caller seems to have come back after a refusal.
+    /// Like `admit_share`, for requests whose caller appears to be retrying after a refusal.
     pub admit_share_returned: f64,
-    /// Part of the time until its caller leaves that a prediction for a late request may use up;
-    /// beyond it the request is refused.
+    /// Share of the time until the caller disconnects that the prediction for a late request may use; requests above
+    /// it are refused.
     pub late_share: f64,
-    /// Share of an engine's memory that is taken to keep parts of earlier prompts.
+    /// Share of an engine's KV cache that is assumed to hold parts of earlier prompts.
     pub cache_share: f64,
-    /// Milliseconds that each thousand copied tokens count more, since they push out other parts.
+    /// Cost in milliseconds of each thousand copied tokens, since they evict other parts.
     pub copy_cost_ms: f64,
-    /// Milliseconds that a step in another hall counts more: the way there, and bytes that cost.
+    /// Cost in milliseconds of a step in another hall: latency and paid traffic.
     pub other_hall_ms: f64,
-    /// Share of an engine's slots that long answers may take before another engine gets them.
+    /// Share of an engine's slots that long answers may use before they are placed on another engine.
     pub packed_share: f64,
-    /// Part of the time left in which the last event of the longest answers is to come, by the learned
-    /// pace; engines where it would not get no long answers while others have room. The rest is for
-    /// answers that come to an engine later and for prompts read beside them.
+    /// Share of the remaining time in which the last event of the longest answers must be expected at the learned
+    /// pace. Engines on which it is not expected get no long answers while others have room. The rest of the time is
+    /// reserved for answers that are added later and for prompts prefilled on the same engine.
     pub answer_share: f64,
-    /// Milliseconds of a pause that streams can bear where the configuration names none.
+    /// Pause in milliseconds that streams accept if none is configured.
     pub pause_ms: f64,
-    /// Part of the pause that streams can bear, beyond their usual interval, that reading at once
-    /// beside them may take; more is read by an engine without streams.
+    /// Share of the accepted pause, beyond the usual interval, that a single prefill on the same engine may take;
+    /// longer ones go to engines without streams.
     pub pause_share: f64,
-    /// Share of a service's engines that read prompts before any demand was seen; 0 leaves roles
-    /// as they are. Even halves cost least whichever side the demand turns out to be on.
+    /// Share of a service's engines that prefill before any demand was seen; 0 keeps the roles as they are. Equal
+    /// halves cost least whichever side the demand turns out to be on.
     pub first_read_share: f64,
-    /// Part of the engines needed that stay, whatever those cost that may be taken away: after all of these are gone,
-    /// in every hall, urgent requests and long answers must still find a place.
+    /// Share of the required engines that cannot be reclaimed, whatever the price of reclaimable ones: after all
+    /// reclaimable engines in every hall are gone, urgent requests and long answers must still be served.
     pub pool_staying_share: f64,
-    /// Engines that may be taken away, and are cheap for that, as many times those that the highest demand of the last
-    /// while needs: a burst is over before an engine has started.
+    /// Number of engines, in proportion to those that the highest recent demand requires, up to which cheap
+    /// reclaimable engines are added: a burst is over before a new engine has started.
     pub pool_headroom: f64,
-    /// Share of its time that a prefill engine reads when it is well used.
+    /// Target utilization of a prefill engine: the share of its time in which it prefills.
     pub read_share: f64,
-    /// Share of a decode engine's slots that long answers take when it is well used.
+    /// Target share of a decode engine's slots that long answers use.
     pub slot_share: f64,
 }
 
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -1,10 +1,10 @@
-//! How many engines each hall should have, where operators let the system choose.
+//! The number of engines in each hall, for services that operators let the system scale.
 //!
-//! Two kinds can be had: engines that stay until they are given back, and cheaper ones that the platform
-//! may take away, all of a hall at the same moment. What is bought is the cheapest that still serves the
-//! demand after one hall lost all of the second kind: either engines that stay, or so many more of the
-//! others in every hall that the rest are enough. Bursts are shorter than an engine takes to start, so the
-//! demand that counts is the highest of the last while.
+//! There are two kinds of engines: staying ones, which run until they are released, and cheaper reclaimable ones,
+//! which the platform may take away, all of a hall at once. The system orders the cheapest pool that still serves the
+//! demand after one hall lost its reclaimable engines: either staying engines, or enough additional reclaimable ones
+//! in every hall that the remaining ones suffice. Bursts are shorter than the start of an engine, so pools are sized
+//! for the highest recent demand.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -15,53 +15,53 @@
     time::{Span, Time},
 };
 
-/// Time for which the highest demand counts in full. Swings of the mix come back within it.
+/// Time for which the highest demand counts in full. Swings of the mix recur within it.
 const PEAK_HOLD: Span = Span::millis(30_000);
-/// Time from the first demand on for which more is expected than was seen: the averages of demand and of how long
-/// answers take must have settled.
+/// Time after the first demand for which an expected demand above the observed one counts: the averages of the demand
+/// and of the answer durations must have settled.
 const EXPECTED_HOLD: Span = Span::millis(8_000);
-/// Time in which a peak that is no longer held falls to half.
+/// Time in which a peak decays by half once it is no longer held.
 const PEAK_HALF_LIFE: Span = Span::millis(15_000);
-/// Part of the number wanted by which a smaller demand must fall below it before anything is given back:
-/// an engine that is given back and had again loses its memory and takes its time to start.
+/// Relative decrease of the wanted size from which engines are released: an engine that is released and ordered again
+/// loses its KV cache and takes time to start.
 const SCALE_DOWN_MARGIN: f64 = 0.15;
 
-/// What operators say of a service whose size may be chosen.
+/// Limits and prices of a service that may be scaled, as configured by operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
-    /// Engines of a hall at least, of both kinds together.
+    /// Minimum number of engines in each hall, of both kinds together.
     pub min: u32,
-    /// Engines of a hall at most, of both kinds together.
+    /// Maximum number of engines in each hall, of both kinds together.
     pub max: u32,
-    /// Time until a new engine serves.
+    /// Time until a new engine serves requests.
     pub start_time: Span,
-    /// What an engine that may be taken away costs, as a part of one that stays; absent if there are none.
+    /// Price of a reclaimable engine in proportion to a staying one; `None` if there are none.
     pub reclaimable_price: Option<f64>,
-    /// What an engine costs, by hall.
+    /// Price of an engine in each hall.
     pub hall_prices: BTreeMap<Arc<str>, f64>,
 }
 
-/// Engines of one hall, by kind.
+/// Number of engines in one hall, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallSize {
-    /// Those that stay.
+    /// Engines that run until they are released.
     pub staying: u32,
-    /// Those that may be taken away.
+    /// Engines that the platform may take away.
     pub reclaimable: u32,
 }
 
 impl HallSize {
-    /// Both kinds.
+    /// Number of engines of both kinds.
     #[must_use]
     pub const fn total(self) -> u32 {
         self.staying + self.reclaimable
     }
 }
 
-/// Engines by hall.
+/// Number of engines in each hall.
 pub type PoolSize = BTreeMap<Arc<str>, HallSize>;
 
-/// The highest demand of the last while, in engines.
+/// The highest recent demand, in engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Peak {
     engines: f64,
@@ -71,7 +71,7 @@
 }
 
 impl Peak {
-    /// A peak that another daemon has seen.
+    /// A peak that another daemon has observed.
     #[must_use]
     pub const fn observed(engines: f64, now: Time) -> Self {
         Self { engines, observed_at: now, expected: 0.0, expected_until: Time(0) }
@@ -83,8 +83,8 @@
         Self { expected: engines, expected_until: now + EXPECTED_HOLD, ..Self::default() }
     }
 
-    /// Take in the demand now. What is less than expected is not counted while averages settle: the first figures may
-    /// be far too high and would hold.
+    /// Updates the peak with the present demand. While averages settle, a demand below the expected one is ignored:
+    /// the first figures may be far too high and would be held.
     pub fn observe(&mut self, engines: f64, now: Time) {
         let is_settling = !self.expected_until.is_past(now) && engines <= self.expected;
         if !is_settling && engines >= self.decayed_at(now) {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Expect a demand that was not seen yet; it counts until some while after the last time that it was expected.
+    /// Sets a demand that is expected but not yet observed; it counts for `EXPECTED_HOLD` after the last call.
     pub fn set_expected(&mut self, engines: f64, now: Time) {
         self.expected = engines;
         self.expected_until = now + EXPECTED_HOLD;
     }
 
-    /// Engines that the demand needs.
+    /// Number of engines that the demand requires.
     #[must_use]
     pub fn at(&self, now: Time) -> f64 {
         let expected = if self.expected_until.is_past(now) { 0.0 } else { self.expected };
@@ -113,14 +113,14 @@
 }
 
 impl Scaling {
-    /// The cheapest engines that serve a demand, also after one hall lost all that may be taken away.
+    /// The cheapest pool that serves a demand even after one hall lost all its reclaimable engines.
     #[must_use]
     pub fn wanted(&self, needed: f64, policy: &FleetPolicy) -> PoolSize {
         let halls = self.hall_prices.len().max(1) as f64;
-        // A demand beyond all that may be had asks for no more than that.
+        // A demand above the maximum size of the pool requests only the maximum.
         let needed = needed.min(halls * f64::from(self.max));
         let per_hall = |engines: f64| (engines / halls).ceil() as u32;
-        // After one hall's are gone the others have this part of them.
+        // Share of the reclaimable engines that remains after one hall lost its own.
         let left = (halls - 1.0) / halls;
         let is_cheaper = self.reclaimable_price.is_some_and(|price| left > 0.0 && price / left < 1.0);
         let staying = if is_cheaper { needed * policy.pool_staying_share } else { needed };
@@ -131,14 +131,15 @@
         self.hall_prices.keys().map(|hall| (Arc::clone(hall), size)).collect()
     }
 
-    /// What to order next on the way to what is wanted, given what serves now and was ordered last.
+    /// The next order on the way to the wanted size, given the running engines and the previous order.
     ///
-    /// Engines that stay are given back only as far as those that serve, in all halls together, are as many as are left
-    /// in the end after one hall lost all that may be taken away; the others come within the limit that both kinds share.
+    /// Staying engines are released only as far as the running ones, in all halls together, are as many as finally
+    /// remain after one hall lost all its reclaimable engines. Reclaimable engines are added within the limit that
+    /// both kinds share.
     #[must_use]
     pub fn next_order(&self, wanted: &PoolSize, running: &PoolSize, ordered: &PoolSize) -> PoolSize {
         let size = |pool: &PoolSize, hall| pool.get(hall).copied().unwrap_or_default();
-        // Those that were given back may still be seen.
+        // Engines that were released may still appear as running.
         let staying = |hall| size(running, hall).staying.min(size(ordered, hall).staying);
         let serving: u32 = wanted.keys().map(|hall| staying(hall) + size(running, hall).reclaimable).sum();
         let max_lost = wanted.values().map(|hall| hall.reclaimable).max().unwrap_or_default();
@@ -156,7 +157,8 @@
     }
 }
 
-/// Whether a size should replace the one that is wanted at present: more at once, less only if it is worth it.
+/// Whether a new size should replace the presently wanted one: an increase always does, a decrease only if it is
+/// large enough.
 #[must_use]
 pub fn should_replace(new: &PoolSize, present: &PoolSize) -> bool {
     let total = |size: &PoolSize| f64::from(size.values().map(|hall| hall.total()).sum::<u32>());
@@ -165,7 +167,7 @@
 }
 
 impl Fleet {
-    /// Engines of a service that serve and do not leave, by hall and kind.
+    /// Number of running engines of a service that are not draining, by hall and kind.
     #[must_use]
     pub fn pool_size(&self, service: &str, now: Time) -> PoolSize {
         let mut pool = PoolSize::new();
@@ -183,7 +185,7 @@
         pool
     }
 
-    /// Engines that a demand needs, each used as well as the policy wants; absent while there is none.
+    /// Number of engines that a demand requires at the target utilization; `None` without engines to serve it.
     #[must_use]
     pub fn needed_engines(&self, service: &str, demand: Demand, now: Time) -> Option<f64> {
         let engines: Vec<_> = self.replicas.iter().filter(|(_, r)| &*r.facts.service == service).collect();
--- a/crates/core/src/fleet/rate_limit.rs
+++ b/crates/core/src/fleet/rate_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! A replica may state in its answers how many requests per second it accepts from all daemons combined. Time is
 //! divided into that many slots per second, which are assigned to the daemons in rotation. The owner of a slot may send
-//! one request within [`SLOT_LIFETIME`] of its start. Unused slots expire, so idle daemons cannot accumulate a burst.
+//! one request within `SLOT_LIFETIME` of its start. Unused slots expire, so idle daemons cannot accumulate a burst.
 //! Each daemon computes its slots from the time of day, the number of daemons and its own rank, without coordination.
 //!
 //! Daemons report the latest limits from their own answers to each other, with their age; the most recent one applies.
@@ -21,7 +21,6 @@
 const LIFTED_REPORT_PERIOD: Span = Span::millis(5_000);
 /// Maximum rounding error of a slot's start, in microseconds; keeps a used slot from being computed as the next one.
 const ROUNDING_MICROS: f64 = 2.0;
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Determines which slots of a rate limit belong to this daemon.
@@ -74,7 +73,7 @@
 }
 
 impl RateLimit {
-    /// Update the limit from the answer to a request that was sent at `sent_at`; returns whether the limit changed.
+    /// Updates the limit from the answer to a request that was sent at `sent_at`; returns whether the limit changed.
     pub(super) fn update_from_answer(
         &mut self,
         per_second: Option<f64>,
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Update the limit from a report of another daemon if it is newer; returns whether the limit changed.
+    /// Updates the limit from the report of a peer if it is newer; returns whether the limit changed.
     pub(super) fn update_from_report(
         &mut self,
         note: &RateLimitNote,
@@ -142,7 +141,7 @@
         RateLimitNote { replica, per_second: self.per_second, age_ms }
     }
 
-    /// Take a slot for one request; returns whether the request may be sent.
+    /// Takes a slot for one request; returns whether the request may be sent.
     pub(super) fn take_slot(&mut self, replica: u32, share: SlotShare, now: Time) -> bool {
         let Some(slot) = self.next_slot(replica, share, now) else {
             return true;
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: what it says of itself, and what is seen of it.
+//! The state of one replica: what it states about itself, and what daemons observe.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -23,31 +23,32 @@
     pub struct ReplicaKey;
 }
 
-/// What a replica says of itself through discovery.
+/// What a replica states about itself through discovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaFacts {
-    /// Its identifier, which it may keep when it starts again.
+    /// Its identifier, which may stay the same when it restarts.
     pub id: Arc<str>,
-    /// Unix millisecond of its start, which tells two starts under one identifier apart; an older replica does not say it.
+    /// Unix time of its start in milliseconds, which distinguishes two starts with the same identifier; `None` for
+    /// older replicas, which do not state it.
     pub start_time_ms: Option<u64>,
     /// The service that it belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its hall.
     pub hall: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether the platform may take it away at any time.
+    /// Whether the platform may reclaim it at any time.
     pub reclaimable: bool,
-    /// Whether it announced that it leaves.
+    /// Whether it has announced that it is leaving.
     pub draining: bool,
-    /// What it does in its service.
+    /// Its role in the service.
     pub role: Role,
 }
 
 impl ReplicaFacts {
-    /// Hash that names this start of the replica in messages between daemons.
+    /// Hash that identifies this start of the replica in messages between daemons.
     #[must_use]
     pub fn start_id(&self) -> u32 {
         match self.start_time_ms {
@@ -56,28 +57,28 @@
         }
     }
 
-    /// Whether this and another are the same start of a replica.
+    /// Whether both describe the same start of a replica.
     #[must_use]
     pub fn is_same_start(&self, other: &Self) -> bool {
         self.id == other.id && self.start_time_ms == other.start_time_ms
     }
 }
 
-/// Work at a replica that one or several daemons know of.
+/// Work on a replica that one or more daemons know of.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Milliseconds of reading that an idle replica would need for it.
+    /// Milliseconds of prefill that an idle replica would need for it.
     pub prefill_ms: f64,
-    /// The part of that which is known to be late, and read behind all else.
+    /// The part of `prefill_ms` that is already late and is processed after all other prefill.
     pub late_ms: f64,
-    /// Requests under way, those being read included.
+    /// Active requests, including those being prefilled.
     pub active: u32,
-    /// Those of them whose answers are long, so that they keep their slot for seconds.
+    /// Active requests with long answers, which occupy their slots for seconds.
     pub streams: u32,
 }
 
 impl Load {
-    /// This load and another one.
+    /// The sum of this and another load.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -100,64 +101,63 @@
     }
 }
 
-/// Weight of a new observation in the slowness.
+/// Weight of a new observation of the slowness.
 const SLOWNESS_WEIGHT: f64 = 0.15;
-/// Bounds of the slowness.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 12.0);
-/// Least weight of a new observation of how fast its answers go on: each stream tells once a second, and
-/// an engine's speed is its own, so some seconds of a few streams count.
+/// Minimum weight of a new observation of the answer slowness. Each stream reports once a second and the speed is a
+/// property of the engine, so some seconds of a few streams are averaged.
 const MIN_ANSWER_SLOWNESS_WEIGHT: f64 = 0.03;
-/// Part of an observation of that which is taken to be usual. Without it, what is usual and how many times as
-/// long each replica takes drift apart, to half and twice in a minute, as only their product is seen.
+/// Share by which each observation of the answer slowness is pulled towards 1. Only the product of the usual pace and
+/// a replica's slowness is observed; without the pull the two drift apart, to half and double within a minute.
 const ANSWER_SLOWNESS_PULL: f64 = 0.1;
-/// Time after which a slow replica is believed half as slow, so that it is tried again.
+/// Time in which the slowness of a replica decays by half, so that a slow replica is tried again.
 const SLOWNESS_HALF_LIFE: Span = Span::millis(3_000);
 
-/// One replica's row.
+/// One replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// What it says of itself.
+    /// What it states about itself.
     pub facts: ReplicaFacts,
-    /// Place of its hall among those that are known.
+    /// Index of its hall among the known halls.
     pub(super) hall: HallKey,
-    /// Hash of this start of it, as messages name it.
+    /// Hash that identifies this start in messages.
     pub start_id: u32,
-    /// Revision of that in the store.
+    /// Store revision of `facts`.
     pub revision: i64,
-    /// When a replica whose entry lapsed counts as gone; [`Time::NEVER`] while the entry is there.
+    /// Time at which a replica whose entry lapsed counts as gone; [`Time::NEVER`] while the entry exists.
     pub gone_at: Time,
-    /// What this daemon saw of its failures.
+    /// Its health as observed by this daemon.
     pub health: Health,
-    /// Until when another daemon's failure to reach it counts.
+    /// Time until which a peer's failure to reach it counts.
     pub unreachable_until: Time,
-    /// What this daemon has under way there.
+    /// Load from this daemon.
     pub own_load: Load,
-    /// What other daemons said that they have under way there.
+    /// Load from other daemons, as they reported it.
     pub peer_load: Load,
-    /// What its memory probably holds.
+    /// Estimated contents of its KV cache.
     pub cache: PrefixCache,
-    /// When an order to change its role will be over; no new work until then.
+    /// Time by which its role change will have ended; it gets no new work until then.
     pub role_change_until: Time,
-    /// The role that it takes by that order.
+    /// The role that it changes to.
     pub next_role: Role,
-    /// Whether this daemon gave that order, and so tells the others.
+    /// Whether this daemon ordered the role change, and therefore reports it to its peers.
     pub ordered_here: bool,
-    /// Whether a daemon of this hall gave that order.
+    /// Whether another daemon of this hall ordered the role change.
     pub ordered_in_hall: bool,
-    /// From when on it may get an order; later than now while one may still take effect.
+    /// Time until which it gets no orders, since an earlier one may still take effect.
     pub orders_held_until: Time,
     /// Its rate limit, shared by all daemons.
     pub(super) rate_limit: RateLimit,
     /// Time from which it accepts requests from this daemon again; the latest that it has stated.
     pub(super) retry_at: Time,
-    /// How many times as long as its service's usual it takes to the next event of long answers.
+    /// Its intervals between events of long answers in proportion to the usual ones of the service.
     pub(super) answer_slowness: RunningMean,
     slowness: f64,
     slowness_at: Time,
 }
 
 impl Replica {
-    /// A replica that was just discovered, with a memory of `memory_tokens`.
+    /// Creates the state of a newly discovered replica with a KV cache of `kv_capacity_tokens`.
     #[must_use]
     pub fn new(facts: ReplicaFacts, revision: i64, kv_capacity_tokens: u64) -> Self {
         Self {
@@ -184,20 +184,20 @@
         }
     }
 
-    /// Take over what belongs to the machine from the start before: how slow it is.
+    /// Copies the slowness, which is a property of the machine, from the replica's previous start.
     pub(super) const fn inherit_speed(&mut self, before: &Self) {
         self.answer_slowness = before.answer_slowness;
         self.slowness = before.slowness;
         self.slowness_at = before.slowness_at;
     }
 
-    /// Whether new work may be sent there at all.
+    /// Whether new work may be sent to it, apart from its health and rate limit.
     #[must_use]
     pub fn is_open(&self, now: Time) -> bool {
         !self.facts.draining && !self.gone_at.is_past(now) && self.role_change_until.is_past(now)
     }
 
-    /// Requests per second that it accepts from all daemons combined, or `None` if it states no limit.
+    /// Requests per second that it accepts from all daemons combined; `None` if it states no limit.
     #[must_use]
     pub const fn rate_limit(&self) -> Option<f64> {
         self.rate_limit.per_second()
@@ -213,55 +213,55 @@
         self.time_until_accepted(share, now) == Span(0)
     }
 
-    /// Whether it may not be there: its entry lapsed, or a peer could not reach it.
+    /// Whether it may be gone: its entry lapsed, or a peer could not reach it.
     #[must_use]
     pub fn may_be_gone(&self, now: Time) -> bool {
         self.gone_at != Time::NEVER || !self.unreachable_until.is_past(now)
     }
 
-    /// Requests under way there, as far as known.
+    /// Known active requests of all daemons.
     #[must_use]
     pub const fn active(&self) -> u32 {
         self.own_load.active + self.peer_load.active
     }
 
-    /// Long answers under way there, as far as known.
+    /// Known long answers of all daemons.
     #[must_use]
     pub const fn streams(&self) -> u32 {
         self.own_load.streams + self.peer_load.streams
     }
 
-    /// Milliseconds until what is known to be there has been read.
+    /// Milliseconds until all known prompts are prefilled.
     #[must_use]
     pub fn prefill_ms(&self, now: Time) -> f64 {
         (self.own_load.prefill_ms + self.peer_load.prefill_ms) * self.slowness(now)
     }
 
-    /// Milliseconds until what goes before a request that can be in time has been read.
+    /// Milliseconds until all known prompts that can still be in time are prefilled.
     #[must_use]
     pub fn urgent_prefill_ms(&self, now: Time) -> f64 {
         let late = self.own_load.late_ms + self.peer_load.late_ms;
         (self.prefill_ms(now) - late * self.slowness(now)).max(0.0)
     }
 
-    /// How many times as long as its service's usual it takes.
+    /// Its processing times in proportion to the usual ones of its service.
     #[must_use]
     pub fn slowness(&self, now: Time) -> f64 {
         let half_lives = now.since(self.slowness_at).as_seconds() / SLOWNESS_HALF_LIFE.as_seconds();
         1.0 + (self.slowness - 1.0) * 0.5_f64.powf(half_lives)
     }
 
-    /// Milliseconds between two events of long answers if it has so many of them.
+    /// Milliseconds between two events of long answers if it has `answers` of them.
     pub(super) fn interval_ms(&self, pace: &AnswerPace, answers: u32) -> f64 {
         pace.interval_ms(f64::from(answers)) * self.answer_slowness.value()
     }
 
-    /// Learn from a part of a long answer that took so many times as long as the usual replica's.
+    /// Learns from a part of a long answer whose intervals were `slowness` times those of a usual replica.
     pub(super) fn learn_answer_slowness(&mut self, slowness: f64) {
         self.answer_slowness.learn(slowness + ANSWER_SLOWNESS_PULL * (1.0 - slowness));
     }
 
-    /// Learn from work that took `took` where `expected_ms` was predicted for a usual replica.
+    /// Learns from work that took `took` where `expected_ms` was predicted for a usual replica.
     pub fn learn_slowness(&mut self, expected_ms: f64, took: Span, now: Time) {
         let seen = took.in_millis() / expected_ms.max(1.0);
         let before = self.slowness(now);
--- a/crates/core/src/fleet/sizes.rs
+++ b/crates/core/src/fleet/sizes.rs
@@ -1,35 +1,36 @@
-//! Whether large prompts are served about as often as others, and what evens that out.
+//! Keeps large prompts from being refused far more often than others.
 //!
-//! A prompt is in time if the work ahead of it and its own reading are. Where more is asked than engines can
-//! read, small ones fill the queue to where none that takes long itself is in time any more, and a caller with a large one
-//! comes in vain each time. So where large ones are served far less often than all, a part of their own reading, or more, is not
-//! counted: they are begun where the work ahead alone would be in time, and end a little late.
+//! A prompt is in time if the work queued before it and its own prefill are. When the demand exceeds the prefill
+//! capacity, small prompts fill the queue to the point where no prompt with a long prefill can be in time, and
+//! callers with large prompts are refused at every attempt. If large prompts are admitted far less often than others,
+//! a part of their own prefill, or a multiple of it, is therefore not counted: they are started if the queued work
+//! alone would be in time, and end slightly late.
 
 use crate::fleet::engine::running_quantile::RunningQuantile;
 
-/// Shares of the prompts below the largest tenth, and below the fifth before it.
+/// Quantiles of the prompt sizes above which a prompt belongs to the largest tenth and to the fifth below it.
 const SIZE_QUANTILES: [f64; 2] = [0.9, 0.7];
-/// Tokens of such prompts before any was seen.
+/// Initial estimates of these quantiles in tokens.
 const INITIAL_BOUNDS: [f64; 2] = [12_000.0, 8_000.0];
-/// How often large ones are to be served, as a part of how often all are. The bound that users ask for is half; relief for
-/// the large costs the others.
+/// Target for the share of large prompts that is admitted, relative to that of all prompts. Users require one half; a
+/// discount for large prompts costs the others.
 const MIN_RELATIVE_SHARE: f64 = 0.6;
-/// Change of the relief for each large prompt that was served or not: with ten a second at each of eight daemons all of
-/// it comes within ten seconds.
+/// Change of the discount for each large prompt that is or is not admitted. With ten a second at each of eight
+/// daemons, the discount reaches its maximum within ten seconds.
 const DISCOUNT_STEP: f64 = 0.1;
-/// How many times its own reading is not counted at most.
+/// Maximum discount as a multiple of a prompt's own prefill time.
 const MAX_DISCOUNT: f64 = 2.0;
-/// Weight of a new try in how often all are served: some 500 count.
+/// Weight of a new attempt in the admitted share of all prompts; about 500 attempts count.
 const ADMISSION_WEIGHT: f64 = 0.002;
 
-/// What is seen of the sizes of a service's prompts.
+/// Admissions of a service's prompts by size.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LargePromptFairness {
     bounds: [RunningQuantile; 2],
-    /// Callers, by their first tries, and how many were admitted in any, both with the weight of lately.
+    /// Decaying averages of attempts by new callers and of admitted attempts.
     callers: f64,
     admitted: f64,
-    /// How many times a prompt's own reading is not counted, for each of the two.
+    /// Discount as a multiple of a prompt's own prefill time, for each of the two size classes.
     discount: [f64; 2],
 }
 
@@ -41,11 +42,11 @@
 }
 
 impl LargePromptFairness {
-    /// Note a try, whether its caller was here before, and whether it is admitted.
+    /// Records an attempt, whether its caller was refused before, and whether it is admitted.
     pub(super) fn record(&mut self, tokens: u32, was_refused: bool, admitted: bool) {
         let (first, admitted) = (f64::from(u8::from(!was_refused)), f64::from(u8::from(admitted)));
         if let Some(size) = self.size_class(tokens) {
-            // Each caller comes a first time once, and is admitted once at most.
+            // Each caller makes a first attempt once and is admitted at most once.
             let missing = first * MIN_RELATIVE_SHARE * self.admitted_share() - admitted;
             self.discount[size] = (self.discount[size] + missing * DISCOUNT_STEP).clamp(0.0, MAX_DISCOUNT);
         }
@@ -56,17 +57,17 @@
         }
     }
 
-    /// Milliseconds of its own reading that are not counted for a prompt.
+    /// Milliseconds by which the predicted time of a prompt is reduced.
     pub(super) fn discount_ms(&self, tokens: u32, own_ms: f64) -> f64 {
         self.size_class(tokens).map_or(0.0, |size| self.discount[size] * own_ms)
     }
 
-    /// Which of the two a prompt belongs to.
+    /// The size class of a prompt; `None` if it is not large.
     fn size_class(&self, tokens: u32) -> Option<usize> {
         self.bounds.iter().position(|bound| f64::from(tokens) > bound.value())
     }
 
-    /// Share of the callers that are served.
+    /// Share of callers that are admitted.
     fn admitted_share(&self) -> f64 {
         if self.callers > 0.0 { (self.admitted / self.callers).min(1.0) } else { 0.0 }
     }
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -1,9 +1,9 @@
-//! Which role each engine of a service should play.
+//! Selects the roles of the engines of a service.
 //!
-//! The demand for reading and for answers is measured over some seconds, on all daemons: what
-//! reading takes of engines, and what answers take of slots, memory and links. An engine changes
-//! its role when one side lacks engines and the other has one to spare. A change takes the engine
-//! away for seconds, so nothing is changed for a small difference, and few change at once.
+//! The demand for prefill and decode on all daemons is averaged over some seconds: the engine time for prefill, and
+//! the slots, KV cache and link time for answers. An engine changes its role if one side lacks engines and the other
+//! can spare one. The change makes the engine unavailable for seconds, so small differences are ignored and few
+//! engines change at a time.
 
 use crate::{
     endpoint::Role,
@@ -15,47 +15,46 @@
     time::{Span, Time},
 };
 
-/// Time over which demand is averaged. Longer than a role change takes the engine away, shorter
-/// than most swings of the mix.
+/// Averaging period of the demand. Longer than a role change makes an engine unavailable, shorter than most swings of
+/// the mix.
 const AVERAGING_PERIOD: Span = Span::millis(2_500);
-/// Seconds of a short answer before any was seen.
+/// Estimated duration of a short answer before any was observed.
 const INITIAL_SHORT_SECONDS: f64 = 0.5;
-/// Seconds of a long answer before any was seen.
+/// Estimated duration of a long answer before any was observed.
 const INITIAL_LONG_SECONDS: f64 = 3.0;
-/// Weight of a new observation of an answer's time, once there are many.
+/// Minimum weight of a new observation of an answer's duration.
 const ANSWER_TIME_WEIGHT: f64 = 0.05;
-/// Engines of a service below which roles are left alone.
+/// Minimum number of engines in a service for roles to be changed.
 const MIN_ENGINES: usize = 4;
-/// Decode engines that are kept at least: one may be lost at any time.
+/// Minimum number of decode engines: one may be lost at any time.
 const MIN_DECODE: usize = 2;
-/// Share of a service's engines that stay decode engines at least. When the store is away roles
-/// cannot change back, and without decode engines nothing is answered; an idle one still reads.
+/// Minimum share of decode engines. While the store is unavailable roles cannot be changed back, and without decode
+/// engines nothing is answered; an idle one can still prefill.
 const MIN_DECODE_SHARE: f64 = 0.25;
-/// Share of a decode engine's memory that running answers take when it is well used; the rest keeps
-/// parts of earlier prompts.
+/// Target share of a decode engine's KV cache that active answers use; the rest holds parts of earlier prompts.
 const ANSWER_KV_SHARE: f64 = 0.5;
-/// Share of its time that a decode engine's link takes over prompts when it is well used: they
-/// queue, and come in bursts.
+/// Target utilization of a decode engine's link by transfers, which queue and come in bursts.
 const LINK_UTILIZATION: f64 = 0.5;
-/// How many times as many decode engines as there are must be needed before one is taken from
-/// reading that is itself short of them.
+/// Required decode engines in proportion to the present ones above which one is taken from prefill even if prefill
+/// lacks engines too.
 const SHORTAGE_FACTOR: f64 = 1.25;
-/// How many times as many decode engines as the demand needs are kept when one is taken from them:
-/// answers take longer the more of them an engine has, so what is left would be needed twice over,
-/// and engines that are full reject prompts that were read.
+/// Decode engines, in proportion to the required ones, that must remain when one is taken from them. Answers take
+/// longer the more of them an engine has, so the remaining engines would be required twice over, and full engines
+/// reject prompts that were already prefilled.
 const DECODE_MARGIN: f64 = 2.2;
-/// Part of a service's engines by which one side must have more than its part of the need before one is taken
-/// from it though neither lacks any.
+/// Share of a service's engines by which one side must exceed its balanced number for one to be taken from it
+/// although neither side lacks any.
 const MIN_IMBALANCE: f64 = 0.05;
-/// Part of the decode engines that must be needed for that: the mix of a small demand says little of the next one.
+/// Share of the decode engines that must be required for that: the mix of a small demand says little about the next
+/// one.
 const MIN_UTILIZATION: f64 = 0.5;
-/// Share of the engines that change at once at most, rounded up. Each is away for seconds, so a
-/// demand that turns again would find too few.
+/// Maximum share of the engines that change at a time, rounded up. Each is unavailable for seconds, so a demand that
+/// swings back would find too few.
 const MAX_CHANGING_SHARE: f64 = 0.1;
-/// Prefill engines that are kept at least.
+/// Minimum number of prefill engines.
 const MIN_PREFILL: usize = 2;
 
-/// A rate of work that fades with time.
+/// An exponentially decaying sum, from which an average rate is computed.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingSum {
     sum: f64,
@@ -72,29 +71,29 @@
         self.sum * (-now.since(self.at).as_seconds() / AVERAGING_PERIOD.as_seconds()).exp()
     }
 
-    /// The amount a second.
+    /// Average amount per second.
     fn rate(&self, now: Time) -> f64 {
         self.sum_at(now) / AVERAGING_PERIOD.as_seconds()
     }
 }
 
-/// What is asked of the engines of a service.
+/// The demand for the engines of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Engines that would be reading all the time.
+    /// Number of engines that prefill would keep busy.
     pub prefill: f64,
-    /// The part of that which can be in time, and goes before the rest.
+    /// The part of `prefill` that can be in time and is processed before the rest.
     pub urgent: f64,
-    /// Slots that answers would take.
+    /// Slots that answers would occupy.
     pub slots: f64,
-    /// Tokens of memory that answers would take.
+    /// Tokens of KV cache that answers would occupy.
     pub tokens: f64,
-    /// Engines that would be taking over prompts all the time.
+    /// Number of engines that receiving transfers would keep busy.
     pub transfer: f64,
 }
 
 impl Demand {
-    /// Add another demand for the same service.
+    /// Adds another demand for the same service.
     pub fn add(&mut self, other: Self) {
         self.prefill += other.prefill;
         self.urgent += other.urgent;
@@ -104,7 +103,7 @@
     }
 }
 
-/// Answers of one kind: how many begin, what memory they hold, and how long they take.
+/// Answers of one kind: how many start, how much KV cache they hold, and how long they take.
 #[derive(Clone, Copy, Debug)]
 struct AnswerMeter {
     started: DecayingSum,
@@ -130,40 +129,40 @@
         self.seconds.learn(took.as_seconds());
     }
 
-    /// Slots that are taken on average.
+    /// Average number of slots in use.
     fn slots(&self, now: Time) -> f64 {
         self.started.rate(now) * self.seconds.value()
     }
 
-    /// Tokens of memory that are held on average.
+    /// Average number of KV cache tokens in use.
     fn held_tokens(&self, now: Time) -> f64 {
         self.tokens.rate(now) * self.seconds.value()
     }
 }
 
-/// What a request asks of engines.
+/// The work that a request requires of engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestDemand {
-    /// Milliseconds of reading.
+    /// Milliseconds of prefill.
     pub prefill_ms: f64,
-    /// Milliseconds of a link for handing it over.
+    /// Milliseconds of link time for transferring its KV cache.
     pub transfer_ms: f64,
     /// Tokens of its prompt.
     pub tokens: u32,
-    /// Whether its answer keeps a slot for seconds.
+    /// Whether its answer occupies a slot for seconds.
     pub long: bool,
-    /// Whether it can only be late.
+    /// Whether it can no longer be in time.
     pub late: bool,
 }
 
-/// Measures the demand that this daemon sees.
+/// Measures the demand that this daemon observes.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandMeter {
     prefill: DecayingSum,
     urgent: DecayingSum,
     short: AnswerMeter,
     long: AnswerMeter,
-    /// Engine-seconds of handing prompts over.
+    /// Engine-seconds of transfers.
     transfer: DecayingSum,
     seen: bool,
 }
@@ -182,7 +181,7 @@
 }
 
 impl DemandMeter {
-    /// Note a request.
+    /// Records a request.
     pub fn record_request(&mut self, request: &RequestDemand, now: Time) {
         self.seen = true;
         self.prefill.add(request.prefill_ms / 1_000.0, now);
@@ -194,13 +193,13 @@
         kind.record_request(request.tokens, now);
     }
 
-    /// Note that an answer took so long, and whether it was a long one.
+    /// Records the duration of an answer, and whether it was a long one.
     pub fn record_answer(&mut self, took: Span, long: bool) {
         let kind = if long { &mut self.long } else { &mut self.short };
         kind.record_answer(took);
     }
 
-    /// The demand now.
+    /// The present demand.
     #[must_use]
     pub fn demand(&self, now: Time) -> Demand {
         Demand {
@@ -218,16 +217,16 @@
 pub struct RoleChange {
     /// The engine.
     pub key: ReplicaKey,
-    /// The role that it is to take.
+    /// Its new role.
     pub to: Role,
-    /// The demand that asks for it.
+    /// The demand that is the reason for the change.
     pub demand: Demand,
-    /// Prefill and decode engines before.
+    /// Numbers of prefill and decode engines before the change.
     pub before: (usize, usize),
 }
 
 impl Fleet {
-    /// The next change of a role that is worth it, for a service and a demand on all daemons.
+    /// The next worthwhile role change for a service, given the demand on all daemons.
     #[must_use]
     pub fn next_role_change(&self, service: &str, demand: Demand, now: Time) -> Option<RoleChange> {
         let engines: Vec<(ReplicaKey, &Replica)> = self
@@ -255,7 +254,7 @@
         }
         let need = self.required_engines(service, &engines, demand, now)?;
         let min_decode = min_decode(all);
-        // Without readers nothing larger is served at all, whatever memory it would then take.
+        // Without prefill engines no larger prompt is served at all, whatever KV cache its answer would need.
         let margin = if prefill < MIN_PREFILL { 0.0 } else { DECODE_MARGIN };
         let kept = ((need.decode * margin).ceil() as usize).max(min_decode);
         if need.prefill > prefill as f64 && decode > kept {
@@ -274,7 +273,7 @@
         None
     }
 
-    /// Engines that a demand needs on each side, each used as well as the policy wants.
+    /// The engines of each role that a demand requires at the target utilization.
     pub(super) fn required_engines(
         &self,
         service: &str,
@@ -299,18 +298,18 @@
         })
     }
 
-    /// Whether there are engines with different roles, so that roles may be worth changing.
+    /// Whether there are engines with different roles, so that changing roles may be worthwhile.
     #[must_use]
     pub fn has_split_engines(&self) -> bool {
         self.replicas.values().any(|replica| matches!(replica.facts.role, Role::Prefill | Role::Decode))
     }
 
-    /// Whether this daemon was ever asked for the service.
+    /// Whether this daemon has received any request for the service.
     fn has_seen_demand(&self, service: &str) -> bool {
         self.services.get(service).is_some_and(|state| state.demand_meter.seen)
     }
 
-    /// Keep new work from an engine until `until`, because its role is to change to `to`.
+    /// Sends no new work to an engine until `until`, because its role is changing to `to`.
     pub fn start_role_change(&mut self, key: ReplicaKey, to: Role, until: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.role_change_until = until;
@@ -320,21 +319,21 @@
         }
     }
 
-    /// Give an engine no orders until `from`.
+    /// Gives an engine no orders until `from`.
     pub fn hold_orders_until(&mut self, key: ReplicaKey, from: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.orders_held_until = from;
         }
     }
 
-    /// Note that an answer took so long, and whether it was a long one.
+    /// Records the duration of an answer, and whether it was a long one.
     pub fn record_answer(&mut self, service: &str, took: Span, long: bool) {
         if let Some(state) = self.services.get_mut(service) {
             state.demand_meter.record_answer(took, long);
         }
     }
 
-    /// How long a long answer of a service usually takes.
+    /// Mean duration of a service's long answers.
     #[must_use]
     pub fn mean_answer_time(&self, service: &str) -> Span {
         self.services
@@ -342,7 +341,7 @@
             .map_or(Span::seconds(INITIAL_LONG_SECONDS), |state| Span::seconds(state.demand_meter.long.seconds.value()))
     }
 
-    /// The demand that this daemon and its peers see for a service.
+    /// The demand that this daemon and its peers observe for a service.
     #[must_use]
     pub fn demand(&self, service: &str, now: Time) -> Demand {
         let own = self.services.get(service).map_or_else(Demand::default, |state| state.demand_meter.demand(now));
@@ -355,21 +354,21 @@
     }
 }
 
-/// Engines that are needed on each side.
+/// Number of engines required of each role.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequiredEngines {
     pub(super) prefill: f64,
     pub(super) decode: f64,
-    /// Decode engines at which the longest answers end in time, too.
+    /// Number of decode engines with which the longest answers also end in time.
     pub(super) decode_in_time: f64,
 }
 
-/// Decode engines that are kept at least, of so many engines.
+/// Minimum number of decode engines in a service with `engines` engines.
 fn min_decode(engines: usize) -> usize {
     MIN_DECODE.max((engines as f64 * MIN_DECODE_SHARE) as usize)
 }
 
-/// The engine with this role that a change disturbs least.
+/// The engine with this role that can change its role with the least disturbance.
 fn least_loaded_engine(engines: &[(ReplicaKey, &Replica)], role: Role, now: Time) -> Option<ReplicaKey> {
     engines
         .iter()
