--- a/crates/core/tests/fleet/discovery.rs
+++ b/crates/core/tests/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! Which replicas there are, and what is counted of each.
+//! Tests of how replicas are added and removed, and of what is counted for each.
 
 use dahliaseam_core::{
     endpoint::Role,
@@ -54,8 +54,8 @@
 #[test]
 fn a_gone_replica_is_kept_while_requests_are_in_flight() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
-    let key = fleet.key("a").expect("it is known");
-    let sent = fleet.begin(key, &step(key, 0.0, false), None, now()).expect("it is known");
+    let key = fleet.key("a").expect("the replica is known");
+    let sent = fleet.begin(key, &step(key, 0.0, false), None, now()).expect("the replica is known");
     fleet.mark_removed("a", 2, now());
     assert!(fleet.remove_gone(now()).is_empty());
     fleet.end(&sent, StepEnd::Done, now());
@@ -71,8 +71,8 @@
     assert_eq!(cache.held_tokens(&a), 4_000);
     cache.insert(&c.parts);
     assert_eq!(cache.held_tokens(&c), 4_000);
-    assert!(cache.held_tokens(&a) < 4_000, "the oldest parts gave way");
-    // The first part is shared by all and used by each, so it is never the oldest.
+    assert!(cache.held_tokens(&a) < 4_000, "the least recently used parts were evicted");
+    // All prompts share the first part, so it is never the least recently used.
     assert!(cache.held_tokens(&a) >= 1_000);
 }
 
@@ -98,17 +98,17 @@
         let within = |times: &[Time]| times.iter().filter(|at| **at >= from && **at < until).count() as f64;
         assert!(within(&retries) <= within(&requests) * terms.ratio + terms.slack / 2.0 + 1.0);
     }
-    assert!(retries.len() > 150, "the budget is used: {}", retries.len());
+    assert!(retries.len() > 150, "most of the budget is used: {}", retries.len());
 }
 
 #[test]
 fn concurrent_failures_eject_a_replica_once() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
-    let key = fleet.key("a").expect("it is known");
+    let key = fleet.key("a").expect("the replica is known");
     let sent: Vec<_> = (0..20).filter_map(|_| fleet.begin(key, &step(key, 0.0, false), None, now())).collect();
     let ejections = sent.iter().filter(|sent| fleet.end(sent, StepEnd::Silent, now())).count();
     assert_eq!(ejections, 1);
     assert!(fleet.choose(&req(None, &[]), now()).is_err());
-    // The first ejection is short, however many calls were under way.
+    // The first ejection is short, however many calls were active.
     assert!(fleet.choose(&req(None, &[]), now() + Span::millis(600)).is_ok());
 }
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -1,15 +1,15 @@
-//! Prompts of all sizes, more than the engines can read.
+//! Prompts of all sizes that exceed the prefill capacity.
 //!
-//! Seen: of the largest tenth of the prompts less than half as many were served as of all, on days on which engines
-//! that read were taken away. How it came about: a prompt was begun if the work ahead of it and its own reading
-//! together could be in time, and small ones with a short reading of their own fill the queue to where
-//! no large one is in time any more; what can only be late has no time left to read it in then. Proof, by the sizes of what
-//! was refused on such a day: of the smallest quarter 0.77 were served, of the largest tenth 0.18, at
-//! each size all in time or refused, none late.
+//! Guards against large prompts that are refused far more often than others. Of the largest tenth of the prompts less
+//! than half as many were served as of all, on days on which prefill engines were taken away. A prompt was started if
+//! the work queued before it and its own prefill could be in time together. Small prompts, whose own prefill is
+//! short, filled the queue to the point where no large prompt could be in time, and late prompts had no time left for
+//! their prefill. On such a day 0.77 of the smallest quarter were served and 0.18 of the largest tenth; at each size
+//! all were in time or refused, none late.
 //!
-//! The load: three engines that read and three that answer, prompts of 2,890 tokens in the mean behind 3,780 that some
-//! share (lognormal with a spread of 1.0 and 0.7, as there), read at 307 tokens a millisecond, and 1.3 to 2.2 times as many
-//! as the engines can read, as after half of them left.
+//! The load: three prefill and three decode engines, prompts with a mean of 2,890 tokens of their own after a mean of
+//! 3,780 shared ones (lognormal with a spread of 1.0 and 0.7, as on that day), a prefill rate of 307 tokens per
+//! millisecond, and 1.3 to 2.2 times as many prompts as the engines can prefill, as after half of them left.
 
 use std::sync::Arc;
 
@@ -28,34 +28,34 @@
 
 use crate::{SERVICE, facts, fleet, now, req, standard_normal};
 
-/// Time in which the first event is in time.
+/// Time within which the first event meets the objective.
 const OBJECTIVE: Span = Span::millis(200);
-/// Time that a caller stays.
+/// Time that a caller waits.
 const CALLER_TIMEOUT: Span = Span::millis(2_000);
-/// Subjects that prompts share.
+/// Number of subjects, whose part of the prompt is shared.
 const SUBJECTS: u64 = 300;
-/// Tokens that an engine's memory holds.
+/// KV cache capacity of an engine in tokens.
 const KV_CAPACITY: u64 = 305_000;
-/// Long answers on each engine that answers.
+/// Number of long answers on each decode engine.
 const ANSWERS_PER_ENGINE: usize = 20;
-/// Engines that read.
+/// Number of prefill engines, and of decode engines.
 const PREFILL_ENGINES: usize = 3;
-/// Seconds that are played, and those at first that do not count.
+/// Simulated seconds.
 const SECONDS: f64 = 40.0;
-/// See [`SECONDS`].
+/// Seconds at the start that are not counted.
 const WARM_UP: f64 = 10.0;
-/// How often large ones are to be served at least, as a part of how often all are: the users' own bound. Before there was any
-/// relief it was 0.11 to 0.51 here; evening sizes out up to 0.75 cost 0.06 and 0.08 of worth on two of ten days
-/// that were played, up to 0.6 it cost 0.035 at most.
+/// Minimum share of the large prompts that must be served, relative to that of all: the users' requirement. Without a
+/// discount for large prompts it was 0.11 to 0.51 here. Balancing sizes up to 0.75 cost 0.06 and 0.08 of the worth on
+/// two of ten simulated days, up to 0.6 it cost at most 0.035.
 const MIN_RELATIVE_SHARE: f64 = 0.5;
-/// Milliseconds of reading that a prompt takes here in the mean, by which the load is set.
+/// Mean milliseconds of prefill for a prompt, which determines the load.
 const MEAN_PREFILL_MS: f64 = 20.6;
 
-/// A prompt that waits at an engine or is read there.
+/// A prompt that is queued at an engine or being prefilled there.
 struct QueuedPrompt {
     sent: SentStep,
     step: Step,
-    /// Where it is answered, if another engine does that.
+    /// The decode step, if another engine decodes it.
     output: Option<Step>,
     prompt: Prompt,
     tokens: u32,
@@ -64,7 +64,7 @@
 
 struct Simulation {
     fleet: Fleet,
-    /// What waits at each engine, and when what it reads is done.
+    /// The queue of each engine, and the time at which its current prefill ends.
     queues: Vec<(ReplicaKey, Vec<QueuedPrompt>, Option<Time>)>,
     served: Vec<(u32, bool)>,
     rng: SmallRng,
@@ -82,9 +82,9 @@
         }
         let queues: Vec<_> = fleet.replicas().map(|(key, _)| (key, Vec::new(), None)).collect();
         for n in 0..PREFILL_ENGINES {
-            let key = fleet.key(&format!("w{n}")).expect("it is known");
+            let key = fleet.key(&format!("w{n}")).expect("the replica is known");
             for _ in 0..ANSWERS_PER_ENGINE {
-                // Long answers are on it all the time.
+                // The long answers are active all the time.
                 fleet.begin(key, &Step { long: true, ..Step::at(key) }, None, now());
             }
         }
@@ -127,7 +127,7 @@
         let plan = match &chosen {
             Ok(plan) => *plan,
             Err(PlanError::TooLate { plan, .. }) => **plan,
-            Err(PlanError::NoReplica | PlanError::RateLimited { .. }) => panic!("there are replicas"),
+            Err(PlanError::NoReplica | PlanError::RateLimited { .. }) => panic!("replicas are available"),
         };
         self.fleet.record_demand(&Arc::from(SERVICE), &req, &plan, chosen.is_ok(), now);
         let (step, output) = match chosen {
@@ -140,12 +140,12 @@
                 return;
             }
         };
-        let sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("it is known");
-        let queue = self.queues.iter_mut().find(|(key, ..)| *key == step.key).expect("it is an engine");
+        let sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("the replica is known");
+        let queue = self.queues.iter_mut().find(|(key, ..)| *key == step.key).expect("the replica has a queue");
         queue.1.push(QueuedPrompt { sent, step, output, prompt, tokens, counts });
     }
 
-    /// One engine goes on: what is in time before what is late, in the order of arrival.
+    /// Advances one engine: prompts that can be in time are processed before late ones, each in order of arrival.
     fn advance(&mut self, engine: usize, now: Time) {
         let (_, waiting, done) = &mut self.queues[engine];
         if done.is_some_and(|done| !done.is_past(now)) {
@@ -190,7 +190,7 @@
     }
 }
 
-/// What a reading takes.
+/// Actual duration of a prefill.
 fn actual_prefill_ms(reading: Reading) -> f64 {
     let (uncached, held) = (f64::from(reading.uncached), f64::from(reading.held));
     5.0 + uncached / 307.0 + 0.147 * uncached * (held + uncached / 2.0) / 1e6
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -1,15 +1,14 @@
-//! Long answers that come all day, on engines of different speed.
+//! A constant load of long answers on engines of different speed.
 //!
-//! Seen: of the longest tenth of the answers less than half as many were served as of all. They had
-//! begun at once and then ran into their callers' limit with nine tenths of their events passed
-//! on. How it came about: long answers were kept together on few engines, up to 0.8 of the slots,
-//! whether or not the last event would still come in time there, and a slow engine looked like any
-//! other. Proof: 73 of 74 such answers were on the engines that are 1.3 times as slow, at 70 to 89 ms
-//! an event, where the longest can bear 67 to 70.
+//! Guards against the longest answers being cut off by their callers' time limit. Of the longest tenth of the answers
+//! less than half as many were served as of all: they were started at once and reached the limit with nine tenths of
+//! their events forwarded. Long answers were packed on few engines, up to 0.8 of the slots, whether or not the last
+//! event would be in time there, and slow engines were treated like any other. 73 of 74 such answers were on the
+//! engines that are 1.3 times as slow, at 70 to 89 ms per event, where the longest answers allow 67 to 70.
 //!
-//! The load: six engines, of which two are slow; 36 long answers a second, as many as all engines can
-//! bear at a pace of 60 ms. The engines' time for an event, by how many answers they have, and
-//! the sizes of answers (lognormal, cut at 214 events) are as they were measured there.
+//! The load: six engines, two of them slow, and 36 long answers per second, as many as all engines can handle at 60
+//! ms per event. The time per event by the number of answers on an engine, and the sizes of answers (lognormal,
+//! limited to 214 events), are as measured in that case.
 
 use std::sync::Arc;
 
@@ -28,24 +27,24 @@
 
 /// Slots of each engine.
 const SLOTS: u32 = 96;
-/// Milliseconds between two events of an answer that is alone.
+/// Milliseconds between two events of an answer without others on the engine.
 const ALONE_MS: f64 = 44.0;
 /// Milliseconds that each other answer adds.
 const MS_PER_ANSWER: f64 = 0.34;
-/// Events of an answer at most.
+/// Maximum number of events of an answer.
 const MAX_EVENTS: f64 = 214.0;
-/// Tokens of an answer at most.
+/// Token limit of an answer.
 const MAX_TOKENS: u32 = 12_198;
-/// Time after which a caller takes no more.
+/// Time limit of a caller.
 const CALLER_TIMEOUT: Span = Span::millis(15_000);
-/// How far the emulation goes at once.
+/// Time step of the simulation.
 const TICK: Span = Span::millis(10);
-/// How often it is learned how far a stream has come.
+/// Interval in which the fleet learns the progress of a stream.
 const REPORT_INTERVAL: Span = Span::millis(500);
-/// Seconds in which answers begin.
+/// Seconds in which answers start.
 const SECONDS: u64 = 60;
 
-/// An answer under way.
+/// An active answer.
 #[derive(Debug)]
 struct Answer {
     engine: usize,
@@ -53,30 +52,29 @@
     events: f64,
     done: f64,
     ends_at: Time,
-    /// What was passed on when it was last learned from, and when.
+    /// Number of events that were forwarded when the fleet last learned from the stream, and the time of that.
     learned: (f64, Time),
 }
 
-/// What arrives.
+/// The requested answers.
 #[derive(Clone, Copy, Debug)]
 struct Arrivals {
-    /// Long answers that begin in a second.
+    /// Number of long answers that start per second.
     per_second: f64,
-    /// Whether callers guess how long they will be.
+    /// Whether callers estimate the length of their answers.
     guessed: bool,
 }
 
-/// How an answer ended.
 #[derive(Clone, Copy, Debug)]
 struct FinishedAnswer {
     events: f64,
     served: bool,
 }
 
-/// Six engines and a daemon's view of them.
+/// Engines, and a daemon's view of them.
 struct Simulation {
     fleet: Fleet,
-    /// How many times as long as usual each engine takes.
+    /// Factor by which the intervals of each engine exceed the usual ones.
     slowness: Vec<f64>,
     arrivals: Arrivals,
     running: Vec<Answer>,
@@ -132,12 +130,13 @@
             ..req(Some(&prompt), &[])
         };
         let Ok(Plan::Single(step)) = self.fleet.choose(&req, now) else {
-            panic!("one engine does it all");
+            panic!("one engine must serve the whole request");
         };
         self.fleet.record_demand(&Arc::from(SERVICE), &req, &Plan::Single(step), true, now);
-        let mut sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("it is known");
+        let mut sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("the replica is known");
         self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
-        let engine = self.fleet.get(step.key).expect("it is known").facts.id[1..].parse().expect("its number");
+        let engine =
+            self.fleet.get(step.key).expect("the replica is known").facts.id[1..].parse().expect("an engine number");
         self.running.push(Answer {
             engine,
             sent,
@@ -199,13 +198,13 @@
     }
 }
 
-/// A size as the answers there have it: lognormal with a mean of 90 events and a spread of 0.84.
+/// Number of events of an answer, distributed as measured: lognormal with a mean of 90 events and a spread of 0.84.
 fn answer_events(rng: &mut SmallRng) -> f64 {
     let spread: f64 = 0.84;
     (90.5 * (spread * standard_normal(rng) - spread * spread / 2.0).exp()).clamp(1.0, MAX_EVENTS)
 }
 
-/// A caller's guess of an answer's tokens: right in the median, off by half of it and more in a third.
+/// A caller's estimate of an answer's tokens: the median is right, a third are off by half or more.
 fn caller_guess(rng: &mut SmallRng, events: f64) -> u32 {
     (events * f64::from(MAX_TOKENS) / MAX_EVENTS * (0.5 * standard_normal(rng)).exp()) as u32
 }
@@ -222,9 +221,9 @@
     }
 }
 
-/// Twice the answers that the engines can bear at the pace of the longest: where callers guess how long
-/// theirs will be, the likely short ones fill the slow engines and leave the others to the long. Without
-/// guesses 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
+/// Answers are requested at twice the rate that the engines can handle at the pace the longest answers need. If
+/// callers estimate their lengths, the probably short answers fill the slow engines and leave the others to long
+/// ones. Without estimates 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
 #[test]
 fn likely_short_answers_leave_the_fast_engines_to_long_ones() {
     let arrivals = Arrivals { per_second: 48.0, guessed: true };
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The replicas as a daemon sees them, and who gets a request.
+//! Tests of a daemon's view of the replicas, and of the selection of replicas for requests.
 
 use std::sync::Arc;
 
@@ -53,12 +53,12 @@
     }
 }
 
-/// Hash of the hall of the fleets of these tests.
+/// Hash of the hall that `fleet` is in.
 pub(crate) fn hall_hash() -> u32 {
     short_id("hall-1")
 }
 
-/// A message of a daemon of the same hall.
+/// Identifies a report of a daemon in the same hall.
 pub(crate) fn report_id(sender: u64, number: u64) -> ReportId {
     ReportId { source: Source::Daemon(sender), sender, number, hall: hall_hash(), daemons: 1 }
 }
@@ -92,20 +92,20 @@
     }
 }
 
-/// Normally distributed, as near as twelve draws come to it.
+/// A sample of a standard normal distribution, approximated by the sum of twelve uniform ones.
 pub(crate) fn standard_normal(rng: &mut SmallRng) -> f64 {
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
 
 pub(crate) fn id(fleet: &Fleet, key: ReplicaKey) -> String {
-    fleet.get(key).expect("it is known").facts.id.to_string()
+    fleet.get(key).expect("the replica is known").facts.id.to_string()
 }
 
 pub(crate) fn step(key: ReplicaKey, work_ms: f64, long: bool) -> Step {
     Step { work_ms, reading: Reading { uncached: 1, held: 0 }, long, ..Step::at(key) }
 }
 
-/// A fleet with one replica, in a hall of its own.
+/// A fleet with one replica, seen from the given hall.
 pub(crate) fn fleet_in_hall(name: &str) -> Fleet {
     let mut fleet = Fleet::new(name, FleetPolicy::default(), Time(0));
     fleet.put(facts("a", Role::Plain), 1);
--- a/crates/core/tests/fleet/many_replicas.rs
+++ b/crates/core/tests/fleet/many_replicas.rs
@@ -1,8 +1,8 @@
-//! Thousands of replicas, nearly all of them idle.
+//! Thousands of replicas, most of them idle.
 //!
-//! Seen: a choice went through all of them several times, so that a daemon with an eighth of a core took tens
-//! of milliseconds for each request while the engines had nothing to do. A sample must still find the
-//! engine that holds a prompt, and keep work off engines that are busy.
+//! Guards against a selection whose cost grows with the number of replicas. It examined all of them several times, so
+//! that a daemon with an eighth of a core took tens of milliseconds for each request while the engines were idle. A
+//! sample must still find the engine that holds a prompt, and avoid engines that are busy.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -29,11 +29,13 @@
     let mut fleet = large_fleet(Role::Decode);
     for subject in 10..60 {
         let earlier = prompt(subject, 1_000 + subject, 1);
-        let holder = fleet.key(&format!("e{}", subject * 5)).expect("it is known");
-        let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("it is known");
+        let holder = fleet.key(&format!("e{}", subject * 5)).expect("the replica is known");
+        let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("the replica is known");
         fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
         let next = prompt(subject, 2_000 + subject, 1);
-        let plan = fleet.choose(&RouteRequest { draw: subject, ..req(Some(&next), &[]) }, now()).expect("one is free");
+        let plan = fleet
+            .choose(&RouteRequest { draw: subject, ..req(Some(&next), &[]) }, now())
+            .expect("a replica is available");
         assert_eq!(id(&fleet, plan.prefill_step().key), format!("e{}", subject * 5));
     }
 }
@@ -44,9 +46,9 @@
     let mut requests_by_replica: HashMap<String, u32> = HashMap::new();
     for draw in 0..1_000_u64 {
         let draw = draw.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let plan = fleet.choose(&RouteRequest { draw, ..req(None, &[]) }, now()).expect("one is free");
+        let plan = fleet.choose(&RouteRequest { draw, ..req(None, &[]) }, now()).expect("a replica is available");
         let key = plan.prefill_step().key;
-        assert_eq!(&*fleet.get(key).expect("it is known").facts.hall, "hall-1");
+        assert_eq!(&*fleet.get(key).expect("the replica is known").facts.hall, "hall-1");
         fleet.begin(key, &step(key, 1.0, false), None, now());
         *requests_by_replica.entry(id(&fleet, key)).or_default() += 1;
     }
@@ -54,17 +56,17 @@
     assert!(busiest <= 4, "{busiest} of 1,000 requests at one of 1,000 replicas");
 }
 
-/// A replica that left is not looked at, also where it is remembered to hold a prompt.
+/// A removed replica is not a candidate, even if it is recorded as a holder of the prompt.
 #[test]
 fn removed_replicas_are_not_chosen() {
     let mut fleet = large_fleet(Role::Decode);
     let earlier = prompt(10, 11, 1);
-    let holder = fleet.key("e10").expect("it is known");
-    let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("it is known");
+    let holder = fleet.key("e10").expect("the replica is known");
+    let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("the replica is known");
     fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
     fleet.mark_removed("e10", 2, now());
     assert_eq!(fleet.remove_gone(now()).len(), 1);
     let next = prompt(10, 12, 1);
-    let plan = fleet.choose(&req(Some(&next), &[]), now()).expect("one is free");
+    let plan = fleet.choose(&req(Some(&next), &[]), now()).expect("a replica is available");
     assert_ne!(id(&fleet, plan.prefill_step().key), "e10");
 }
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other.
+//! Tests of the reports between daemons.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 fn a_peers_load_counts_until_it_is_updated_or_the_peer_times_out() {
     let mut fleet = fleet_with(&[("a", Role::Plain), ("b", Role::Plain)]);
     let mut other = fleet_with(&[("a", Role::Plain), ("b", Role::Plain)]);
-    let key = other.key("a").expect("it is known");
+    let key = other.key("a").expect("the replica is known");
     for _ in 0..9 {
         other.begin(key, &step(key, 0.0, false), None, now());
     }
@@ -48,12 +48,12 @@
     let mut there = fleet_with(&[("a", Role::Plain), ("b", Role::Plain)]);
     let gone = facts("a", Role::Plain);
     assert!(here.mark_unreachable(&gone, now()));
-    assert!(!here.mark_unreachable(&gone, now()), "it is left out already");
+    assert!(!here.mark_unreachable(&gone, now()), "it is already ejected");
     there.apply_report(report_id(1, 1), &here.own_report(now()), now());
     for draw in 0..100 {
         for fleet in [&here, &there] {
             let Ok(Plan::Single(step)) = fleet.choose(&RouteRequest { draw, ..req(None, &[]) }, now()) else {
-                panic!("b is there");
+                panic!("replica b is available");
             };
             assert_eq!(id(fleet, step.key), "b");
         }
@@ -74,7 +74,7 @@
     let mut relay = fleet_in_hall("hall-1");
     relay.apply_report(report_id(1, 1), &load_at_a(2), now());
     relay.apply_report(report_id(2, 1), &load_at_a(60), now());
-    let key = relay.key("a").expect("it is known");
+    let key = relay.key("a").expect("the replica is known");
     relay.begin(key, &step(key, 0.0, false), None, now());
     let (report, daemons) = relay.hall_summary(now());
     assert_eq!((report.loads[0].active, report.loads[0].unreachable, daemons), (63, true, 3));
@@ -86,15 +86,16 @@
         |sender, number| ReportId { source: Source::Hall(hall_hash()), sender, number, hall: hall_hash(), daemons };
     far.apply_report(summary(9, 5), &report, now());
     assert_eq!((active_at_a(&far), far.daemons()), (63, 4));
-    // A daemon of that hall is already in its sum; an older sum, or one of the own hall, is not taken.
+    // The load of a single daemon of that hall is already contained in the summary; an older summary, and one of the
+    // own hall, are ignored.
     far.apply_report(report_id(1, 2), &load_at_a(2), now());
     far.apply_report(summary(9, 4), &load_at_a(1), now());
     relay.apply_report(summary(9, 6), &load_at_a(1), now());
     assert_eq!((active_at_a(&far), active_at_a(&relay)), (63, 63));
-    // Another daemon may sum the hall up from now on.
+    // Another daemon may send the summary of the hall from now on.
     far.apply_report(summary(8, 1), &load_at_a(5), now());
     assert_eq!(active_at_a(&far), 5);
-    // What other halls say is not passed on as this hall's.
+    // The load of other halls is not reported as that of this hall.
     assert_eq!(far.hall_summary(now()).0.loads, Vec::new());
     assert_eq!(far.remove_expired_peers(now() + Span::millis(5_000)), [8]);
     assert_eq!((active_at_a(&far), far.daemons()), (0, 1));
@@ -107,13 +108,13 @@
     fleet.set_listed_daemons(8);
     let service: Arc<str> = Arc::from(SERVICE);
     let taken = (0..40).filter(|_| fleet.take_retries(1, &service, &terms, now())).count();
-    assert!((1..=5).contains(&taken), "{taken} repeats");
+    assert!((1..=5).contains(&taken), "{taken} retries");
 }
 
 #[test]
 fn reports_stay_small_for_prompts_with_many_parts() {
     let mut fleet = fleet_in_hall("hall-1");
-    let key = fleet.key("a").expect("it is known");
+    let key = fleet.key("a").expect("the replica is known");
     for n in 0..200 {
         let prompt = Prompt::new("m", (0..60).map(|part| (n * 100 + part, 100)), 6_000, 10);
         fleet.begin(key, &step(key, 0.0, false), Some(&prompt), now());
--- a/crates/core/tests/fleet/pool.rs
+++ b/crates/core/tests/fleet/pool.rs
@@ -1,4 +1,4 @@
-//! How many engines are wanted, under demands that swing and engines that are taken away.
+//! Tests of the number of engines under changing demand and when engines are reclaimed.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -47,7 +47,8 @@
     }
 }
 
-/// Where cheap engines are none, or hardly cheaper, or all in one hall, engines that stay are bought.
+/// Only staying engines are ordered if there are no reclaimable ones, if these are hardly cheaper, or if all are in
+/// one hall.
 #[test]
 fn reclaimable_engines_are_ordered_only_if_they_are_cheaper_overall() {
     let staying =
@@ -71,7 +72,8 @@
     assert!((peak.at(at(80)) - 40.0).abs() < 1e-9);
 }
 
-/// Ninety engines are given for a demand that needs forty: what was expected ends once averages have settled.
+/// Guards against keeping ninety engines for an expected demand that needs forty: the expectation must end once the
+/// averages have settled.
 #[test]
 fn observed_demand_replaces_expected_demand() {
     let at = |seconds: u64| Time(seconds * 1_000_000);
@@ -81,9 +83,9 @@
         assert!((peak.at(at(second)) - 90.0).abs() < 1e-9);
     }
     peak.observe(80.0, at(10));
-    assert!((peak.at(at(12)) - 90.0).abs() < 1e-9, "a few seconds say little");
+    assert!((peak.at(at(12)) - 90.0).abs() < 1e-9, "the averages have not settled yet");
     peak.observe(40.0, at(18));
-    assert!((peak.at(at(18)) - 40.0).abs() < 1e-9, "the first figures do not hold");
+    assert!((peak.at(at(18)) - 40.0).abs() < 1e-9, "the first figures are not held");
     let mut next = Peak::expected(90.0, at(20));
     next.observe(40.0, at(21));
     assert!((next.at(at(22)) - 90.0).abs() < 1e-9);
@@ -98,20 +100,20 @@
     assert!(!should_replace(&less, &full) && should_replace(&half, &full) && should_replace(&full, &less));
 }
 
-/// Engines of a pool, as the platform would have them.
+/// A simulated platform with the engines of a pool.
 struct Platform {
     scaling: Scaling,
     ordered: PoolSize,
     running: PoolSize,
-    /// Engines that start, by when they are there.
+    /// Engines that are starting: the time at which they are ready, their hall, and whether they are reclaimable.
     starting: Vec<(u64, Arc<str>, bool)>,
-    /// Until when a hall has none that may be taken away.
+    /// Time until which a hall has no reclaimable engines.
     unavailable_until_s: BTreeMap<Arc<str>, u64>,
     orders: usize,
 }
 
 impl Platform {
-    /// All engines stay at first, as many in each hall.
+    /// Starts with the given number of staying engines in each hall.
     fn new(each: u32) -> Self {
         let running: PoolSize =
             HALLS.iter().map(|hall| (Arc::from(*hall), HallSize { staying: each, reclaimable: 0 })).collect();
@@ -125,9 +127,9 @@
         }
     }
 
-    /// Take all that may be taken away in a hall, and have none for a while.
+    /// Takes away all reclaimable engines of a hall and makes new ones unavailable for a while.
     fn reclaim(&mut self, hall: &str, now_s: u64, unavailable_s: u64) {
-        self.running.get_mut(hall).expect("a hall").reclaimable = 0;
+        self.running.get_mut(hall).expect("the hall is known").reclaimable = 0;
         self.starting.retain(|(_, its, reclaimable)| &**its != hall || !reclaimable);
         self.unavailable_until_s.insert(Arc::from(hall), now_s + unavailable_s);
     }
@@ -138,7 +140,7 @@
             self.orders += usize::from(next != self.ordered[hall]);
             self.ordered.insert(Arc::clone(hall), next);
             let is_unavailable = self.unavailable_until_s.get(hall).is_some_and(|until| now_s < *until);
-            let running = self.running.get_mut(hall).expect("a hall");
+            let running = self.running.get_mut(hall).expect("the hall is known");
             running.staying = running.staying.min(next.staying);
             running.reclaimable = running.reclaimable.min(next.reclaimable);
             let starting = |kind| self.starting.iter().filter(|(_, its, k)| its == hall && *k == kind).count() as u32;
@@ -156,7 +158,7 @@
             std::mem::take(&mut self.starting).into_iter().partition(|s| s.0 <= now_s);
         self.starting = still;
         for (_, hall, reclaimable) in ready {
-            let running = self.running.get_mut(&hall).expect("a hall");
+            let running = self.running.get_mut(&hall).expect("the hall is known");
             if reclaimable {
                 running.reclaimable += 1;
             } else {
@@ -170,7 +172,7 @@
     }
 }
 
-/// On the way from engines that stay to cheap ones the demand is served in each second.
+/// The demand must be served in each second of the switch from staying to reclaimable engines.
 #[test]
 fn the_demand_is_served_during_the_switch_to_reclaimable_engines() {
     let mut platform = Platform::new(19);
@@ -183,8 +185,9 @@
     assert!(platform.orders <= 12, "{} orders", platform.orders);
 }
 
-/// All cheap engines of one hall go at the peak, of another soon after, and none are to be had: in each second
-/// nine tenths of the demand are served, and later all is as it was.
+/// All reclaimable engines of one hall are taken away at the peak and those of another soon after, and no
+/// replacements are available. Nine tenths of the demand must be served in each second, and the pool must recover
+/// later.
 #[test]
 fn two_reclaims_without_replacements_leave_enough_engines() {
     let mut platform = Platform::new(19);
@@ -201,7 +204,7 @@
     assert_eq!(platform.running, wanted);
 }
 
-/// A demand that swings within the time that an engine takes to start moves no engine.
+/// A demand that swings within the start time of an engine must not change the pool.
 #[test]
 fn demand_that_swings_faster_than_engines_start_changes_nothing() {
     let scaling = scaling();
@@ -220,7 +223,7 @@
     assert_eq!(changes, 0);
 }
 
-/// A demand that falls to nothing ends at the least that operators allow, in a few steps.
+/// When the demand ends, the pool must shrink to the configured minimum in a few steps.
 #[test]
 fn a_pool_shrinks_to_its_minimum_when_demand_ends() {
     let scaling = scaling();
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -51,7 +51,7 @@
     fn send(&mut self, at: usize, ms: u64) -> bool {
         let fleet = &mut self.fleets[at];
         let time = Self::time(ms);
-        let key = fleet.key("a").expect("it is known");
+        let key = fleet.key("a").expect("the replica is known");
         let knew_limit = fleet.get(key).is_some_and(|replica| replica.rate_limit().is_some());
         let Some(sent) = fleet.begin(key, &step(key, 0.0, false), None, time) else {
             return false;
@@ -172,7 +172,7 @@
 }
 
 fn accepts(fleet: &mut Fleet, ms: u64) -> bool {
-    let key = fleet.key("a").expect("it is known");
+    let key = fleet.key("a").expect("the replica is known");
     fleet.begin(key, &step(key, 0.0, false), None, Daemons::time(ms)).is_some()
 }
 
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -1,4 +1,4 @@
-//! Which roles engines take.
+//! Tests of the roles that engines are given.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
         (0..12).map(|n| (format!("e{n}"), if n < 4 { Role::Prefill } else { Role::Decode })).collect();
     let roles: Vec<(&str, Role)> = roles.iter().map(|(id, role)| (id.as_str(), *role)).collect();
     let mut fleet = fleet_with(&roles);
-    // Ten slots each: 25 short answers take more than three engines, and twice that is kept.
+    // Ten slots each: 25 short answers require more than three engines, and about twice as many are kept.
     let demand = Demand { prefill: 9.0, slots: 25.0, ..Demand::default() };
     let mut changed = 0;
     let mut at = now();
@@ -32,14 +32,14 @@
         at = at + Span::millis(3_000);
         changed += 1;
     }
-    assert!((0..=1).contains(&changed), "{changed} were taken");
+    assert!((0..=1).contains(&changed), "{changed} decode engines changed their role");
     let mut fleet = fleet_with(&roles);
     let demand = Demand { prefill: 9.0, slots: 5.0, ..Demand::default() };
-    let first = fleet.next_role_change(SERVICE, demand, now()).expect("there are some to spare");
+    let first = fleet.next_role_change(SERVICE, demand, now()).expect("decode engines can be spared");
     fleet.start_role_change(first.key, first.to, now() + Span::millis(3_000));
     let second = fleet.next_role_change(SERVICE, demand, now()).expect("two of twelve may change at once");
     fleet.start_role_change(second.key, second.to, now() + Span::millis(3_000));
-    assert_eq!(fleet.next_role_change(SERVICE, demand, now()), None, "no more than two");
+    assert_eq!(fleet.next_role_change(SERVICE, demand, now()), None, "no more than two may change at once");
     let transfer = Demand { transfer: 7.0, prefill: 0.1, ..Demand::default() };
     assert_eq!(
         fleet_with(&roles).next_role_change(SERVICE, transfer, now()).map(|change| change.to),
@@ -63,7 +63,7 @@
     while let Some(change) = fleet.next_role_change(SERVICE, prefill, now()) {
         assert_eq!(change.to, Role::Prefill);
         fleet.start_role_change(change.key, change.to, now() + Span::millis(3_000));
-        assert_eq!(fleet.next_role_change(SERVICE, prefill, now()), None, "one at a time of so few");
+        assert_eq!(fleet.next_role_change(SERVICE, prefill, now()), None, "of so few engines one changes at a time");
         fleet.put(facts(&id(&fleet, change.key), Role::Prefill), 2);
         changed += 1;
     }
@@ -79,9 +79,9 @@
     let mut fleet =
         fleet_with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
     let prefill = Demand { prefill: 9.0, slots: 2.0, ..Demand::default() };
-    let first = fleet.next_role_change(SERVICE, prefill, now()).expect("one is worth it");
+    let first = fleet.next_role_change(SERVICE, prefill, now()).expect("one role change is worthwhile");
     fleet.hold_orders_until(first.key, now() + Span::millis(13_000));
-    let second = fleet.next_role_change(SERVICE, prefill, now()).expect("another one can change");
+    let second = fleet.next_role_change(SERVICE, prefill, now()).expect("another engine can change its role");
     assert_ne!(first.key, second.key);
 }
 
@@ -90,15 +90,16 @@
     let mut fleet =
         fleet_with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
     for id in ["d1", "d2", "d3"] {
-        let key = fleet.key(id).expect("it is known");
+        let key = fleet.key(id).expect("the replica is known");
         fleet.begin(key, &step(key, 0.0, true), None, now());
     }
     assert_eq!(fleet.next_role_change(SERVICE, Demand { prefill: 9.0, slots: 2.0, ..Demand::default() }, now()), None);
 }
 
-/// Few engines answer and many read: streams of some seconds fill the engines that answer up to where the
-/// longest run into their callers' limit, while two thirds of the others have nothing to read. By slots alone, of
-/// which a quarter is taken, neither side lacks engines.
+/// Guards against decode engines that are overloaded while prefill engines are idle. Few engines decode and many
+/// prefill: streams of some seconds fill the decode engines until the longest reach their callers' time limit, while
+/// two thirds of the others have nothing to prefill. By slots alone, a quarter of which are in use, neither side
+/// lacks engines.
 #[test]
 fn idle_prefill_engines_become_decode_engines_if_answers_are_too_slow() {
     let roles: Vec<(String, Role)> =
@@ -118,19 +119,19 @@
         at = at + Span::millis(3_000);
         answering += 1;
     }
-    assert!((19..=32).contains(&answering), "{answering} answer");
+    assert!((19..=32).contains(&answering), "{answering} decode engines");
 }
 
-/// Streams of 957 tokens at most whose 70 events come the farther apart the more of them run.
+/// Learns from streams of up to 957 tokens whose 70 events are farther apart the more streams are active.
 fn learn_streams(fleet: &mut Fleet, id: &str) {
-    let key = fleet.key(id).expect("it is known");
+    let key = fleet.key(id).expect("the replica is known");
     let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
     let req = RouteRequest { time_left: Span::millis(8_000), ..req(Some(&prompt), &[]) };
     let long = step(key, 1.0, true);
     fleet.record_demand(&Arc::from(SERVICE), &req, &Plan::Single(long), true, now());
     let mut running = Vec::new();
     for n in 0..40_u64 {
-        let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("it is known");
+        let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("the replica is known");
         running.push(sent);
         let took = Span::seconds(70.0 * (41.0 + 0.9 * n as f64) / 1_000.0);
         fleet.learn_stream(&sent, &StreamPart { events: 70, total: 70, took, ..StreamPart::default() });
@@ -142,24 +143,25 @@
     }
 }
 
-/// Answers of less than a thousand tokens can keep their slots for seconds, as their engines have shown.
+/// Answers of less than a thousand tokens can occupy their slots for seconds, as observed on their engines.
 #[test]
 fn answers_are_classified_as_long_by_their_duration() {
     let mut fleet = fleet_with(&[("d1", Role::Decode), ("d2", Role::Decode)]);
     let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
     let is_long = |fleet: &Fleet, prompt: &Prompt| {
-        let plan = fleet.choose(&req(Some(prompt), &[]), now() + Span::millis(20_000)).expect("an engine is free");
+        let plan = fleet.choose(&req(Some(prompt), &[]), now() + Span::millis(20_000)).expect("an engine is available");
         plan.is_long()
     };
-    assert!(!is_long(&fleet, &prompt), "nothing is known yet");
+    assert!(!is_long(&fleet, &prompt), "no answer was observed yet");
     learn_streams(&mut fleet, "d1");
     assert!(is_long(&fleet, &prompt));
     let short = Prompt::new("m", [(1, 600)].into_iter(), 600, 90);
     assert!(!is_long(&fleet, &short));
 }
 
-/// Engines that pause now and then for three times as long as usual: an answer whose events come 60 ms apart on
-/// average then pauses for 180, and the more answers an engine has the fewer of them keep a pause of 250.
+/// Engines that occasionally pause for three times the usual interval: an answer whose events are 60 ms apart on
+/// average then pauses for 180 ms, and the more answers an engine has, the fewer of them stay within a pause of 250
+/// ms.
 #[test]
 fn engines_with_long_pauses_are_given_fewer_answers() {
     let next_role = |factor: u64| {
@@ -170,10 +172,10 @@
         }
         learn_streams(&mut fleet, "d31");
         fleet.set_max_pause(&Arc::from(SERVICE), Some(Span::millis(250)));
-        let key = fleet.key("d31").expect("it is known");
+        let key = fleet.key("d31").expect("the replica is known");
         let long = step(key, 1.0, true);
         let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
-        let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("it is known");
+        let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("the replica is known");
         let longest_interval = Span::millis(60 * factor);
         let whole = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest_interval };
         for _ in 0..200 {
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -1,7 +1,8 @@
-//! Replicas that start again under the identifier that they had.
+//! Replicas that restart under the same identifier.
 //!
-//! Grounds: the users' terms. A replica that starts again holds and knows nothing of before, and its counts start anew; the time
-//! of its start tells two starts apart. What was believed of one start must end with it, in any order in which news arrives.
+//! By the users' requirements, a restarted replica has none of its earlier state, its counters start anew, and its
+//! start time distinguishes two starts. State recorded for one start must be discarded with it, in whatever order the
+//! updates arrive.
 
 use dahliaseam_core::{
     endpoint::Role,
@@ -33,14 +34,14 @@
 }
 
 fn held_tokens(fleet: &Fleet) -> u32 {
-    let key = fleet.key(ID).expect("it is known");
-    fleet.get(key).expect("it is known").cache.held_tokens(&prompt(7, 7, 10))
+    let key = fleet.key(ID).expect("the replica is known");
+    fleet.get(key).expect("the replica is known").cache.held_tokens(&prompt(7, 7, 10))
 }
 
-/// A daemon with work at a start, that it tells of.
+/// The report of a daemon that has load on the given start.
 fn report_with_load(start_time_ms: u64) -> LoadReport {
     let mut fleet = fleet_with(start(start_time_ms));
-    let key = fleet.key(ID).expect("it is known");
+    let key = fleet.key(ID).expect("the replica is known");
     fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now());
     fleet.own_report(now())
 }
@@ -48,35 +49,35 @@
 #[test]
 fn the_state_of_a_replica_is_discarded_when_it_restarts() {
     let mut fleet = fleet_with(ReplicaFacts { draining: true, ..start(1_000) });
-    let key = fleet.key(ID).expect("it is known");
-    let sent = fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("it is known");
+    let key = fleet.key(ID).expect("the replica is known");
+    let sent = fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("the replica is known");
     fleet.mark_unreachable(&start(1_000), now());
     fleet.start_role_change(key, Role::Prefill, now() + Span::millis(9_000));
     fleet.hold_orders_until(key, now() + Span::millis(9_000));
-    assert!(fleet.put(start(5_000), 2), "it is another one");
-    let next = fleet.key(ID).expect("it is known");
-    assert_ne!(next, key, "nothing that was planned for the one before reaches it");
-    let row = fleet.get(next).expect("it is known");
+    assert!(fleet.put(start(5_000), 2), "the entry belongs to a new start");
+    let next = fleet.key(ID).expect("the replica is known");
+    assert_ne!(next, key, "nothing planned for the previous start applies to the new one");
+    let row = fleet.get(next).expect("the replica is known");
     assert!(row.is_open(now()) && row.health.allows(now()) && row.orders_held_until.is_past(now()));
     assert_eq!((row.active(), held_tokens(&fleet)), (0, 0));
     assert!(fleet.get(key).is_none());
     assert!(fleet.is_replaced(&start(1_000)) && !fleet.is_replaced(&start(5_000)));
-    assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the one before");
-    // Work that was under way ends without a trace at the new one.
+    assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the previous start");
+    // Requests that were active end without affecting the new start.
     assert!(!fleet.end(&sent, StepEnd::Silent, now()));
-    let row = fleet.get(next).expect("it is known");
+    let row = fleet.get(next).expect("the replica is known");
     assert!(row.health.allows(now()));
 }
 
 #[test]
 fn a_replica_without_a_start_time_is_supported() {
     let mut fleet = fleet_with(crate::facts(ID, Role::Decode));
-    let key = fleet.key(ID).expect("it is known");
+    let key = fleet.key(ID).expect("the replica is known");
     assert!(!fleet.put(crate::facts(ID, Role::Decode), 2));
     assert_eq!(fleet.key(ID), Some(key));
 }
 
-/// Whose news it is and in which order it comes does not matter.
+/// An update, which may arrive in any order and from any source.
 enum Arrival {
     Entry(ReplicaFacts, i64),
     Removed(i64),
@@ -103,7 +104,8 @@
             Arrival::Peer(id(1, 1), old.clone()),
             Arrival::Peer(id(2, 1), new.clone()),
         ];
-        // A borrower may hear an entry of the older start under a newer revision than it has seen.
+        // A daemon that copies the store's contents from a peer may receive an entry of the older start at a newer
+        // revision than it has seen.
         if rng.random_bool(0.5) {
             arrivals.push(Arrival::Entry(start(1_000), 10));
         }
@@ -116,10 +118,10 @@
                 Arrival::Peer(id, report) => drop(fleet.apply_report(id, &report, now())),
             }
         }
-        let key = fleet.key(ID).expect("it is known");
-        assert_eq!(fleet.get(key).expect("it is known").facts.start_time_ms, Some(5_000), "seed {seed}");
-        assert!(fleet.get(key).expect("it is known").is_open(now()), "seed {seed}");
-        // What a mate has at the start before is not there; what it has at this one is told again and again.
+        let key = fleet.key(ID).expect("the replica is known");
+        assert_eq!(fleet.get(key).expect("the replica is known").facts.start_time_ms, Some(5_000), "seed {seed}");
+        assert!(fleet.get(key).expect("the replica is known").is_open(now()), "seed {seed}");
+        // A peer's load on the previous start does not count; its load on the present start is reported repeatedly.
         fleet.apply_report(id(1, 2), &old, now());
         fleet.apply_report(id(2, 2), &new, now());
         assert_eq!(active(&fleet), 1, "seed {seed}");
