--- a/crates/core/src/fleet/cache.rs
+++ b/crates/core/src/fleet/cache.rs
@@ -42,8 +42,8 @@
 
     fn touch(&mut self, part: Part) {
         self.use_count += 1;
-        if let Some((tokens, at)) = self.parts.insert(part.chain, (part.tokens, self.use_count)) {
-            self.by_use.remove(&at);
+        if let Some((tokens, last_use)) = self.parts.insert(part.chain, (part.tokens, self.use_count)) {
+            self.by_use.remove(&last_use);
             self.used_tokens -= u64::from(tokens);
         }
         self.by_use.insert(self.use_count, part.chain);
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -92,9 +92,9 @@
 
     /// The replicas among the candidates of a request that accept requests from this daemon now.
     fn eligible(&self, req: &RouteRequest<'_>, now: Time) -> Vec<(ReplicaKey, &Replica)> {
-        let mut rows = self.available(req, now);
-        rows.retain(|(_, replica)| replica.accepts(self.slot_share, now));
-        rows
+        let mut eligible = self.available(req, now);
+        eligible.retain(|(_, replica)| replica.accepts(self.slot_share, now));
+        eligible
     }
 
     /// Shortest time until an available replica accepts a request from this daemon; `None` if none is available.
@@ -110,11 +110,11 @@
             Some(_) => self.candidates.all(req.service).to_vec(),
             None => self.candidates.select(req.service, req.prompt, req.draw),
         };
-        let rows = candidates.into_iter().filter_map(|key| Some((key, self.replicas.get(key)?)));
+        let replicas = candidates.into_iter().filter_map(|key| Some((key, self.replicas.get(key)?)));
         let is_available = |(key, replica): &(ReplicaKey, &Replica)| {
             replica.is_open(now) && replica.health.allows(now) && !req.tried.contains(key)
         };
-        rows.filter(is_available).collect()
+        replicas.filter(is_available).collect()
     }
 
     /// Whether an answer with this token limit may occupy its slot for a second or more.
@@ -132,8 +132,8 @@
     fn max_prefill_burst_ms(&self, service: &str, engine: &EngineModel) -> f64 {
         let pause = self.services.get(service).and_then(|state| state.max_pause);
         let pause_ms = pause.map_or(self.policy.pause_ms, Span::in_millis);
-        let room = pause_ms - engine.pace.interval_ms();
-        (room * self.policy.pause_share).max(SHORT_PREFILL_MS)
+        let headroom_ms = pause_ms - engine.pace.interval_ms();
+        (headroom_ms * self.policy.pause_share).max(SHORT_PREFILL_MS)
     }
 
     /// Whether this daemon started so recently that it may not have received the load of all peers.
@@ -190,7 +190,7 @@
     }
 
     /// The eligible engines that decode.
-    fn answering(&self) -> impl Iterator<Item = (ReplicaKey, &'a Replica)> {
+    fn decode_engines(&self) -> impl Iterator<Item = (ReplicaKey, &'a Replica)> {
         self.eligible.iter().copied().filter(|(_, replica)| replica.facts.role != Role::Prefill)
     }
 
@@ -202,14 +202,14 @@
 
     fn plain_plan(&self) -> Option<Plan> {
         let state = self.fleet.services.get(self.req.service);
-        let mean_ms = state.map_or(super::INITIAL_PLAIN_MS, |state| state.plain_ms);
+        let mean_ms = state.map_or(super::INITIAL_PLAIN_MS, |state| state.plain_call_ms);
         let steps = self.eligible.iter().map(|(key, replica)| {
             let work_ms = mean_ms * replica.slowness(self.now);
-            let over = f64::from((replica.active() + 1).saturating_sub(replica.facts.slots));
+            let excess = f64::from((replica.active() + 1).saturating_sub(replica.facts.slots));
             let utilization = f64::from(replica.active()) / f64::from(replica.facts.slots.max(1));
             let link_ms = self.req.link_ms + self.req.send_ms;
             let wait_ms =
-                work_ms * over / f64::from(replica.facts.slots.max(1)) + utilization * FULL_LOAD_COST_MS + link_ms;
+                work_ms * excess / f64::from(replica.facts.slots.max(1)) + utilization * FULL_LOAD_COST_MS + link_ms;
             let step = Step { key: *key, wait_ms, work_ms, link_ms, ..Step::at(*key) };
             (step.wait_ms + work_ms + self.reachability_cost_ms(replica) + self.tie_break_ms(*key), step)
         });
@@ -249,16 +249,16 @@
     /// short answers only, and an engine whose long answers would end too late takes no prefill above
     /// [`SHORT_PREFILL_MS`].
     fn single_step(&self, input: &PrefillInput<'_>, protect_short: bool) -> Option<Step> {
-        let pause_ms = self.fleet.max_prefill_burst_ms(self.req.service, &input.engine);
+        let max_burst_ms = self.fleet.max_prefill_burst_ms(self.req.service, &input.engine);
         let placement = self.fleet.placement(self.req, input.long, self.now);
-        cheapest(self.answering().filter_map(|(key, replica)| {
+        cheapest(self.decode_engines().filter_map(|(key, replica)| {
             let step = self.estimate_prefill((key, replica), input);
-            let over = slot_wait_ms(replica, input.long);
-            let step = Step { wait_ms: step.wait_ms + over, long: input.long, ..step };
+            let queue_ms = slot_wait_ms(replica, input.long);
+            let step = Step { wait_ms: step.wait_ms + queue_ms, long: input.long, ..step };
             let is_restricted = replica.streams() > 0 || (protect_short && replica.active() > 0);
             let interferes = replica.streams() > 0 && step.work_ms > SHORT_PREFILL_MS;
             let delays = interferes && protect_short && !self.fleet.has_decode_slack(replica, self.now);
-            if delays || (is_restricted && step.wait_ms + step.work_ms > pause_ms) {
+            if delays || (is_restricted && step.wait_ms + step.work_ms > max_burst_ms) {
                 return None;
             }
             let interference_ms = if interferes { f64::from(replica.streams()) * INTERFERENCE_COST_MS } else { 0.0 };
@@ -283,8 +283,8 @@
 
     /// The engine whose KV cache holds most of a prompt, and the number of tokens it holds.
     fn holder(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
-        let sure = self.eligible.iter().filter(|(_, replica)| !replica.may_be_gone(self.now));
-        let held = sure.map(|(key, replica)| (*key, replica.cache.held_tokens(prompt)));
+        let present = self.eligible.iter().filter(|(_, replica)| !replica.may_be_gone(self.now));
+        let held = present.map(|(key, replica)| (*key, replica.cache.held_tokens(prompt)));
         held.max_by_key(|(_, tokens)| *tokens)
     }
 
@@ -293,7 +293,7 @@
         let engine = self.fleet.engine(self.req.service);
         let prefill = self.fleet.replicas.get(prefill.key);
         let placement = self.fleet.placement(self.req, long, self.now);
-        cheapest(self.answering().map(|(key, replica)| {
+        cheapest(self.decode_engines().map(|(key, replica)| {
             let wait_ms = slot_wait_ms(replica, long) + replica.prefill_ms(self.now) * 0.5;
             let across = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
             let moved = Moved { tokens: prompt.tokens, across };
@@ -303,8 +303,8 @@
                 + work_ms
                 + self.reachability_cost_ms(replica)
                 + f64::from(replica.active()) * ACTIVE_REQUEST_COST_MS;
-            let placed_ms = placement.map_or(0.0, |placement| placement.cost_ms(replica));
-            (cost + placed_ms + self.tie_break_ms(key), step)
+            let placement_ms = placement.map_or(0.0, |placement| placement.cost_ms(replica));
+            (cost + placement_ms + self.tie_break_ms(key), step)
         }))
     }
 
@@ -323,7 +323,7 @@
             let across = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
             engine.hand_over.work_ms(Moved { tokens: copy_tokens, across })
         });
-        let factor = if replica.facts.role == Role::Decode { engine.read.decode_factor() } else { 1.0 };
+        let decode_factor = if replica.facts.role == Role::Decode { engine.read.decode_factor() } else { 1.0 };
         let link_ms = self.req.link_ms + self.req.send_ms;
         let ahead_ms = if late { replica.prefill_ms(self.now) } else { replica.urgent_prefill_ms(self.now) };
         Step {
@@ -331,7 +331,7 @@
             // The engine works on its queue while the request is being sent.
             wait_ms: ahead_ms.max(link_ms),
             link_ms,
-            work_ms: engine.read.work_ms(reading) * factor * replica.slowness(self.now) + copy_ms,
+            work_ms: engine.read.work_ms(reading) * decode_factor * replica.slowness(self.now) + copy_ms,
             reading,
             moved: None,
             copy_from,
@@ -345,11 +345,12 @@
     /// preempted once it has started.
     fn with_urgent_delay(&self, plan: Plan) -> Plan {
         let service = self.req.service;
-        let all = self.fleet.candidates.all(service).iter().filter_map(|key| self.fleet.replicas.get(*key));
-        let prefill_engines = all.filter(|replica| replica.facts.role == Role::Prefill && replica.is_open(self.now));
+        let replicas = self.fleet.candidates.all(service).iter().filter_map(|key| self.fleet.replicas.get(*key));
+        let prefill_engines =
+            replicas.filter(|replica| replica.facts.role == Role::Prefill && replica.is_open(self.now));
         let prefill_engines = prefill_engines.count().max(1) as f64;
-        let free = (1.0 - self.fleet.demand(service, self.now).urgent / prefill_engines).max(MIN_FREE_SHARE);
-        let delayed = |step: Step| Step { wait_ms: step.wait_ms / free, ..step };
+        let free_share = (1.0 - self.fleet.demand(service, self.now).urgent / prefill_engines).max(MIN_FREE_SHARE);
+        let delayed = |step: Step| Step { wait_ms: step.wait_ms / free_share, ..step };
         match plan {
             Plan::Single(step) => Plan::Single(delayed(step)),
             Plan::Disaggregated { prefill, decode } => Plan::Disaggregated { prefill: delayed(prefill), decode },
@@ -382,8 +383,8 @@
     /// Cost of reaching a replica: the latency to another hall, and a penalty if the replica may be gone.
     fn reachability_cost_ms(&self, replica: &Replica) -> f64 {
         let Fleet { hall, policy, hall_latencies, .. } = self.fleet;
-        let is_own = *replica.facts.hall == **hall;
-        let hall_ms = if is_own { 0.0 } else { policy.other_hall_ms + hall_latencies.extra_ms(replica.hall) };
+        let is_own_hall = *replica.facts.hall == **hall;
+        let hall_ms = if is_own_hall { 0.0 } else { policy.other_hall_ms + hall_latencies.extra_ms(replica.hall) };
         hall_ms + if replica.may_be_gone(self.now) { MAY_BE_GONE_COST_MS } else { 0.0 }
     }
 }
@@ -397,8 +398,8 @@
         return f64::from((active + 1).saturating_sub(slots)) * LONG_SLOT_WAIT_MS;
     }
     let short = active.saturating_sub(replica.streams());
-    let crowded = if active >= slots { PREEMPTION_COST_MS } else { 0.0 };
-    crowded + f64::from((short + 1).saturating_sub(slots)) * SLOT_WAIT_MS
+    let preemption_ms = if active >= slots { PREEMPTION_COST_MS } else { 0.0 };
+    preemption_ms + f64::from((short + 1).saturating_sub(slots)) * SLOT_WAIT_MS
 }
 
 /// Returns the plan, or a refusal if it is predicted to take longer than `limit`.
--- a/crates/core/src/fleet/discovery.rs
+++ b/crates/core/src/fleet/discovery.rs
@@ -38,24 +38,24 @@
         if is_older {
             return false;
         }
-        let before = self.replicas.remove(key);
-        if let Some(before) = &before {
-            self.candidates.remove(&before.facts.service, key);
+        let previous = self.replicas.remove(key);
+        if let Some(previous) = &previous {
+            self.candidates.remove(&previous.facts.service, key);
         }
-        let next = self.add(facts, revision);
-        if let (Some(before), Some(next)) = (before, self.replicas.get_mut(next)) {
-            self.by_start_id.remove(&before.start_id);
-            next.inherit_speed(&before);
+        let new_key = self.add(facts, revision);
+        if let (Some(previous), Some(new)) = (previous, self.replicas.get_mut(new_key)) {
+            self.by_start_id.remove(&previous.start_id);
+            new.inherit_speed(&previous);
         }
         true
     }
 
     fn add(&mut self, facts: ReplicaFacts, revision: i64) -> ReplicaKey {
-        let memory = self.services.entry(Arc::clone(&facts.service)).or_default().kv_capacity_tokens;
-        let memory = (memory as f64 * self.policy.cache_share) as u64;
+        let kv_capacity = self.services.entry(Arc::clone(&facts.service)).or_default().kv_capacity_tokens;
+        let kv_capacity = (kv_capacity as f64 * self.policy.cache_share) as u64;
         let id = Arc::clone(&facts.id);
         let hall = self.hall_latencies.key(&facts.hall);
-        let mut replica = Replica::new(facts, revision, memory);
+        let mut replica = Replica::new(facts, revision, kv_capacity);
         replica.hall = hall;
         let start_id = replica.start_id;
         let (service, in_hall) = (Arc::clone(&replica.facts.service), *replica.facts.hall == *self.hall);
--- a/crates/core/src/fleet/distance.rs
+++ b/crates/core/src/fleet/distance.rs
@@ -47,12 +47,12 @@
     /// Learns from the time that a connection took.
     pub(super) fn learn(&mut self, key: HallKey, took: Span) {
         if let Some(hall) = self.halls.get_mut(key.0) {
-            let longest = if hall.observations >= MIN_OBSERVATIONS {
+            let max_ms = if hall.observations >= MIN_OBSERVATIONS {
                 hall.round_trip_ms.value() * MAX_OUTLIER_FACTOR
             } else {
                 f64::INFINITY
             };
-            hall.round_trip_ms.learn(took.in_millis().min(longest));
+            hall.round_trip_ms.learn(took.in_millis().min(max_ms));
             hall.observations = hall.observations.saturating_add(1);
         }
     }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -67,8 +67,8 @@
 #[derive(Clone, Debug)]
 struct ServiceState {
     engine: EngineModel,
-    plain_ms: f64,
-    budget: RetryBudget,
+    plain_call_ms: f64,
+    retry_budget: RetryBudget,
     kv_capacity_tokens: u64,
     /// Longest pause between events of a stream that callers accept; `None` if not configured.
     max_pause: Option<Span>,
@@ -94,8 +94,8 @@
     fn default() -> Self {
         Self {
             engine: EngineModel::default(),
-            plain_ms: INITIAL_PLAIN_MS,
-            budget: RetryBudget::default(),
+            plain_call_ms: INITIAL_PLAIN_MS,
+            retry_budget: RetryBudget::default(),
             kv_capacity_tokens: DEFAULT_KV_CAPACITY,
             max_pause: None,
             long_answers: None,
@@ -134,7 +134,7 @@
     /// Predicted milliseconds until it ends.
     pub expected_ms: f64,
     /// Time that this VM's link takes to send it.
-    pub link: Span,
+    pub link_time: Span,
     /// Whether the replica had no other prompt to prefill.
     pub had_no_prefill: bool,
     /// Number of other long answers known to be on the replica.
@@ -144,7 +144,7 @@
     /// Number of answer tokens that the caller expects.
     pub output_hint: Option<u32>,
     /// Time at which it was sent.
-    pub at: Time,
+    pub sent_at: Time,
 }
 
 /// A part of a stream that was forwarded.
@@ -340,7 +340,7 @@
             self.prompt_notes.push(peers::PromptNote::new(replica.start_id, prompt));
         }
         let expected_ms = step.wait_ms + step.work_ms;
-        let link = Span::seconds(step.link_ms / 1_000.0);
+        let link_time = Span::seconds(step.link_ms / 1_000.0);
         let (reading, moved) = (step.reading, step.moved);
         Some(SentStep {
             key,
@@ -348,25 +348,25 @@
             reading,
             moved,
             expected_ms,
-            link,
+            link_time,
             had_no_prefill,
             other_streams,
             max_output,
             output_hint,
-            at: now,
+            sent_at: now,
         })
     }
 
     /// Records that the prefill has ended while the request continues; removes it from the load of `sent`.
     pub fn prefill_ended(&mut self, sent: &mut SentStep, end: StepEnd, now: Time) {
-        let read = Load { prefill_ms: sent.load.prefill_ms, late_ms: sent.load.late_ms, ..Load::default() };
+        let prefill = Load { prefill_ms: sent.load.prefill_ms, late_ms: sent.load.late_ms, ..Load::default() };
         if let Some(replica) = self.replicas.get_mut(sent.key) {
-            replica.own_load = replica.own_load.minus(read);
+            replica.own_load = replica.own_load.minus(prefill);
         }
         if end == StepEnd::Done {
-            self.learn_read(sent, now);
+            self.learn_prefill(sent, now);
         }
-        sent.load = sent.load.minus(read);
+        sent.load = sent.load.minus(prefill);
     }
 
     /// Records that a step on a replica has ended; returns whether this ejects the replica.
@@ -468,7 +468,7 @@
         replica.learn_slowness(sent.expected_ms, took, now);
         let service = Arc::clone(&replica.facts.service);
         let state = self.service_mut(&service);
-        state.plain_ms += PLAIN_WEIGHT * (took.in_millis() - state.plain_ms);
+        state.plain_call_ms += PLAIN_WEIGHT * (took.in_millis() - state.plain_call_ms);
     }
 
     /// How to treat a request, given the replicas that crashed during it.
@@ -480,29 +480,29 @@
 
     /// Adds a new request to the retry budget of a service.
     pub fn record_request(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
-        self.service_mut(service).budget.record_request(terms, now);
+        self.service_mut(service).retry_budget.record_request(terms, now);
     }
 
     /// Charges a call that turned out to be a retry only after it was sent.
     pub fn charge_retry(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
-        self.service_mut(service).budget.charge(terms, now);
+        self.service_mut(service).retry_budget.charge(terms, now);
     }
 
     /// Takes `count` retries from the budget of a service; returns whether the budget allows them.
     pub fn take_retries(&mut self, count: u32, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) -> bool {
         // A daemon that is cut off from its peers must not use their shares of the budget.
         let daemons = self.daemons().max(self.listed_daemons);
-        self.service_mut(service).budget.take(count, terms, daemons, now)
+        self.service_mut(service).retry_budget.take(count, terms, daemons, now)
     }
 
-    fn learn_read(&mut self, sent: &SentStep, now: Time) {
+    fn learn_prefill(&mut self, sent: &SentStep, now: Time) {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return;
         };
-        let took = now.since(sent.at);
+        let took = now.since(sent.sent_at);
         replica.learn_slowness(sent.expected_ms, took, now);
         let (service, role) = (Arc::clone(&replica.facts.service), replica.facts.role);
-        let took = Span(took.0.saturating_sub(sent.link.0));
+        let took = Span(took.0.saturating_sub(sent.link_time.0));
         let engine = &mut self.service_mut(&service).engine;
         match sent.moved {
             Some(moved) => engine.hand_over.learn(moved, took),
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -35,14 +35,14 @@
     pub(super) fn cost_ms(&self, replica: &Replica) -> f64 {
         let slots = f64::from(replica.facts.slots) * self.packed_share;
         let streams = f64::from(replica.streams());
-        let overfull = ((streams - slots) / slots).max(0.0);
+        let excess = ((streams - slots) / slots).max(0.0);
         let Some(pace) = self.pace else {
-            return PACKING_MS * if streams < slots { 1.0 - streams / slots } else { 1.0 + overfull };
+            return PACKING_MS * if streams < slots { 1.0 - streams / slots } else { 1.0 + excess };
         };
         let interval_ms = replica.interval_ms(pace, replica.streams() + 1);
         let lateness = interval_ms / self.max_interval_ms - 1.0;
         if streams >= slots || lateness > 0.0 {
-            return PACKING_MS * (1.0 + overfull + lateness.max(0.0) * LATENESS_WEIGHT);
+            return PACKING_MS * (1.0 + excess + lateness.max(0.0) * LATENESS_WEIGHT);
         }
         let slowest_ms = pace.interval_ms(slots);
         PACKING_MS * (1.0 - interval_ms / slowest_ms).max(0.0)
@@ -57,14 +57,14 @@
             return None;
         }
         let packed_share = self.policy.packed_share;
-        let unknown = Placement { pace: None, max_interval_ms: f64::INFINITY, packed_share };
+        let without_pace = Placement { pace: None, max_interval_ms: f64::INFINITY, packed_share };
         let Some(state) = self.services.get(req.service).filter(|state| state.engine.answers.is_known()) else {
-            return Some(unknown);
+            return Some(without_pace);
         };
         let pace = &state.engine.answers;
         let lengths_known = state.long_answers.is_some_and(|long| long.lengths_known_from.is_past(now));
-        let likely = req.prompt.and_then(|prompt| pace.likely_events(prompt, lengths_known));
-        let max_interval_ms = match likely {
+        let likely_events = req.prompt.and_then(|prompt| pace.likely_events(prompt, lengths_known));
+        let max_interval_ms = match likely_events {
             Some(events) => {
                 (req.time_left.in_millis() * self.policy.answer_share / events).min(Self::max_steady_interval_ms(state))
             }
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -36,7 +36,7 @@
 const MAX_HALL_PROMPT_NOTES: usize = 96;
 
 /// Maximum number of rate limits in a report, of about twenty bytes each.
-const MAX_LIMIT_NOTES: usize = 256;
+const MAX_RATE_LIMIT_NOTES: usize = 256;
 /// Maximum number of prompt parts in a message, of about fourteen bytes each, so that it fits into a datagram however
 /// many parts prompts have.
 const MAX_PARTS: usize = 384;
@@ -179,9 +179,9 @@
         self.hall_prompt_notes.extend(reads.iter().cloned());
         self.hall_prompt_notes.truncate(MAX_HALL_PROMPT_NOTES);
         self.prune_reportable(now);
-        let busy = self.reportable_replicas().map(|(_, replica)| replica);
-        let busy = busy.filter(|replica| replica.own_load.active > 0 || is_ejected(replica, now));
-        let loads = busy.map(|replica| to_replica_load(replica, replica.own_load, is_ejected(replica, now)));
+        let loaded = self.reportable_replicas().map(|(_, replica)| replica);
+        let loaded = loaded.filter(|replica| replica.own_load.active > 0 || is_ejected(replica, now));
+        let loads = loaded.map(|replica| to_replica_load(replica, replica.own_load, is_ejected(replica, now)));
         let demands = self.services.iter().map(|(name, state)| (short_id(name), state.demand_meter.demand(now)));
         LoadReport {
             loads: loads.collect(),
@@ -203,21 +203,21 @@
         for (service, demand) in own.chain(hall_peers.iter().flat_map(|peer| peer.demands.clone())) {
             demands.entry(service).or_default().add(demand);
         }
-        let mut sums: HashMap<ReplicaKey, (Load, bool)> = HashMap::new();
+        let mut loads_by_replica: HashMap<ReplicaKey, (Load, bool)> = HashMap::new();
         for (key, replica) in self.reportable_replicas() {
             let ejected = is_ejected(replica, now);
             if replica.own_load.active > 0 || ejected {
-                sums.insert(key, (replica.own_load, ejected));
+                loads_by_replica.insert(key, (replica.own_load, ejected));
             }
         }
         for (key, load) in hall_peers.iter().flat_map(|peer| &peer.loads) {
-            let sum = &mut sums.entry(*key).or_default().0;
+            let sum = &mut loads_by_replica.entry(*key).or_default().0;
             *sum = sum.plus(*load);
         }
         for key in hall_peers.iter().flat_map(|peer| &peer.unreachable) {
-            sums.entry(*key).or_default().1 = true;
+            loads_by_replica.entry(*key).or_default().1 = true;
         }
-        let reported = sums.into_iter().filter(|(_, (load, unreachable))| load.active > 0 || *unreachable);
+        let reported = loads_by_replica.into_iter().filter(|(_, (load, unreachable))| load.active > 0 || *unreachable);
         let loads = reported
             .filter_map(|(key, (load, unreachable))| Some(to_replica_load(self.replicas.get(key)?, load, unreachable)));
         let loads = loads.collect();
@@ -273,9 +273,9 @@
 
     /// Rate limits to report within this hall, or to other halls if `to_halls` is set.
     fn rate_limits(&self, to_halls: bool, now: Time) -> Vec<RateLimitNote> {
-        let rows = self.reportable_replicas().map(|(_, replica)| replica);
-        let reportable = rows.filter(|replica| replica.rate_limit.is_reportable(to_halls, now));
-        reportable.take(MAX_LIMIT_NOTES).map(|replica| replica.rate_limit.note(replica.start_id, now)).collect()
+        let replicas = self.reportable_replicas().map(|(_, replica)| replica);
+        let reportable = replicas.filter(|replica| replica.rate_limit.is_reportable(to_halls, now));
+        reportable.take(MAX_RATE_LIMIT_NOTES).map(|replica| replica.rate_limit.note(replica.start_id, now)).collect()
     }
 
     /// Applies reported rate limits; returns the replicas whose limits changed.
@@ -360,8 +360,8 @@
     }
 
     fn changing(&self, now: Time, by: impl Fn(&Replica) -> bool) -> Vec<ChangingEngine> {
-        let rows = self.reportable_replicas().map(|(_, replica)| replica);
-        let changing = rows.filter(|replica| by(replica) && !replica.role_change_until.is_past(now));
+        let replicas = self.reportable_replicas().map(|(_, replica)| replica);
+        let changing = replicas.filter(|replica| by(replica) && !replica.role_change_until.is_past(now));
         let changing = changing.map(|replica| ChangingEngine {
             replica: replica.start_id,
             to_prefill: replica.next_role == Role::Prefill,
@@ -417,35 +417,37 @@
     }
 
     fn replace_peer(&mut self, id: ReportId, loads: &[ReplicaLoad], now: Time) {
-        let before = self.peers.remove(&id.source).map(|peer| peer.loads).unwrap_or_default();
-        for (key, load) in before {
+        let previous = self.peers.remove(&id.source).map(|peer| peer.loads).unwrap_or_default();
+        for (key, load) in previous {
             if let Some(replica) = self.replicas.get_mut(key) {
                 replica.peer_load = replica.peer_load.minus(load);
             }
         }
-        let mut after = HashMap::with_capacity(loads.len());
+        let mut loads_by_key = HashMap::with_capacity(loads.len());
         let mut unreachable = Vec::new();
         for load in loads {
             let Some(key) = self.by_start_id.get(&load.replica).copied() else {
                 continue;
             };
-            let value = Load {
+            let replica_load = Load {
                 prefill_ms: f64::from(load.reading_ms),
                 late_ms: f64::from(load.late_ms),
                 active: load.active,
                 streams: load.streams,
             };
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.peer_load = replica.peer_load.plus(value);
+                replica.peer_load = replica.peer_load.plus(replica_load);
                 if load.unreachable {
                     replica.unreachable_until = now + UNREACHABLE_PERIOD;
                     unreachable.push(key);
                 }
             }
-            after.insert(key, value);
+            loads_by_key.insert(key, replica_load);
         }
-        self.peers
-            .insert(id.source, PeerState { id, heard_at: now, loads: after, unreachable, demands: HashMap::new() });
+        self.peers.insert(
+            id.source,
+            PeerState { id, heard_at: now, loads: loads_by_key, unreachable, demands: HashMap::new() },
+        );
     }
 }
 
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -121,10 +121,12 @@
         let needed = needed.min(halls * f64::from(self.max));
         let per_hall = |engines: f64| (engines / halls).ceil() as u32;
         // Share of the reclaimable engines that remains after one hall lost its own.
-        let left = (halls - 1.0) / halls;
-        let is_cheaper = self.reclaimable_price.is_some_and(|price| left > 0.0 && price / left < 1.0);
+        let remaining_share = (halls - 1.0) / halls;
+        let is_cheaper =
+            self.reclaimable_price.is_some_and(|price| remaining_share > 0.0 && price / remaining_share < 1.0);
         let staying = if is_cheaper { needed * policy.pool_staying_share } else { needed };
-        let reclaimable = if is_cheaper { (needed * policy.pool_headroom - staying).max(0.0) / left } else { 0.0 };
+        let reclaimable =
+            if is_cheaper { (needed * policy.pool_headroom - staying).max(0.0) / remaining_share } else { 0.0 };
         let staying = per_hall(staying).clamp(self.min, self.max);
         let reclaimable = per_hall(reclaimable).min(self.max - staying);
         let size = HallSize { staying, reclaimable };
@@ -143,12 +145,12 @@
         let staying = |hall| size(running, hall).staying.min(size(ordered, hall).staying);
         let serving: u32 = wanted.keys().map(|hall| staying(hall) + size(running, hall).reclaimable).sum();
         let max_lost = wanted.values().map(|hall| hall.reclaimable).max().unwrap_or_default();
-        let enough = wanted.values().map(|hall| hall.total()).sum::<u32>() - max_lost;
-        let mut spare = serving.saturating_sub(enough);
+        let required = wanted.values().map(|hall| hall.total()).sum::<u32>() - max_lost;
+        let mut releasable = serving.saturating_sub(required);
         let next = wanted.iter().map(|(hall, wanted)| {
             let surplus = size(ordered, hall).staying.saturating_sub(wanted.staying);
-            let released = surplus.min(spare);
-            spare -= released;
+            let released = surplus.min(releasable);
+            releasable -= released;
             let staying = wanted.staying + surplus - released;
             let room = self.max.saturating_sub(staying.max(size(running, hall).staying));
             (Arc::clone(hall), HallSize { staying, reclaimable: wanted.reclaimable.min(room) })
@@ -189,7 +191,7 @@
     #[must_use]
     pub fn needed_engines(&self, service: &str, demand: Demand, now: Time) -> Option<f64> {
         let engines: Vec<_> = self.replicas.iter().filter(|(_, r)| &*r.facts.service == service).collect();
-        let need = self.required_engines(service, &engines, demand, now)?;
-        Some(need.prefill + need.decode)
+        let required = self.required_engines(service, &engines, demand, now)?;
+        Some(required.prefill + required.decode)
     }
 }
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -185,10 +185,10 @@
     }
 
     /// Copies the slowness, which is a property of the machine, from the replica's previous start.
-    pub(super) const fn inherit_speed(&mut self, before: &Self) {
-        self.answer_slowness = before.answer_slowness;
-        self.slowness = before.slowness;
-        self.slowness_at = before.slowness_at;
+    pub(super) const fn inherit_speed(&mut self, previous: &Self) {
+        self.answer_slowness = previous.answer_slowness;
+        self.slowness = previous.slowness;
+        self.slowness_at = previous.slowness_at;
     }
 
     /// Whether new work may be sent to it, apart from its health and rate limit.
@@ -263,9 +263,9 @@
 
     /// Learns from work that took `took` where `expected_ms` was predicted for a usual replica.
     pub fn learn_slowness(&mut self, expected_ms: f64, took: Span, now: Time) {
-        let seen = took.in_millis() / expected_ms.max(1.0);
-        let before = self.slowness(now);
-        let next = before + SLOWNESS_WEIGHT * (seen - before);
+        let observed = took.in_millis() / expected_ms.max(1.0);
+        let previous = self.slowness(now);
+        let next = previous + SLOWNESS_WEIGHT * (observed - previous);
         self.slowness = next.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         self.slowness_at = now;
     }
--- a/crates/core/src/fleet/sizes.rs
+++ b/crates/core/src/fleet/sizes.rs
@@ -28,7 +28,7 @@
 pub(super) struct LargePromptFairness {
     bounds: [RunningQuantile; 2],
     /// Decaying averages of attempts by new callers and of admitted attempts.
-    callers: f64,
+    new_callers: f64,
     admitted: f64,
     /// Discount as a multiple of a prompt's own prefill time, for each of the two size classes.
     discount: [f64; 2],
@@ -37,20 +37,20 @@
 impl Default for LargePromptFairness {
     fn default() -> Self {
         let bound = |n: usize| RunningQuantile::new(INITIAL_BOUNDS[n], SIZE_QUANTILES[n]);
-        Self { bounds: [bound(0), bound(1)], callers: 0.0, admitted: 0.0, discount: [0.0; 2] }
+        Self { bounds: [bound(0), bound(1)], new_callers: 0.0, admitted: 0.0, discount: [0.0; 2] }
     }
 }
 
 impl LargePromptFairness {
     /// Records an attempt, whether its caller was refused before, and whether it is admitted.
     pub(super) fn record(&mut self, tokens: u32, was_refused: bool, admitted: bool) {
-        let (first, admitted) = (f64::from(u8::from(!was_refused)), f64::from(u8::from(admitted)));
+        let (is_new, admitted) = (f64::from(u8::from(!was_refused)), f64::from(u8::from(admitted)));
         if let Some(size) = self.size_class(tokens) {
             // Each caller makes a first attempt once and is admitted at most once.
-            let missing = first * MIN_RELATIVE_SHARE * self.admitted_share() - admitted;
-            self.discount[size] = (self.discount[size] + missing * DISCOUNT_STEP).clamp(0.0, MAX_DISCOUNT);
+            let shortfall = is_new * MIN_RELATIVE_SHARE * self.admitted_share() - admitted;
+            self.discount[size] = (self.discount[size] + shortfall * DISCOUNT_STEP).clamp(0.0, MAX_DISCOUNT);
         }
-        self.callers += (first - self.callers) * ADMISSION_WEIGHT;
+        self.new_callers += (is_new - self.new_callers) * ADMISSION_WEIGHT;
         self.admitted += (admitted - self.admitted) * ADMISSION_WEIGHT;
         if !was_refused {
             self.bounds.iter_mut().for_each(|bound| bound.learn(f64::from(tokens)));
@@ -69,6 +69,6 @@
 
     /// Share of callers that are admitted.
     fn admitted_share(&self) -> f64 {
-        if self.callers > 0.0 { (self.admitted / self.callers).min(1.0) } else { 0.0 }
+        if self.new_callers > 0.0 { (self.admitted / self.new_callers).min(1.0) } else { 0.0 }
     }
 }
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -164,7 +164,7 @@
     long: AnswerMeter,
     /// Engine-seconds of transfers.
     transfer: DecayingSum,
-    seen: bool,
+    has_requests: bool,
 }
 
 impl Default for DemandMeter {
@@ -175,7 +175,7 @@
             short: AnswerMeter::new(INITIAL_SHORT_SECONDS),
             long: AnswerMeter::new(INITIAL_LONG_SECONDS),
             transfer: DecayingSum::default(),
-            seen: false,
+            has_requests: false,
         }
     }
 }
@@ -183,20 +183,20 @@
 impl DemandMeter {
     /// Records a request.
     pub fn record_request(&mut self, request: &RequestDemand, now: Time) {
-        self.seen = true;
+        self.has_requests = true;
         self.prefill.add(request.prefill_ms / 1_000.0, now);
         if !request.late {
             self.urgent.add(request.prefill_ms / 1_000.0, now);
         }
         self.transfer.add(request.transfer_ms / 1_000.0, now);
-        let kind = if request.long { &mut self.long } else { &mut self.short };
-        kind.record_request(request.tokens, now);
+        let meter = if request.long { &mut self.long } else { &mut self.short };
+        meter.record_request(request.tokens, now);
     }
 
     /// Records the duration of an answer, and whether it was a long one.
     pub fn record_answer(&mut self, took: Span, long: bool) {
-        let kind = if long { &mut self.long } else { &mut self.short };
-        kind.record_answer(took);
+        let meter = if long { &mut self.long } else { &mut self.short };
+        meter.record_answer(took);
     }
 
     /// The present demand.
@@ -222,7 +222,7 @@
     /// The demand that is the reason for the change.
     pub demand: Demand,
     /// Numbers of prefill and decode engines before the change.
-    pub before: (usize, usize),
+    pub counts_before: (usize, usize),
 }
 
 impl Fleet {
@@ -234,12 +234,12 @@
             .iter()
             .filter(|(_, replica)| &*replica.facts.service == service && is_serving(replica, now))
             .collect();
-        let with = |role| engines.iter().filter(|(_, replica)| target_role(replica, now) == role).count();
-        let (prefill, decode) = (with(Role::Prefill), with(Role::Decode));
+        let count = |role| engines.iter().filter(|(_, replica)| target_role(replica, now) == role).count();
+        let (prefill, decode) = (count(Role::Prefill), count(Role::Decode));
         if prefill + decode < MIN_ENGINES {
             return None;
         }
-        let change = |key, to| RoleChange { key, to, demand, before: (prefill, decode) };
+        let change = |key, to| RoleChange { key, to, demand, counts_before: (prefill, decode) };
         if demand == Demand::default() {
             let wanted = ((prefill + decode) as f64 * self.policy.first_read_share) as usize;
             let lacks_prefill = prefill < wanted && decode > MIN_DECODE && !self.has_seen_demand(service);
@@ -252,19 +252,20 @@
         if changing >= (all as f64 * MAX_CHANGING_SHARE).ceil() as usize {
             return None;
         }
-        let need = self.required_engines(service, &engines, demand, now)?;
+        let required = self.required_engines(service, &engines, demand, now)?;
         let min_decode = min_decode(all);
         // Without prefill engines no larger prompt is served at all, whatever KV cache its answer would need.
         let margin = if prefill < MIN_PREFILL { 0.0 } else { DECODE_MARGIN };
-        let kept = ((need.decode * margin).ceil() as usize).max(min_decode);
-        if need.prefill > prefill as f64 && decode > kept {
+        let kept = ((required.decode * margin).ceil() as usize).max(min_decode);
+        if required.prefill > prefill as f64 && decode > kept {
             return least_loaded_engine(&engines, Role::Decode, now).map(|key| change(key, Role::Prefill));
         }
-        let prefill_to_spare = need.prefill <= prefill.saturating_sub(1) as f64;
-        let is_short = need.decode > decode as f64 * SHORTAGE_FACTOR;
-        let wanted = (need.decode.ceil() as usize).max(min_decode);
-        let balanced = all as f64 * need.decode_in_time / (need.prefill + need.decode_in_time).max(f64::MIN_POSITIVE);
-        let is_utilized = need.decode_in_time >= decode as f64 * MIN_UTILIZATION;
+        let prefill_to_spare = required.prefill <= prefill.saturating_sub(1) as f64;
+        let is_short = required.decode > decode as f64 * SHORTAGE_FACTOR;
+        let wanted = (required.decode.ceil() as usize).max(min_decode);
+        let balanced =
+            all as f64 * required.decode_in_time / (required.prefill + required.decode_in_time).max(f64::MIN_POSITIVE);
+        let is_utilized = required.decode_in_time >= decode as f64 * MIN_UTILIZATION;
         let is_imbalanced = is_utilized && balanced - decode as f64 >= (all as f64 * MIN_IMBALANCE).max(1.0);
         let lacks_decode = wanted > decode && (prefill_to_spare || is_short);
         if prefill > MIN_PREFILL && (lacks_decode || (is_imbalanced && prefill_to_spare)) {
@@ -306,7 +307,7 @@
 
     /// Whether this daemon has received any request for the service.
     fn has_seen_demand(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|state| state.demand_meter.seen)
+        self.services.get(service).is_some_and(|state| state.demand_meter.has_requests)
     }
 
     /// Sends no new work to an engine until `until`, because its role is changing to `to`.
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -92,12 +92,12 @@
     }
 
     fn run(&mut self, load: f64) {
-        let begun = now();
-        let mut now = begun;
+        let start = now();
+        let mut now = start;
         let per_ms = load * PREFILL_ENGINES as f64 / MEAN_PREFILL_MS;
-        while now.since(begun).as_seconds() < SECONDS {
+        while now.since(start).as_seconds() < SECONDS {
             now = now + Span::millis(1);
-            let counts = now.since(begun).as_seconds() > WARM_UP;
+            let counts = now.since(start).as_seconds() > WARM_UP;
             if self.rng.random_bool(per_ms.min(1.0)) {
                 self.arrive(counts, now);
             }
@@ -152,29 +152,29 @@
             return;
         }
         if done.take().is_some() {
-            let over = waiting.remove(0);
-            self.finish(over, now);
+            let finished = waiting.remove(0);
+            self.finish(finished, now);
         }
         let (_, waiting, done) = &mut self.queues[engine];
         if waiting.is_empty() {
             return;
         }
         let next = waiting.iter().position(|waiting| !waiting.step.late).unwrap_or(0);
-        let first = waiting.remove(next);
-        let factor = if first.output.is_some() { 1.0 } else { 2.0 };
-        *done = Some(now + Span::seconds(actual_prefill_ms(first.step.reading) * factor / 1_000.0));
-        waiting.insert(0, first);
+        let current = waiting.remove(next);
+        let factor = if current.output.is_some() { 1.0 } else { 2.0 };
+        *done = Some(now + Span::seconds(actual_prefill_ms(current.step.reading) * factor / 1_000.0));
+        waiting.insert(0, current);
     }
 
-    fn finish(&mut self, mut over: QueuedPrompt, now: Time) {
-        self.fleet.prefill_ended(&mut over.sent, StepEnd::Done, now);
-        self.fleet.end(&over.sent, StepEnd::Done, now);
-        let in_time = now.since(over.sent.at) < CALLER_TIMEOUT;
-        if over.counts {
-            self.served.push((over.tokens, in_time));
+    fn finish(&mut self, mut finished: QueuedPrompt, now: Time) {
+        self.fleet.prefill_ended(&mut finished.sent, StepEnd::Done, now);
+        self.fleet.end(&finished.sent, StepEnd::Done, now);
+        let in_time = now.since(finished.sent.sent_at) < CALLER_TIMEOUT;
+        if finished.counts {
+            self.served.push((finished.tokens, in_time));
         }
-        if let Some(output) = over.output
-            && let Some(mut sent) = self.fleet.begin(output.key, &output, Some(&over.prompt), now)
+        if let Some(output) = finished.output
+            && let Some(mut sent) = self.fleet.begin(output.key, &output, Some(&finished.prompt), now)
         {
             self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
             self.fleet.end(&sent, StepEnd::Done, now);
@@ -208,10 +208,10 @@
             simulation.run(load);
             let (largest, below, all) = simulation.shares();
             println!("load {load}, seed {seed}: largest {largest:.2}, below {below:.2}, all {all:.2}");
-            let shown =
+            let shares =
                 || format!("load {load}, seed {seed}: {largest:.2} and {below:.2} of the largest, of all {all:.2}");
-            assert!(largest > MIN_RELATIVE_SHARE * all && below > MIN_RELATIVE_SHARE * all, "{}", shown());
-            assert!(all > min_share, "{}", shown());
+            assert!(largest > MIN_RELATIVE_SHARE * all && below > MIN_RELATIVE_SHARE * all, "{}", shares());
+            assert!(all > min_share, "{}", shares());
         }
     }
 }
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -53,7 +53,7 @@
     done: f64,
     ends_at: Time,
     /// Number of events that were forwarded when the fleet last learned from the stream, and the time of that.
-    learned: (f64, Time),
+    last_report: (f64, Time),
 }
 
 /// The requested answers.
@@ -78,7 +78,7 @@
     slowness: Vec<f64>,
     arrivals: Arrivals,
     running: Vec<Answer>,
-    over: Vec<FinishedAnswer>,
+    finished: Vec<FinishedAnswer>,
     rng: SmallRng,
     arrivals_so_far: u64,
 }
@@ -96,19 +96,19 @@
             slowness: slowness.to_vec(),
             arrivals,
             running: Vec::new(),
-            over: Vec::new(),
+            finished: Vec::new(),
             rng,
             arrivals_so_far: 0,
         }
     }
 
     fn run(&mut self) {
-        let begun = now();
-        let end = begun + Span::seconds(SECONDS as f64) + CALLER_TIMEOUT;
-        let mut now = begun;
+        let start = now();
+        let end = start + Span::seconds(SECONDS as f64) + CALLER_TIMEOUT;
+        let mut now = start;
         while !end.is_past(now) {
             let arrives = self.rng.random_bool(self.arrivals.per_second * TICK.as_seconds());
-            if arrives && now.since(begun).as_seconds() < SECONDS as f64 {
+            if arrives && now.since(start).as_seconds() < SECONDS as f64 {
                 self.begin(now);
             }
             self.advance(now);
@@ -143,7 +143,7 @@
             events,
             done: 0.0,
             ends_at: now + CALLER_TIMEOUT,
-            learned: (0.0, now),
+            last_report: (0.0, now),
         });
     }
 
@@ -156,44 +156,46 @@
             let others = f64::from(answers[answer.engine]);
             let interval_ms = self.slowness[answer.engine] * (ALONE_MS + MS_PER_ANSWER * others);
             answer.done += TICK.in_millis() / interval_ms;
-            if now.since(answer.learned.1) >= REPORT_INTERVAL {
+            if now.since(answer.last_report.1) >= REPORT_INTERVAL {
                 answer.learn(&mut self.fleet, now);
             }
         }
-        let (over, running): (Vec<Answer>, Vec<Answer>) =
+        let (finished, running): (Vec<Answer>, Vec<Answer>) =
             self.running.drain(..).partition(|answer| answer.done >= answer.events || answer.ends_at.is_past(now));
         self.running = running;
-        for mut answer in over {
+        for mut answer in finished {
             answer.learn(&mut self.fleet, now);
             if answer.done >= answer.events {
                 let events = answer.events as u64;
                 let whole =
-                    StreamPart { events, total: events, took: now.since(answer.sent.at), ..StreamPart::default() };
+                    StreamPart { events, total: events, took: now.since(answer.sent.sent_at), ..StreamPart::default() };
                 self.fleet.learn_answer(&answer.sent, &whole, now);
             }
             self.fleet.end(&answer.sent, StepEnd::Done, now);
-            self.over.push(FinishedAnswer { events: answer.events, served: answer.done >= answer.events });
+            self.finished.push(FinishedAnswer { events: answer.events, served: answer.done >= answer.events });
         }
     }
 
     /// Shares that were served: of the longest tenth, and of all.
     fn served(&mut self) -> (f64, f64) {
-        self.over.sort_by(|a, b| b.events.total_cmp(&a.events));
-        let share = |over: &[FinishedAnswer]| over.iter().filter(|over| over.served).count() as f64 / over.len() as f64;
-        (share(&self.over[..self.over.len() / 10]), share(&self.over))
+        self.finished.sort_by(|a, b| b.events.total_cmp(&a.events));
+        let share = |finished: &[FinishedAnswer]| {
+            finished.iter().filter(|answer| answer.served).count() as f64 / finished.len() as f64
+        };
+        (share(&self.finished[..self.finished.len() / 10]), share(&self.finished))
     }
 }
 
 impl Answer {
     fn learn(&mut self, fleet: &mut Fleet, now: Time) {
-        let (done, at) = self.learned;
+        let (done, at) = self.last_report;
         let events = (self.done - done) as u64;
         if events > 0 {
             fleet.learn_stream(
                 &self.sent,
                 &StreamPart { events, total: self.done as u64, took: now.since(at), ..StreamPart::default() },
             );
-            self.learned = (self.done, now);
+            self.last_report = (self.done, now);
         }
     }
 }
--- a/crates/core/tests/fleet/pool.rs
+++ b/crates/core/tests/fleet/pool.rs
@@ -130,7 +130,7 @@
     /// Takes away all reclaimable engines of a hall and makes new ones unavailable for a while.
     fn reclaim(&mut self, hall: &str, now_s: u64, unavailable_s: u64) {
         self.running.get_mut(hall).expect("the hall is known").reclaimable = 0;
-        self.starting.retain(|(_, its, reclaimable)| &**its != hall || !reclaimable);
+        self.starting.retain(|(_, engine_hall, reclaimable)| &**engine_hall != hall || !reclaimable);
         self.unavailable_until_s.insert(Arc::from(hall), now_s + unavailable_s);
     }
 
@@ -143,20 +143,26 @@
             let running = self.running.get_mut(hall).expect("the hall is known");
             running.staying = running.staying.min(next.staying);
             running.reclaimable = running.reclaimable.min(next.reclaimable);
-            let starting = |kind| self.starting.iter().filter(|(_, its, k)| its == hall && *k == kind).count() as u32;
+            let starting = |is_reclaimable| {
+                self.starting.iter().filter(|(_, engine_hall, k)| engine_hall == hall && *k == is_reclaimable).count()
+                    as u32
+            };
             let missing_staying = next.staying - (running.staying + starting(false)).min(next.staying);
             let missing_reclaimable = next.reclaimable - (running.reclaimable + starting(true)).min(next.reclaimable);
             let ready_s = now_s + self.scaling.start_time.as_seconds() as u64;
-            let coming = (0..missing_staying)
+            let new_engines = (0..missing_staying)
                 .map(|_| false)
                 .chain((0..missing_reclaimable).filter(|_| !is_unavailable).map(|_| true));
-            self.starting.extend(coming.map(|kind| (ready_s, Arc::clone(hall), kind)).collect::<Vec<_>>());
-            let all = running.total() + self.starting.iter().filter(|(_, its, _)| its == hall).count() as u32;
+            self.starting.extend(
+                new_engines.map(|is_reclaimable| (ready_s, Arc::clone(hall), is_reclaimable)).collect::<Vec<_>>(),
+            );
+            let all =
+                running.total() + self.starting.iter().filter(|(_, engine_hall, _)| engine_hall == hall).count() as u32;
             assert!(all <= self.scaling.max, "second {now_s}: {all} in {hall}");
         }
-        let (ready, still): (Vec<_>, Vec<_>) =
+        let (ready, still_starting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.starting).into_iter().partition(|s| s.0 <= now_s);
-        self.starting = still;
+        self.starting = still_starting;
         for (_, hall, reclaimable) in ready {
             let running = self.running.get_mut(&hall).expect("the hall is known");
             if reclaimable {
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -111,15 +111,15 @@
     learn_streams(&mut fleet, "e50");
     let demand = Demand { prefill: 10.0, slots: 450.0, ..Demand::default() };
     let mut at = now() + Span::millis(20_000);
-    let mut answering = 18;
+    let mut decode_engines = 18;
     while let Some(change) = fleet.next_role_change(SERVICE, demand, at) {
         assert_eq!(change.to, Role::Decode);
         let id = id(&fleet, change.key);
         fleet.put(ReplicaFacts { slots: 64, ..facts(&id, Role::Decode) }, 2);
         at = at + Span::millis(3_000);
-        answering += 1;
+        decode_engines += 1;
     }
-    assert!((19..=32).contains(&answering), "{answering} decode engines");
+    assert!((19..=32).contains(&decode_engines), "{decode_engines} decode engines");
 }
 
 /// Learns from streams of up to 957 tokens whose 70 events are farther apart the more streams are active.
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -57,16 +57,16 @@
     assert!(fleet.put(start(5_000), 2), "the entry belongs to a new start");
     let next = fleet.key(ID).expect("the replica is known");
     assert_ne!(next, key, "nothing planned for the previous start applies to the new one");
-    let row = fleet.get(next).expect("the replica is known");
-    assert!(row.is_open(now()) && row.health.allows(now()) && row.orders_held_until.is_past(now()));
-    assert_eq!((row.active(), held_tokens(&fleet)), (0, 0));
+    let replica = fleet.get(next).expect("the replica is known");
+    assert!(replica.is_open(now()) && replica.health.allows(now()) && replica.orders_held_until.is_past(now()));
+    assert_eq!((replica.active(), held_tokens(&fleet)), (0, 0));
     assert!(fleet.get(key).is_none());
     assert!(fleet.is_replaced(&start(1_000)) && !fleet.is_replaced(&start(5_000)));
     assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the previous start");
     // Requests that were active end without affecting the new start.
     assert!(!fleet.end(&sent, StepEnd::Silent, now()));
-    let row = fleet.get(next).expect("the replica is known");
-    assert!(row.health.allows(now()));
+    let replica = fleet.get(next).expect("the replica is known");
+    assert!(replica.health.allows(now()));
 }
 
 #[test]
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -74,8 +74,8 @@
         to = ?shift.to,
         reading = shift.demand.prefill,
         slots = shift.demand.slots,
-        prefill = shift.before.0,
-        decode = shift.before.1,
+        prefill = shift.counts_before.0,
+        decode = shift.counts_before.1,
         fence = lease.fence()
     );
     let change = role_change_time(gw, &replica);
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -55,7 +55,7 @@
             return;
         }
         let now = self.gw.now();
-        self.gw.fleet().learn_plain_call(&self.sent, now.since(self.sent.at), now);
+        self.gw.fleet().learn_plain_call(&self.sent, now.since(self.sent.sent_at), now);
     }
 
     /// Where it is done.
@@ -80,7 +80,7 @@
 
     /// Time since it was sent.
     pub(super) fn age(&self) -> Span {
-        self.gw.now().since(self.sent.at)
+        self.gw.now().since(self.sent.sent_at)
     }
 
     /// The replica is no longer the one that was known.
