--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -178,14 +178,14 @@
         true
     }
 
-    /// Apply a refusal from the store that was decided `age` ago and holds for `left` more; returns whether it is
+    /// Apply a refusal from the store that was decided `age` ago and holds for `time_left` more; returns whether it is
     /// new.
     pub fn apply_stored_refusal(
         &mut self,
         content: ContentHash,
         crashes: u32,
         age: Span,
-        left: Span,
+        time_left: Span,
         now: Time,
     ) -> bool {
         let record = self.record_mut(content, now);
@@ -196,8 +196,8 @@
             return false;
         }
         record.refused =
-            Some(Refused { crashes, since, until: now + left, unambiguous: false, known_by: KnownBy::Store });
-        record.expires_at = now + RETENTION.max(left);
+            Some(Refused { crashes, since, until: now + time_left, unambiguous: false, known_by: KnownBy::Store });
+        record.expires_at = now + RETENTION.max(time_left);
         self.update_explained();
         true
     }
@@ -233,20 +233,20 @@
         if let Some(refused) = record.refused {
             return Verdict::Refused(refused);
         }
-        let crashes = self.evidence(record);
-        let not_now =
-            Refused { crashes: crashes as u32, since: now, until: now, unambiguous: false, known_by: KnownBy::Own };
-        if cut_off && crashes >= CRASHES_TO_REFUSE_CUT_OFF {
-            return Verdict::Refused(not_now);
+        let evidence = self.evidence(record);
+        let temporary =
+            Refused { crashes: evidence as u32, since: now, until: now, unambiguous: false, known_by: KnownBy::Own };
+        if cut_off && evidence >= CRASHES_TO_REFUSE_CUT_OFF {
+            return Verdict::Refused(temporary);
         }
-        if crashes >= CRASHES_TO_REFUSE && !record.trial_until.is_past(now) {
-            return Verdict::Refused(not_now);
+        if evidence >= CRASHES_TO_REFUSE && !record.trial_until.is_past(now) {
+            return Verdict::Refused(temporary);
         }
-        if crashes < CRASHES_TO_ISOLATE {
+        if evidence < CRASHES_TO_ISOLATE {
             return Verdict::Clear;
         }
         // From here on every further replica that the request reaches matters.
-        let whole = crashes >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
+        let whole = evidence >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
         Verdict::Isolated(Apart { content, whole })
     }
 
@@ -295,10 +295,10 @@
 
     /// Remove expired refusals and records; returns the requests whose refusal expired.
     pub fn expire(&mut self, now: Time) -> Vec<ContentHash> {
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for (content, record) in &mut self.records {
             if record.refused.is_some_and(|refused| refused.until.is_past(now)) {
-                lapsed.push(*content);
+                expired.push(*content);
                 record.refused = None;
                 // One more crash is enough to refuse it again.
                 record.crashes.truncate(CRASHES_TO_REFUSE - 1);
@@ -309,7 +309,7 @@
         }
         self.records.retain(|_, record| !record.expires_at.is_past(now));
         self.update_explained();
-        lapsed
+        expired
     }
 
     /// Number of records.
@@ -326,12 +326,12 @@
 
     /// Refuse all requests with enough evidence against them, those with the most first.
     fn refuse_culprits(&mut self, now: Time) {
-        while let Some((crashes, content, grounds)) = self.next_to_refuse() {
+        while let Some((evidence, content, grounds)) = self.next_to_refuse() {
             if let Some(record) = self.records.get_mut(&content) {
                 let known_by = if record.observed_here { KnownBy::Own } else { KnownBy::Told };
                 let until = now + grounds.refusal_period(record.expired_refusals);
                 let unambiguous = grounds != Grounds::Ambiguous;
-                record.refused = Some(Refused { crashes: crashes as u32, since: now, until, unambiguous, known_by });
+                record.refused = Some(Refused { crashes: evidence as u32, since: now, until, unambiguous, known_by });
                 record.expires_at = until + RETENTION;
                 record.schedule_notes(now);
             }
@@ -342,11 +342,11 @@
     /// The request with the most evidence against it among those to refuse.
     fn next_to_refuse(&self) -> Option<(usize, ContentHash, Grounds)> {
         let candidates = self.records.iter().filter(|(_, record)| record.refused.is_none());
-        let blamed = candidates.filter_map(|(content, record)| {
+        let to_refuse = candidates.filter_map(|(content, record)| {
             let evidence = self.evidence(record);
             Some((evidence, *content, self.grounds_to_refuse(*content, record, evidence)?))
         });
-        blamed.max_by_key(|(crashes, content, _)| (*crashes, *content))
+        to_refuse.max_by_key(|(evidence, content, _)| (*evidence, *content))
     }
 
     /// Grounds to refuse a request, if there are any.
--- a/crates/core/src/fleet/endings/notes.rs
+++ b/crates/core/src/fleet/endings/notes.rs
@@ -22,7 +22,7 @@
 const RESEND_INTERVAL_PER_DAEMON: Span = Span::millis(20);
 
 /// Two clearances of a request within this time are the same one, reported again.
-const SAME_ANSWER_WINDOW: Span = Span::millis(1_000);
+const SAME_CLEARANCE_WINDOW: Span = Span::millis(1_000);
 
 /// What is known about one request. Times are ages and remaining periods in milliseconds, as clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -107,23 +107,23 @@
     }
 
     /// Include unchanged notes in the next message to hall peers, since one of them has just started.
-    pub fn resend_all(&mut self, now: Time) {
+    pub fn resend_now(&mut self, now: Time) {
         self.resend_at[Recipients::HallPeers as usize] = now;
     }
 
     /// Crash counts and content hashes of the unchanged records to send again: those sent longest ago, refused requests
     /// first.
     fn due_resends(&self, to: Recipients) -> Vec<(usize, ContentHash)> {
-        let due_resends =
+        let lasting =
             self.records.iter().filter(|(_, record)| record.needs_resending() && !to.schedule(record).is_running());
-        let mut due_resends: Vec<_> = due_resends
+        let mut lasting: Vec<_> = lasting
             .map(|(content, record)| {
                 (record.refused.is_none(), to.schedule(record).sent_at(), record.crash_count(), *content)
             })
             .collect();
-        due_resends.sort_unstable();
-        due_resends.truncate(MAX_RESENT);
-        due_resends.into_iter().map(|(_, _, count, content)| (count, content)).collect()
+        lasting.sort_unstable();
+        lasting.truncate(MAX_RESENT);
+        lasting.into_iter().map(|(_, _, count, content)| (count, content)).collect()
     }
 
     /// Apply the notes of another daemon; `from_hall_peer` if this daemon's hall must relay them to other halls.
@@ -149,7 +149,7 @@
 fn apply_note(record: &mut Record, note: &RequestNote, now: Time) -> bool {
     let before = (record.crash_count(), record.clearance, record.refused);
     if let Some(reported) = note.clearance.map(|(reason, ms)| Clearance { at: ago(ms, now), reason })
-        && record.clearance.is_none_or(|known| known.at + SAME_ANSWER_WINDOW < reported.at)
+        && record.clearance.is_none_or(|known| known.at + SAME_CLEARANCE_WINDOW < reported.at)
     {
         record.clear(reported);
         if record.crash_count() == 0 && record.refused.is_none() {
--- a/crates/core/src/fleet/endings/record.rs
+++ b/crates/core/src/fleet/endings/record.rs
@@ -39,8 +39,8 @@
 
     /// Whether the other crash was at most `span` earlier or later.
     pub(super) const fn is_within(&self, span: Span, other: &Self) -> bool {
-        let apart = self.at.since(other.at).0 + other.at.since(self.at).0;
-        apart <= span.0
+        let distance = self.at.since(other.at).0 + other.at.since(self.at).0;
+        distance <= span.0
     }
 }
 
--- a/crates/core/src/fleet/engine/answer_pace.rs
+++ b/crates/core/src/fleet/engine/answer_pace.rs
@@ -103,9 +103,9 @@
     /// Long answers that a usual engine can have at once for its events to come no farther apart; one at least.
     #[must_use]
     pub fn max_answers(&self, interval_ms: f64) -> f64 {
-        let [alone_ms, ten_ms] = self.fit.weights();
-        let room_ms = (interval_ms - alone_ms).max(0.0);
-        if ten_ms > 0.0 { (room_ms / ten_ms * 10.0).max(1.0) } else { f64::INFINITY }
+        let [base_ms, ten_answers_ms] = self.fit.weights();
+        let slack_ms = (interval_ms - base_ms).max(0.0);
+        if ten_answers_ms > 0.0 { (slack_ms / ten_answers_ms * 10.0).max(1.0) } else { f64::INFINITY }
     }
 
     /// Milliseconds between two events on average at which few streams pause for longer than this.
--- a/crates/core/src/fleet/engine/least_squares.rs
+++ b/crates/core/src/fleet/engine/least_squares.rs
@@ -100,10 +100,10 @@
         // than that one would: if all are so, the weights were wrong and must stay free to move.
         let bound = variance.sqrt() * if error > 0.0 { CLIP_ABOVE } else { CLIP_BELOW };
         let variance = variance * (error.abs() / bound).max(1.0);
-        let moved: [f64; N] = std::array::from_fn(|i| self.weights[i] + spread[i] / variance * error);
-        let negative = (0..N).find(|i| moved[*i] < 0.0);
+        let updated: [f64; N] = std::array::from_fn(|i| self.weights[i] + spread[i] / variance * error);
+        let negative = (0..N).find(|i| updated[*i] < 0.0);
         if negative.is_none() {
-            self.weights = moved;
+            self.weights = updated;
             for (i, row) in self.covariance.iter_mut().enumerate() {
                 for (j, covariance) in row.iter_mut().enumerate() {
                     *covariance -= spread[i] * spread[j] / variance;
--- a/crates/core/tests/endings/main.rs
+++ b/crates/core/tests/endings/main.rs
@@ -67,13 +67,13 @@
 
 #[test]
 fn few_engines_are_lost_after_the_bound_with_message_loss_and_daemon_restarts() {
-    let harsh = |seed| Scenario {
+    let lossy = |seed| Scenario {
         message_loss: 0.3,
         restart_every: Some(Span::millis(400)),
         callers_per_fatal: 2,
         ..Scenario::new(seed, 8)
     };
-    let totals = simulate("loss and restarts", seeds(100, 30).map(harsh));
+    let totals = simulate("loss and restarts", seeds(100, 30).map(lossy));
     assert_few_wrong_refusals(&totals, 10);
 }
 
@@ -108,9 +108,9 @@
 
 #[test]
 fn few_engines_are_lost_after_the_bound_with_a_slowly_retried_request() {
-    let seldom =
+    let slow_retries =
         |seed| Scenario { fatal_retry_ms: (1_500, 4_000), duration: Span::millis(60_000), ..Scenario::new(seed, 8) };
-    let totals = simulate("seldom", seeds(600, 10).map(seldom));
+    let totals = simulate("seldom", seeds(600, 10).map(slow_retries));
     assert_few_wrong_refusals(&totals, 5);
 }
 
--- a/crates/core/tests/endings/rules.rs
+++ b/crates/core/tests/endings/rules.rs
@@ -133,8 +133,8 @@
     let (mut here, mut there) = (CrashTracker::default(), CrashTracker::default());
     let now = crash_replicas(&mut here, &[FATAL], &["a", "b", "c"], START);
     assert!(is_refused(&mut here, FATAL, now));
-    let old = here.due_notes(Recipients::HallPeers, 8, now);
-    there.apply_notes(&old, true, now);
+    let stale = here.due_notes(Recipients::HallPeers, 8, now);
+    there.apply_notes(&stale, true, now);
     assert!(here.lift(FATAL, now));
     let later = now + Span::millis(60_000);
     here.expire(later);
@@ -295,14 +295,14 @@
         tracker.due_notes(Recipients::HallPeers, 8, now);
         now = now + Span::millis(100);
     }
-    let mut told = std::collections::HashSet::new();
+    let mut sent = std::collections::HashSet::new();
     for _ in 0..10 {
         now = now + Span::millis(1_000);
         let notes = tracker.due_notes(Recipients::HallPeers, 8, now);
         assert!(notes.len() <= 8, "{} notes", notes.len());
-        told.extend(notes.into_iter().map(|note| note.content));
+        sent.extend(notes.into_iter().map(|note| note.content));
     }
-    assert_eq!(told.len(), 80, "none is told twice before all were");
+    assert_eq!(sent.len(), 80, "none is told twice before all were");
 }
 
 #[test]
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -223,8 +223,8 @@
             verdict => {
                 let is_isolated = matches!(verdict, Verdict::Isolated(_));
                 let is_whole = matches!(verdict, Verdict::Isolated(apart) if apart.whole);
-                let drawn = is_isolated && self.scenario.isolate_suspects;
-                let Some(engine) = self.choose_engine(&request, drawn) else {
+                let by_content = is_isolated && self.scenario.isolate_suspects;
+                let Some(engine) = self.choose_engine(&request, by_content) else {
                     return self.schedule_retry(request);
                 };
                 request.tries += 1;
@@ -233,7 +233,7 @@
                 {
                     self.outcome.late_sends[fatal] += 1;
                 }
-                let took = match request.kind {
+                let duration = match request.kind {
                     Kind::Fatal(_) => self.random_span(40, 130),
                     Kind::Query => self.random_span(20, 120),
                     Kind::Chat => self.random_span(3_000, 10_000),
@@ -241,12 +241,12 @@
                 if self.scenario.run_trials && is_whole {
                     self.daemons[daemon].begin_trial(request.content, self.now);
                 }
-                self.runs.push(Run { request, daemon, engine, ends_at: self.now + took });
+                self.runs.push(Run { request, daemon, engine, ends_at: self.now + duration });
             }
         }
     }
 
-    fn choose_engine(&mut self, request: &CallerRequest, drawn: bool) -> Option<usize> {
+    fn choose_engine(&mut self, request: &CallerRequest, by_content: bool) -> Option<usize> {
         let up: Vec<usize> = (0..self.engines.len())
             .filter(|engine| self.engines[*engine].up_from.is_past(self.now))
             .filter(|engine| self.runs.iter().filter(|run| run.engine == *engine).count() < SLOTS_PER_ENGINE)
@@ -254,9 +254,9 @@
         if up.is_empty() {
             return None;
         }
-        if drawn {
-            let draw = |engine: &usize| rendezvous(request.content.0, hash::bytes(self.replica_id(*engine).as_bytes()));
-            return up.into_iter().min_by_key(draw);
+        if by_content {
+            let rank = |engine: &usize| rendezvous(request.content.0, hash::bytes(self.replica_id(*engine).as_bytes()));
+            return up.into_iter().min_by_key(rank);
         }
         Some(up[self.rng.random_range(0..up.len())])
     }
@@ -319,8 +319,9 @@
     fn crash_engine(&mut self, engine: usize) {
         let replica = self.replica_id(engine);
         let lost: Vec<Run> = self.runs.extract_if(.., |run| run.engine == engine).collect();
-        let away = self.random_span(2_500, 3_500);
-        self.engines[engine] = Engine { start_count: self.engines[engine].start_count + 1, up_from: self.now + away };
+        let downtime = self.random_span(2_500, 3_500);
+        self.engines[engine] =
+            Engine { start_count: self.engines[engine].start_count + 1, up_from: self.now + downtime };
         for run in lost {
             let at = self.now + DETECTION_DELAY;
             self.detections.push((at, run.daemon, run.request.content, replica.clone()));
@@ -376,17 +377,17 @@
     }
 
     fn restart_daemons(&mut self) {
-        let Some(every) = self.scenario.restart_every else {
+        let Some(interval) = self.scenario.restart_every else {
             return;
         };
-        if self.rng.random_bool(1_000.0 / every.0 as f64) {
+        if self.rng.random_bool(1_000.0 / interval.0 as f64) {
             let daemon = self.rng.random_range(0..self.scenario.daemons);
             self.daemons[daemon] = CrashTracker::default();
             // Its first message tells its mates that it is new; it takes callers some time after that.
             let halls = self.halls();
             let peers = (0..self.scenario.daemons).filter(|peer| peer % halls == daemon % halls && *peer != daemon);
             for peer in peers.collect::<Vec<_>>() {
-                self.daemons[peer].resend_all(self.now);
+                self.daemons[peer].resend_now(self.now);
             }
             self.down_until[daemon] = self.now + STARTUP_TIME;
         }
@@ -414,8 +415,8 @@
             for hall in 0..halls {
                 let notes = self.daemons[hall].due_notes(Recipients::OtherHalls, self.scenario.daemons, self.now);
                 for other in (0..halls).filter(|other| *other != hall) {
-                    let one = other + halls * self.rng.random_range(0..self.scenario.daemons / halls);
-                    self.send(hall, &[one], &notes, true, false);
+                    let recipient = other + halls * self.rng.random_range(0..self.scenario.daemons / halls);
+                    self.send(hall, &[recipient], &notes, true, false);
                 }
             }
         }
@@ -443,12 +444,12 @@
             let in_hall = message.from_hall == message.to % halls;
             self.daemons[message.to].apply_notes(&message.notes, in_hall, now);
             if message.is_summary && !message.relayed {
-                let own = message.to % halls;
-                let peers: Vec<usize> = (0..self.scenario.daemons).filter(|peer| peer % halls == own).collect();
+                let own_hall = message.to % halls;
+                let peers: Vec<usize> = (0..self.scenario.daemons).filter(|peer| peer % halls == own_hall).collect();
                 let peers: Vec<usize> = peers.into_iter().filter(|peer| *peer != message.to).collect();
-                let before = self.messages.len();
+                let first_new = self.messages.len();
                 self.send(message.to, &peers, &message.notes, true, true);
-                for sent in &mut self.messages[before..] {
+                for sent in &mut self.messages[first_new..] {
                     sent.from_hall = message.from_hall;
                 }
             }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -274,7 +274,7 @@
         gw.peers.note_aggregator(report.seen(now));
     } else if gw.peers.note_peer(from, report.seen(now)) {
         emit!(info, PEER_HEARD, peer = %from, sender = report.sender, revision = report.revision);
-        gw.fleet().endings.resend_all(now);
+        gw.fleet().endings.resend_now(now);
         gw.load_changed.notify_one();
     }
     if report.revision > gw.store_cache().revision {
