--- a/crates/core/src/fleet/engine/answer_pace.rs
+++ b/crates/core/src/fleet/engine/answer_pace.rs
@@ -1,7 +1,7 @@
-//! How fast long answers go on, by how many an engine has, and how many events they have at most.
+//! Interval between the events of long answers by the load of their engine, and their maximum number of events.
 //!
-//! An engine computes its answers together, so each event takes longer the more of them run. What
-//! an answer needs until its last event follows from that and from its events at most.
+//! An engine decodes its answers in one batch, so the interval between two events grows with the number of answers.
+//! The time until the last event of an answer follows from this interval and the maximum number of events.
 
 use crate::{
     fleet::engine::{least_squares::LeastSquares, running_quantile::RunningQuantile},
@@ -9,41 +9,42 @@
     time::Span,
 };
 
-/// Milliseconds between two events, and what ten answers add, before anything is learned.
+/// Initial guess: milliseconds between two events, and milliseconds that ten answers add.
 const INITIAL_WEIGHTS: [f64; 2] = [40.0, 4.0];
-/// How far off each of these may be.
+/// Uncertainty of each initial weight.
 const INITIAL_SIGMAS: [f64; 2] = [60.0, 10.0];
-/// How many times as long as expected an interval counts at most: a pause is not the pace.
+/// Longer intervals count as this multiple of the prediction: a pause is not the pace.
 const OUTLIER_FACTOR: f64 = 2.0;
-/// Parts of streams after which the pace is known well enough to go by.
+/// Number of observed parts of streams after which the pace is reliable enough to use.
 const MIN_OBSERVATIONS: u32 = 10;
-/// How near the longest answers that have ended must come to the longest that were seen.
+/// Share of the most events of answers in progress that finished ones must have reached for the maximum to be known.
 const LENGTHS_KNOWN_SHARE: f64 = 0.9;
-/// How many times as long as guessed answers may be, before anything is learned.
+/// Initial bound on the length of answers, as a multiple of their callers' guesses.
 const INITIAL_GUESS_FACTOR: f64 = 2.0;
-/// How many times as long as the mean interval the longest one of a stream is, before anything is learned.
+/// Initial bound on the longest interval of a stream, as a multiple of its mean interval.
 const INITIAL_PAUSE_FACTOR: f64 = 2.0;
-/// Share of the streams whose longest interval is to be no longer than that.
+/// Share of the streams whose longest interval should lie within that bound.
 const PAUSE_QUANTILE: f64 = 0.8;
-/// Events of a stream from which on its longest interval says something of others.
+/// Minimum number of events of a stream for its longest interval to be representative.
 const MIN_PAUSE_EVENTS: u64 = 8;
-/// Share of the answers that are to be no longer than that.
+/// Share of the answers whose length should lie within its bound.
 const GUESS_QUANTILE: f64 = 0.9;
-/// Share that the most events for each token lose with each part of a stream that has fewer. With a
-/// few hundred parts a second on a busy service, a size that is not seen again is forgotten in minutes.
+/// Share by which the maximum number of events per token decays with each part of a stream. At a few hundred parts a
+/// second on a busy service, a length that is not seen again is forgotten in minutes.
 const DECAY: f64 = 0.0002;
 
-/// The learned pace of long answers, for the engines of one service.
+/// Learned pace of long answers of the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerPace {
     fit: LeastSquares<2>,
-    /// The most events that were passed on, for each token that the answer could have.
+    /// Most events per permitted output token, of answers that were still in progress.
     ongoing_events_per_token: f64,
-    /// The same of answers that have ended.
+    /// Most events per permitted output token, of finished answers.
     finished_events_per_token: f64,
-    /// How many times as long as guessed nine of ten answers are at most.
+    /// Bound on the events of an answer, as a multiple of those guessed; nine in ten answers do not exceed it.
     guess_factor: RunningQuantile,
-    /// How many times as long as the mean the longest interval of a stream is.
+    /// Bound on the longest interval of a stream, as a multiple of its mean interval; four in five streams do not
+    /// exceed it.
     pause_factor: RunningQuantile,
 }
 
@@ -60,21 +61,22 @@
 }
 
 impl AnswerPace {
-    /// Whether enough was seen to go by it.
+    /// Whether there were enough observations to use the pace.
     #[must_use]
     pub const fn is_known(&self) -> bool {
         self.fit.observations() >= MIN_OBSERVATIONS
     }
 
-    /// Milliseconds between two events at a usual engine with so many long answers.
+    /// Predicted milliseconds between two events at a usual engine with so many long answers.
     #[must_use]
     pub fn interval_ms(&self, answers: f64) -> f64 {
         self.fit.predict(&features(answers))
     }
 
-    /// Events of an answer at most that can have so many tokens. Unless the longest must have shown by now
-    /// how long they are (`lengths_known`), absent while one is under way that is longer than any that
-    /// has ended.
+    /// Maximum number of events of an answer with at most `tokens` tokens.
+    ///
+    /// `None` before the first answer, and while one is in progress that is longer than any finished one, unless the
+    /// longest answers must have finished by now (`lengths_known`).
     #[must_use]
     pub fn max_events(&self, tokens: u32, lengths_known: bool) -> Option<f64> {
         let max = self.max_events_for(tokens);
@@ -83,8 +85,9 @@
         (is_known && max > 0.0).then_some(max)
     }
 
-    /// Events that nine of ten such answers have at most, by their caller's guess if there is one; absent
-    /// while that is not known.
+    /// Number of events that nine in ten such answers do not exceed, by the caller's guess if there is one.
+    ///
+    /// `None` while it is not known.
     #[must_use]
     pub fn likely_max_events(&self, prompt: &Prompt, lengths_known: bool) -> Option<f64> {
         let max = self.max_events(prompt.output, lengths_known)?;
@@ -92,15 +95,16 @@
         Some(likely.unwrap_or(max).min(max).max(1.0))
     }
 
-    /// Milliseconds that an answer takes at most that can have so many tokens, alone at a usual engine; absent
-    /// before any was seen.
+    /// Maximum milliseconds for an answer with at most `tokens` tokens, alone at a usual engine.
+    ///
+    /// `None` before the first observation.
     #[must_use]
     pub fn max_duration_ms(&self, tokens: u32) -> Option<f64> {
         let events = self.max_events_for(tokens);
         (events > 0.0).then(|| events * self.interval_ms(0.0))
     }
 
-    /// Long answers that a usual engine can have at once for its events to come no farther apart; one at least.
+    /// Number of concurrent long answers up to which a usual engine keeps this interval between events; at least one.
     #[must_use]
     pub fn max_answers(&self, interval_ms: f64) -> f64 {
         let [base_ms, ten_answers_ms] = self.fit.weights();
@@ -108,20 +112,20 @@
         if ten_answers_ms > 0.0 { (slack_ms / ten_answers_ms * 10.0).max(1.0) } else { f64::INFINITY }
     }
 
-    /// Milliseconds between two events on average at which few streams pause for longer than this.
+    /// Mean milliseconds between two events up to which few streams have a longer pause than this.
     #[must_use]
     pub fn max_mean_interval_ms(&self, pause: Span) -> f64 {
         pause.in_millis() / self.pause_factor.value().max(1.0)
     }
 
-    /// Learn how long the longest interval of a whole stream was.
+    /// Learn from the longest interval of a complete stream.
     pub fn learn_pause(&mut self, events: u64, interval: Span, longest: Span) {
         if events >= MIN_PAUSE_EVENTS && longest >= interval {
             self.pause_factor.learn(longest.in_millis() / interval.in_millis().max(f64::MIN_POSITIVE));
         }
     }
 
-    /// Learn how far off a caller's guess was, from an answer that has ended.
+    /// Learn the error of a caller's guess from a finished answer.
     pub fn learn_guess(&mut self, events: u64, guess: Option<u32>) {
         let Some(guessed) = guess.map(|guess| self.max_events_for(guess)).filter(|guessed| *guessed >= 1.0) else {
             return;
@@ -129,13 +133,14 @@
         self.guess_factor.learn(events as f64 / guessed);
     }
 
-    /// The events that so many tokens are at most.
+    /// Maximum number of events for so many tokens.
     fn max_events_for(&self, tokens: u32) -> f64 {
         self.ongoing_events_per_token.max(self.finished_events_per_token) * f64::from(tokens)
     }
 
-    /// Learn from a part of a stream at an engine with so many long answers, which takes so many times as
-    /// long as usual; returns how many times as long as the usual engine's it took.
+    /// Learn from the mean interval in a part of a stream, at an engine with so many long answers.
+    ///
+    /// `slowness` is the engine's interval as a multiple of a usual engine's. Returns the observed multiple.
     pub fn learn(&mut self, interval: Span, answers: u32, slowness: f64) -> f64 {
         let features = features(f64::from(answers));
         let usual_ms = self.fit.predict(&features).max(f64::MIN_POSITIVE);
@@ -148,14 +153,14 @@
         counted_ms / usual_ms
     }
 
-    /// Learn from an answer under way that can have so many tokens and has had so many events after its
-    /// first. The last one may have few tokens, so leaving one out never takes answers for longer than
-    /// they are.
+    /// Learn from an answer in progress with at most `tokens` tokens and so many events after the first.
+    ///
+    /// The last event may have few tokens. Leaving one event out never overestimates the length of answers.
     pub fn learn_ongoing(&mut self, events: u64, tokens: u32) {
         self.ongoing_events_per_token = self.ongoing_events_per_token.max(events as f64 / f64::from(tokens.max(1)));
     }
 
-    /// Learn the same from an answer, short or long, that has ended.
+    /// As [`Self::learn_ongoing`], from a finished answer, short or long.
     pub fn learn_finished(&mut self, events: u64, tokens: u32) {
         self.finished_events_per_token = self.finished_events_per_token.max(events as f64 / f64::from(tokens.max(1)));
     }
--- a/crates/core/src/fleet/engine/event_pace.rs
+++ b/crates/core/src/fleet/engine/event_pace.rs
@@ -1,15 +1,15 @@
-//! How far apart the events of a stream usually come, learned from streams that were passed on.
+//! Usual interval between the events of a stream, learned from relayed streams.
 
 use crate::{fleet::engine::running_mean::RunningMean, time::Span};
 
-/// Milliseconds between two events before anything is learned.
+/// Initial guess of the milliseconds between two events.
 const INITIAL_INTERVAL_MS: f64 = 40.0;
-/// Weight of a new observation, once there are many.
+/// Weight of a new observation once there are many.
 const MIN_WEIGHT: f64 = 0.01;
-/// How many times as long as usual an interval counts at most: a pause is not the usual pace.
+/// Longer intervals count as this multiple of the usual one: a pause is not the usual pace.
 const OUTLIER_FACTOR: f64 = 2.0;
 
-/// The learned interval between two events, for the engines of one service.
+/// Learned interval between two events of a stream, for the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct EventPace {
     interval_ms: RunningMean,
@@ -28,7 +28,7 @@
         self.interval_ms.value()
     }
 
-    /// Learn from the time between two events.
+    /// Learn from the interval between two events.
     pub fn learn(&mut self, interval: Span) {
         self.interval_ms.learn(interval.in_millis().min(self.interval_ms() * OUTLIER_FACTOR));
     }
--- a/crates/core/src/fleet/engine/hand_over.rs
+++ b/crates/core/src/fleet/engine/hand_over.rs
@@ -1,16 +1,16 @@
-//! What it takes to bring a prompt's memory from one engine to another, learned from what
-//! hand-overs took until the first event.
+//! Time to transfer the KV cache of a prompt from one engine to another, learned from the time that hand-overs took
+//! until the first event.
 
 use crate::{fleet::engine::least_squares::LeastSquares, time::Span};
 
-/// Milliseconds of each hand-over and of each thousand tokens, before anything is learned.
+/// Initial guess: milliseconds per transfer, and milliseconds per thousand tokens.
 const INITIAL_WEIGHTS: [f64; 2] = [8.0, 0.5];
-/// How far off each of these may be.
+/// Uncertainty of each initial weight.
 const INITIAL_SIGMAS: [f64; 2] = [8.0, 1.5];
-/// How many times as long the links between halls take.
+/// Time on the links between halls, as a multiple of the time within a hall.
 const CROSS_HALL_FACTOR: f64 = 2.0;
 
-/// The learned time to hand over, for the engines of one service.
+/// Learned KV transfer time of the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct KvTransferTime {
     fit: LeastSquares<2>,
@@ -22,10 +22,10 @@
     }
 }
 
-/// Memory that is brought to another engine.
+/// A transfer of KV cache to another engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KvTransfer {
-    /// Tokens that it holds.
+    /// Number of tokens transferred.
     pub tokens: u32,
     /// Whether the engines are in different halls.
     pub cross_hall: bool,
@@ -38,37 +38,37 @@
 }
 
 impl KvTransferTime {
-    /// Milliseconds until the other engine has it and begins.
+    /// Predicted milliseconds until the other engine has the KV cache and starts.
     #[must_use]
     pub fn duration_ms(&self, transfer: KvTransfer) -> f64 {
         self.fit.predict(&transfer.features())
     }
 
-    /// The part of that in which the links of both engines are taken.
+    /// Predicted milliseconds of that in which the links of both engines are occupied.
     #[must_use]
     pub fn link_ms(&self, transfer: KvTransfer) -> f64 {
         let [_, tokens] = transfer.features();
         self.fit.predict(&[0.0, tokens])
     }
 
-    /// Learn from a hand-over.
+    /// Learn from a transfer.
     pub fn learn(&mut self, transfer: KvTransfer, took: Span) {
         self.fit.learn(&transfer.features(), took.in_millis());
     }
 
-    /// Observations.
+    /// Number of observations.
     #[must_use]
     pub const fn observations(&self) -> u32 {
         self.fit.observations()
     }
 
-    /// The learned terms.
+    /// Learned weights.
     #[must_use]
     pub fn weights(&self) -> [f32; 2] {
         self.fit.weights_f32()
     }
 
-    /// Take over what a daemon with more observations learned.
+    /// Adopt the weights of a daemon with more observations.
     pub fn adopt(&mut self, observations: u32, weights: [f32; 2]) {
         self.fit.adopt(observations, weights);
     }
--- a/crates/core/src/fleet/engine/mod.rs
+++ b/crates/core/src/fleet/engine/mod.rs
@@ -1,10 +1,10 @@
-//! What is learned of the engines of one service from the work that they do.
+//! Performance model of the engines of one service, learned from the work that they do.
 //!
-//! Nothing here assumes how fast an engine is. [`read_time`] tells what a prompt's reading takes,
-//! [`hand_over`] what it takes to bring a prompt's memory to another engine, [`answer_pace`] how fast
-//! long answers go on. Each starts with a
-//! guess that a few tens of observations replace. Engines that are busy look slow, so an
-//! observation far above what is expected counts little, and one far below counts in full.
+//! Nothing here assumes how fast an engine is. [`read_time`] predicts the time to prefill a prompt, [`hand_over`] the
+//! time to transfer the KV cache of a prompt to another engine, [`answer_pace`] how fast long answers progress, and
+//! [`event_pace`] the usual interval between the events of a stream. Each starts with a guess that a few tens of
+//! observations replace. Busy engines look slow, so an observation far above the prediction counts little, and one far
+//! below counts in full.
 
 use serde::{Deserialize, Serialize};
 
@@ -21,37 +21,37 @@
 /// The learned model of the engines of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineModel {
-    /// What reading takes.
+    /// Time to prefill prompts.
     pub prefill: PrefillTime,
-    /// What handing over and copying take.
+    /// Time to hand over or copy the KV cache of a prompt to another engine.
     pub kv_transfer: KvTransferTime,
-    /// How far apart the events of streams come.
+    /// Usual interval between the events of a stream.
     pub event_pace: EventPace,
-    /// How fast long answers go on.
+    /// How fast long answers progress.
     pub answer_pace: AnswerPace,
 }
 
-/// What a daemon has learned, as it shares it.
+/// What a daemon has learned, as it reports it to others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedModel {
-    /// Observations of reading.
+    /// Number of prefill observations.
     #[serde(rename = "reads")]
     pub prefill_observations: u32,
-    /// Terms of the time to read.
+    /// Weights of the prefill time.
     #[serde(rename = "read")]
     pub prefill_weights: [f32; 3],
-    /// How many times as long a decode engine takes.
+    /// Prefill time of a decode engine, as a multiple of a prefill engine's.
     pub decode_factor: f32,
-    /// Observations of hand-overs.
+    /// Number of KV transfer observations.
     #[serde(rename = "hand_overs")]
     pub kv_transfer_observations: u32,
-    /// Terms of the time to hand over.
+    /// Weights of the KV transfer time.
     #[serde(rename = "hand_over")]
     pub kv_transfer_weights: [f32; 2],
 }
 
 impl EngineModel {
-    /// What this daemon can share with others, once it has learned something.
+    /// What this daemon has learned; `None` before the first observation.
     #[must_use]
     pub fn learned(&self) -> Option<LearnedModel> {
         let learned = LearnedModel {
@@ -64,7 +64,7 @@
         (learned.prefill_observations > 0 || learned.kv_transfer_observations > 0).then_some(learned)
     }
 
-    /// Take over what another daemon knows better, so that one that starts need not learn again.
+    /// Adopt what another daemon has learned from more observations, so that a new daemon need not start from nothing.
     pub fn adopt(&mut self, learned: &LearnedModel) {
         self.prefill.adopt(learned.prefill_observations, learned.prefill_weights, learned.decode_factor);
         self.kv_transfer.adopt(learned.kv_transfer_observations, learned.kv_transfer_weights);
--- a/crates/core/src/fleet/engine/read_time.rs
+++ b/crates/core/src/fleet/engine/read_time.rs
@@ -1,34 +1,33 @@
-//! What reading a prompt takes, learned from what engines did.
+//! Time to prefill a prompt, learned from the work of the engines.
 //!
-//! The time grows with the tokens that are read, and with the pairs of a token that is read and
-//! one before it, since each attends to all before. A decode engine reads in smaller pieces
-//! between the steps of its answers; how many times as long that takes is learned apart.
+//! The time grows with the number of uncached tokens, and with the number of pairs of an uncached token and one before
+//! it, since each token attends to all before it. A decode engine prefills in smaller chunks between the decoding
+//! steps of its answers; the factor by which this takes longer is learned separately.
 
 use crate::{
     fleet::engine::{least_squares::LeastSquares, running_mean::RunningMean},
     time::Span,
 };
 
-/// Milliseconds of each reading, of each thousand tokens, and of each million pairs, before
-/// anything is learned.
+/// Initial guess: milliseconds per prefill, per thousand tokens, and per million pairs.
 const INITIAL_WEIGHTS: [f64; 3] = [6.0, 8.0, 0.3];
-/// How far off each of these may be: engines of ten to a thousand tokens in a millisecond.
+/// Uncertainty of each initial weight: it covers engines of ten to a thousand tokens per millisecond.
 const INITIAL_SIGMAS: [f64; 3] = [15.0, 40.0, 1.5];
-/// How many times as long a decode engine takes before anything is learned.
+/// Initial ratio of the prefill time of a decode engine to that of a prefill engine.
 const INITIAL_DECODE_FACTOR: f64 = 2.0;
-/// Bounds of that.
+/// Bounds of that ratio.
 const DECODE_FACTOR_BOUNDS: (f64, f64) = (1.0, 6.0);
-/// Least weight of a new observation of it.
+/// Minimum weight of a new observation of it.
 const MIN_DECODE_WEIGHT: f64 = 0.03;
-/// Readings of a decode engine shorter than this say little about how it reads, in milliseconds.
+/// Minimum predicted milliseconds of a prefill to learn the ratio from: shorter ones say little about a decode engine.
 const MIN_DECODE_SAMPLE_MS: f64 = 10.0;
 
-/// A prompt's reading: the tokens that are read, and those before them that are held.
+/// The prefill of a prompt, of which the engine may have a prefix cached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefillWork {
-    /// Tokens to be read.
+    /// Tokens to compute.
     pub uncached: u32,
-    /// Tokens before them that the engine holds.
+    /// Tokens before them that are in the engine's cache.
     pub cached: u32,
 }
 
@@ -40,7 +39,7 @@
     }
 }
 
-/// The learned time to read, for the engines of one service.
+/// Learned prefill time of the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillTime {
     fit: LeastSquares<3>,
@@ -55,24 +54,24 @@
 }
 
 impl PrefillTime {
-    /// Milliseconds that an idle prefill engine needs.
+    /// Predicted milliseconds at an idle prefill engine.
     #[must_use]
     pub fn duration_ms(&self, work: PrefillWork) -> f64 {
         self.fit.predict(&work.features())
     }
 
-    /// How many times as long a decode engine needs.
+    /// Prefill time of a decode engine, as a multiple of a prefill engine's.
     #[must_use]
     pub const fn decode_factor(&self) -> f64 {
         self.decode_factor.value()
     }
 
-    /// Learn from a reading by a prefill engine that had nothing else to read.
+    /// Learn from a prefill by a prefill engine that had no other prefill work.
     pub fn learn(&mut self, work: PrefillWork, took: Span) {
         self.fit.learn(&work.features(), took.in_millis());
     }
 
-    /// Learn from a reading by a decode engine that had nothing else to read.
+    /// Learn from a prefill by a decode engine that had no other prefill work.
     pub fn learn_decode(&mut self, work: PrefillWork, took: Span) {
         let usual_ms = self.duration_ms(work);
         if usual_ms < MIN_DECODE_SAMPLE_MS {
@@ -83,19 +82,19 @@
         self.decode_factor.clamp(DECODE_FACTOR_BOUNDS);
     }
 
-    /// Observations of prefill engines.
+    /// Number of observations at prefill engines.
     #[must_use]
     pub const fn observations(&self) -> u32 {
         self.fit.observations()
     }
 
-    /// The learned terms.
+    /// Learned weights.
     #[must_use]
     pub fn weights(&self) -> [f32; 3] {
         self.fit.weights_f32()
     }
 
-    /// Take over what a daemon with more observations learned.
+    /// Adopt the weights of a daemon with more observations.
     pub fn adopt(&mut self, observations: u32, weights: [f32; 3], decode_factor: f32) {
         if self.fit.adopt(observations, weights) {
             self.decode_factor
--- a/crates/core/src/fleet/engine/running_mean.rs
+++ b/crates/core/src/fleet/engine/running_mean.rs
@@ -1,16 +1,15 @@
-//! A mean that follows what it observes: exact over the first few, then fading.
+//! A running mean: the exact mean of the first few observations, then an exponential moving average.
 
-/// A running mean.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::fleet) struct RunningMean {
     value: f64,
-    /// Least weight of a new observation, which it has once there are many.
+    /// Minimum weight of a new observation, reached once there are many.
     min_weight: f64,
     observations: u32,
 }
 
 impl RunningMean {
-    /// A first guess, which counts as one observation.
+    /// A mean with an initial value that counts as one observation.
     pub(in crate::fleet) const fn new(initial: f64, min_weight: f64) -> Self {
         Self { value: initial, min_weight, observations: 0 }
     }
@@ -19,14 +18,14 @@
         self.value
     }
 
-    /// Replace the first guess, unless something was observed.
+    /// Replace the initial value if there are no observations yet.
     pub(in crate::fleet) const fn set_initial(&mut self, initial: f64) {
         if self.observations == 0 {
             self.value = initial;
         }
     }
 
-    /// Keep the value within bounds.
+    /// Clamp the present value.
     pub(in crate::fleet) const fn clamp(&mut self, (min, max): (f64, f64)) {
         self.value = self.value.clamp(min, max);
     }
