--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -273,7 +273,7 @@
         gw.peers.record_aggregator(report.peer_state(now));
     } else if gw.peers.record_peer(from, report.peer_state(now)) {
         emit!(info, PEER_HEARD, peer = %from, sender = report.sender, revision = report.revision);
-        gw.fleet().crashes.resend_all(now);
+        gw.fleet().crashes.resend_now(now);
         gw.load_changed.notify_one();
     }
     if report.revision > gw.store_cache().revision {
