--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! A request's admission: its head and key, its route, and its body.
+//! Admission of a request: reads its head, authenticates its key, finds its route and reads its body.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 
 use crate::gateway::{answer::Refusal, state::Gateway};
 
-/// A request that was read whole and may run.
+/// A request that was read completely and may run.
 #[derive(Debug)]
 pub(super) struct Admitted {
     pub(super) head: request::Parts,
@@ -28,17 +28,17 @@
     pub(super) service: Arc<str>,
     /// On whose behalf it runs.
     pub(super) identity: Identity,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that applied.
     pub(super) version: u64,
     pub(super) arrived: Time,
-    /// When it must be over: the caller's patience or the route's time limit.
+    /// When the request must be finished: after the caller's timeout or the route's time limit.
     pub(super) deadline: Time,
 }
 
-/// Why a request is not admitted, with its identifier as far as that was read.
+/// Why a request is not admitted, and its identifier if that was read.
 pub(super) type NotAdmitted = (Refusal, String);
 
-/// Read a request, find its route and judge its key.
+/// Reads a request, finds its route and authenticates its key.
 pub(super) async fn admit(gw: &Gateway, mut head: request::Parts, body: Incoming) -> Result<Admitted, NotAdmitted> {
     let arrived = gw.now();
     mark_keys_sensitive(&mut head);
@@ -54,7 +54,7 @@
     Ok(Admitted { head, body, caller, content, route, service, identity, version: table.version, arrived, deadline })
 }
 
-/// Keep keys out of whatever shows a head.
+/// Marks keys as sensitive, so that Debug output of a head does not show them.
 fn mark_keys_sensitive(head: &mut request::Parts) {
     for (_, value) in head.headers.iter_mut().filter(|(name, _)| **name == header::AUTHORIZATION) {
         value.set_sensitive(true);
@@ -67,7 +67,7 @@
     Some((route, service))
 }
 
-/// The host that a request names.
+/// The host that the request addresses.
 fn host(head: &request::Parts) -> Option<&str> {
     head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).or_else(|| head.uri.host())
 }
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of replicas, and our own refusals.
+//! Responses to callers: relayed from replicas, or refusals by the daemon itself.
 
 use bytes::Bytes;
 use dahliaseam_core::time::Span;
@@ -7,33 +7,33 @@
 
 use crate::gateway::relay::RelayError;
 
-/// The body of any answer.
+/// Body of any response.
 pub(super) type ResponseBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// Why the daemon itself answers a request.
+/// Why the daemon itself responds to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
     /// No configuration is known yet.
     NoConfiguration,
     /// No route matches.
     NoRoute,
-    /// Its route asks for a key, and none came that can be one.
+    /// The route requires a key, and the request carries none, or one that cannot be a key.
     NoKey,
-    /// The configuration does not know its key.
+    /// The configuration does not contain the key.
     UnknownKey,
-    /// It is not certain that its key still holds, or that it does not exist yet.
+    /// It is not certain that the key is still valid, or that it does not exist yet.
     KeyUncertain,
-    /// The head cannot be used.
+    /// The head is invalid.
     BadHead(String),
     /// The body is larger than allowed.
     BodyTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyLate,
-    /// No replica takes work.
+    /// No replica accepts work.
     NoReplica,
-    /// It would come too late.
+    /// The response would be too late.
     TooLate {
-        /// When to come back.
+        /// Time after which the caller should retry.
         come_back: Span,
     },
     /// The rate limits or retry times of the replicas do not allow another request now.
@@ -41,28 +41,28 @@
         /// Time after which the caller should retry.
         come_back: Span,
     },
-    /// Its team has used up its quota.
+    /// The team has used up its quota.
     OverQuota {
-        /// When there is enough again; absent where there never is.
+        /// Time until enough quota is available; `None` if it never will be.
         come_back: Option<Span>,
     },
-    /// Nobody who keeps its team's quota can be asked.
+    /// No owner of the team's quota can be reached.
     QuotaUnavailable,
-    /// This daemon stops, and the answer would take longer than it has.
+    /// This daemon is shutting down, and the response would take longer than the time left.
     Stopping,
-    /// Replicas end under it. Its caller is not told when to come back.
+    /// Replicas crash while running it. The caller is not told when to retry.
     ReplicasEnded,
-    /// Replicas rejected it, and there is no other way.
+    /// Replicas rejected it, and there is no alternative.
     Rejected,
-    /// It may have run, and its answer was lost.
+    /// The request may have run, and its response was lost.
     Lost,
-    /// It may have run, and no answer came in time.
+    /// The request may have run, and no response arrived in time.
     TimedOut,
 }
 
-/// When to come back after a refusal that says nothing of its own, before it is spread.
+/// Retry time after refusals that determine none of their own, before jitter.
 const BASE_RETRY_AFTER: Span = Span::millis(150);
-/// What is added to that, at most.
+/// Upper bound of the jitter.
 const RETRY_AFTER_JITTER: Span = Span::millis(250);
 
 impl Refusal {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The status. 408, 429 and 503 promise that the request did not and will not run.
+    /// The status code. 408, 429 and 503 promise that the request did not and will not run.
     pub(super) const fn status(&self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The answer; `draw` spreads callers that come back.
+    /// Builds the response; `random` spreads the retries of callers.
     pub(super) fn to_response(&self, random: u64) -> Response<ResponseBody> {
         let text = match self {
             Self::BadHead(why) => format!("{}: {why}\n", self.name()),
@@ -149,23 +149,23 @@
         }
     }
 
-    /// Whether bytes of the request may still be under way on the connection.
+    /// Whether bytes of the request may still arrive on the connection.
     const fn leaves_unread_body(&self) -> bool {
         matches!(self, Self::BadHead(_) | Self::BodyTooLarge | Self::BodyLate)
     }
 }
 
-/// A span in seconds with fractions, as callers read it.
+/// A retry time in seconds with fractions, as callers parse it.
 fn retry_after_value(span: Span) -> Option<HeaderValue> {
     HeaderValue::from_str(&format!("{:.3}", span.as_seconds())).ok()
 }
 
-/// A body that is whole.
+/// A body that is complete.
 pub(super) fn full(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Headers that concern one connection only.
+/// Headers that apply only to one connection.
 const HOP_BY_HOP_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TE,
@@ -175,7 +175,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Take out of a replica's head what concerns its connection only.
+/// Removes the headers of a replica's response that apply only to its connection.
 pub(super) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a daemon that serves by routes. It only orchestrates.
+//! Starts and stops a daemon that serves by routes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,16 +23,16 @@
     listener::{Terms, serve_with},
 };
 
-/// Time from the signal to stop during which new connections may still come: the balancer asks
-/// each second and turns away after two misses.
+/// Time after the stop signal during which new connections may still arrive: the load balancer checks every second and
+/// stops sending after two failed checks.
 const BALANCER_DELAY: Duration = Duration::from_millis(3_200);
-/// Part of the time to stop that is kept for ending the process itself.
+/// Share of the stop time that is reserved for the exit of the process itself.
 const EXIT_TIME: Span = Span::millis(400);
-/// Connections of operators and of the balancer at once at most.
+/// Maximum number of connections from operators and the load balancer.
 const MAX_PAGE_CONNECTIONS: usize = 64;
-/// Time for which a connection of theirs may be idle.
+/// Idle timeout of these connections.
 const PAGE_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes of their heads at most; the library needs as much.
+/// Maximum bytes of the heads of their requests; the HTTP library requires at least this much.
 const MAX_PAGE_HEAD_BYTES: usize = 8 << 10;
 
 /// A running daemon.
@@ -44,10 +44,10 @@
 }
 
 impl GatewayController {
-    /// Start a daemon.
+    /// Starts a daemon.
     ///
     /// # Errors
-    /// Why it does not start.
+    /// Why the daemon cannot start.
     pub async fn start(settings: GatewaySettings, outside: Outside) -> Result<Self, StartError> {
         settings.check()?;
         let caller_listener = bind("caller_address", settings.caller_address).await?;
@@ -80,19 +80,19 @@
         Ok(Self { gw, caller_task, background })
     }
 
-    /// Where other daemons ask for what this one knows.
+    /// Address at which other daemons read this daemon's state.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         self.gw.settings.peer_address
     }
 
-    /// Take over what of new settings can change while the daemon runs.
+    /// Applies those settings that can change while the daemon runs.
     pub fn reload(&self, settings: GatewaySettings) {
         let changed = self.gw.reload(settings);
         emit!(info, RELOADED, changed = changed.join(","));
     }
 
-    /// Stop as planned: not ready, then no new connections, then wait for what is under way.
+    /// Stops gracefully: reports not ready, then accepts no new connections, then waits for requests in flight.
     pub async fn stop(self) {
         let gw = &self.gw;
         let over_at = gw.now() + Span::seconds(gw.settings.timing.stop_s);
@@ -110,7 +110,7 @@
     }
 }
 
-/// A number for this run: later runs of a VM have higher ones, and no two VMs share one.
+/// Identifier of this run of the daemon, different for each run and VM.
 fn run_id(settings: &GatewaySettings, outside: &Outside) -> u64 {
     let text = format!("{}{}{:?}", settings.vm, wall_millis(), outside.clock.now());
     dahliaseam_core::hash::bytes(text.as_bytes())
--- a/crates/daemon/src/gateway/ending.rs
+++ b/crates/daemon/src/gateway/ending.rs
@@ -1,4 +1,4 @@
-//! The line that says how a request ended.
+//! Access log: one line for each finished request.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
     gateway::{attempt::UpstreamResponse, passed::RelayedEvents, request::ActiveRequest, state::Gateway},
 };
 
-/// Writes the line that says how a request ended, also when its caller leaves.
+/// Collects the outcome of a request and logs it when dropped, so that it is also logged if the caller disconnects.
 #[derive(Debug)]
 pub(super) struct AccessLogEntry {
     gw: Arc<Gateway>,
@@ -21,17 +21,17 @@
     outcome: &'static str,
     status: u16,
     pub(super) attempts: usize,
-    /// When the answer's first byte was there.
+    /// When the first byte of the response was available.
     first_byte_at: Option<Time>,
     stream: Option<StreamStats>,
 }
 
-/// What is told of an answer that came as a stream.
+/// What is logged about a streamed response.
 #[derive(Debug)]
 struct StreamStats {
-    /// The replica that answered last.
+    /// The replica that responded last.
     replica: Arc<str>,
-    /// Long answers that were known there when it was asked.
+    /// Number of long responses known to be in progress at the replica when the request was sent.
     beside: u32,
     relayed: RelayedEvents,
 }
@@ -53,21 +53,22 @@
         }
     }
 
-    /// The answer's first byte is there.
+    /// Records that the first byte of the response is available.
     pub(super) fn record_first_byte(&mut self) {
         let now = self.gw.now();
         self.first_byte_at = Some(now);
         self.gw.metrics.first_byte(&self.route, now.since(self.arrived).as_seconds());
     }
 
-    /// A stream is passed on from this answer, after its first event or from where it broke.
+    /// Records that a stream is relayed from this response: after its first event, or from where it broke.
     pub(super) fn start_stream(&mut self, resp: &UpstreamResponse) {
         let relayed = self.stream.as_ref().map_or_else(|| RelayedEvents::new(self.gw.now()), |stream| stream.relayed);
         let replica = Arc::clone(&resp.replica.id);
         self.stream = Some(StreamStats { replica, beside: resp.in_flight.sent().beside, relayed });
     }
 
-    /// Another event of the stream was passed on; returns a part of it when there is one to learn from.
+    /// Records that another event was relayed; returns a part of the stream when enough has arrived to update
+    /// estimates.
     pub(super) fn record_event(&mut self) -> Option<StreamPart> {
         let now = self.gw.now();
         let stream = self.stream.as_mut()?;
@@ -75,7 +76,7 @@
         stream.relayed.next_part()
     }
 
-    /// What was passed on after the first event.
+    /// The part of the stream that was relayed after its first event.
     pub(super) fn relayed(&self) -> StreamPart {
         self.stream.as_ref().map(|stream| stream.relayed.total()).unwrap_or_default()
     }
--- a/crates/daemon/src/gateway/freshness_probe.rs
+++ b/crates/daemon/src/gateway/freshness_probe.rs
@@ -1,7 +1,8 @@
-//! Freshness probes: proofs of how new the configuration is, asked of other daemons.
+//! Freshness probes: proofs of how recent the configuration is, requested from other daemons.
 //!
-//! Those that watch the store have proofs of their own. The others probe one of these, some times a second,
-//! and date the answer by when they probed. One whose proof grows old asks another hall, too, and the store.
+//! Daemons that watch the store have proofs of their own. Each of the others probes one of these several times a
+//! second, and dates the proof by the time at which it sent the probe. If its proof becomes old, it also asks another
+//! hall and the store.
 
 use std::{
     collections::VecDeque,
@@ -20,11 +21,11 @@
     gateway::{packet::Packet, peers, state::Gateway},
 };
 
-/// Time between two probes.
+/// Interval between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Probes whose answers still count.
+/// Number of latest probes whose replies are still accepted.
 const MAX_OUTSTANDING_PROBES: usize = 16;
-/// Age of a proof from which on daemons of other halls are asked, too.
+/// Age of a proof beyond which daemons of other halls are asked as well.
 const OTHER_HALLS_AFTER: Span = Span::millis(1_500);
 
 /// Probes that this daemon sent.
@@ -42,14 +43,14 @@
         }
     }
 
-    /// When a probe was sent. It may be answered by several.
+    /// When a probe was sent. Several daemons may reply to it.
     fn sent_at(&self, probe: u64) -> Option<Time> {
         let outstanding = self.outstanding.lock().unwrap_or_else(PoisonError::into_inner);
         outstanding.iter().find(|(number, _)| *number == probe).map(|(_, at)| *at)
     }
 }
 
-/// Keep the proof new until the daemon is over.
+/// Keeps the proof recent until the daemon shuts down.
 pub(super) async fn run(gw: Arc<Gateway>) {
     if !gw.keys.requires_proof() {
         return;
@@ -96,7 +97,7 @@
     recipients
 }
 
-/// Answer a probe.
+/// Replies to a probe.
 pub(super) async fn handle_probe(gw: &Gateway, from: SocketAddr, probe: u64) {
     let now = gw.now();
     if let Some(proof) = gw.keys.newest() {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Take in an answer.
+/// Handles the reply to a probe.
 pub(super) fn handle_proof(gw: &Gateway, probe: u64, revision: i64, age: Span) {
     if let Some(sent_at) = gw.probes.sent_at(probe) {
         gw.keys.record(Proof { revision, at: sent_at - age });
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -1,4 +1,5 @@
-//! Callers' keys: how each request's key is judged, and under which proof of the configuration.
+//! Callers' keys: how the key of each request is authenticated, and which proof of the configuration's freshness that
+//! requires.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -12,16 +13,17 @@
 
 use crate::gateway::answer::Refusal;
 
-/// Part of the time in which an added key must be known after which an unknown one is no longer called so
-/// without a newer proof: a caller that is told so does not come again.
+/// Fraction (1/n) of the time within which an added key must be known: beyond that age of the proof, an unknown key is
+/// no longer reported as unknown, since a caller that is told so does not retry.
 const UNKNOWN_KEY_DIVISOR: u64 = 2;
-/// Part of the time for which a key holds after which a daemon asks the store itself. Its hall peers step in before that;
-/// where the store is away for all, all would call it.
+/// Share of the time for which a withdrawn key may still be accepted, after which a daemon asks the store itself. The
+/// peers of its hall step in before that; while the store is unreachable for all, all of them would call it.
 const STALE_PROOF_SHARE: f64 = 0.75;
-/// Part of the time for which a key holds that one call to follow the store may wait.
+/// Fraction (1/n) of the time for which a withdrawn key may still be accepted that one watch call to the store may
+/// wait.
 const WATCH_WAIT_DIVISOR: u64 = 8;
 
-/// Judges keys.
+/// Authenticates keys.
 #[derive(Debug)]
 pub(super) struct Keys {
     settings: Option<KeySettings>,
@@ -33,7 +35,7 @@
         Self { settings, proofs: Mutex::default() }
     }
 
-    /// Judge a request's key, once, by one version of the configuration.
+    /// Authenticates the key of a request, once, against one version of the configuration.
     pub(super) fn authenticate(
         &self,
         table: &RouteTable,
@@ -51,25 +53,25 @@
         }
     }
 
-    /// Whether a key that the configuration has cannot have been withdrawn too long ago.
+    /// Whether a configured key cannot have been withdrawn for longer than allowed.
     fn is_still_valid(&self, arrived: Time) -> bool {
         let strict = self.settings.filter(|settings| settings.strict);
         strict.is_none_or(|settings| self.proofs().holds(settings.withdrawn(), arrived))
     }
 
-    /// Whether a key that the configuration does not have was not added since.
+    /// Whether a key that is not in the configuration has certainly not been added since.
     fn is_surely_unknown(&self, arrived: Time) -> bool {
         let bound = self.settings.map(|settings| Span(settings.added().0 / UNKNOWN_KEY_DIVISOR));
         bound.is_none_or(|bound| self.proofs().holds(bound, arrived))
     }
 
-    /// Whether keys are judged under a proof at all.
+    /// Whether authentication requires a proof at all.
     pub(super) const fn requires_proof(&self) -> bool {
         self.settings.is_some()
     }
 
-    /// Longest wait of a call that follows the store. Its answer is a proof of the moment of the question
-    /// if something changed, and two such calls lie between two proofs.
+    /// Longest wait of a watch call to the store. If something changed, its response proves the state at the time of
+    /// the call, and two such calls lie between two proofs.
     pub(super) fn longest_wait(&self) -> Option<Span> {
         let strict = self.settings.filter(|settings| settings.strict);
         strict.map(|settings| Span(settings.withdrawn().0 / WATCH_WAIT_DIVISOR))
@@ -81,7 +83,7 @@
         bound.is_some_and(|bound| !self.proofs().holds(bound, now))
     }
 
-    /// Time since the configuration in force was surely the newest.
+    /// Time since the configuration in force was certainly the newest.
     pub(super) fn age(&self, now: Time) -> Option<Span> {
         self.proofs().age(now)
     }
@@ -91,17 +93,17 @@
         self.age(now).map(Span::as_millis)
     }
 
-    /// Take in a proof.
+    /// Records a proof.
     pub(super) fn record(&self, proof: Proof) {
         self.proofs().note(proof);
     }
 
-    /// A configuration is in force from now on.
+    /// Records that a configuration is in force from now on.
     pub(super) fn in_force(&self, revision: i64) {
         self.proofs().in_force(revision);
     }
 
-    /// The newest proof, for others.
+    /// The newest proof, for other daemons.
     pub(super) fn newest(&self) -> Option<Proof> {
         self.proofs().newest()
     }
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -1,10 +1,10 @@
-//! Leadership: what one daemon does at a time, under a lease in the store.
+//! Leader election: duties that only one daemon may have at a time, under a lease in the store.
 //!
-//! One daemon leads for all that the platform takes from one at a time: orders to engines, reports of usage, sizes
-//! of pools. The leader's key ends with its lease, and the revision at which it was written is the fencing number
-//! of its calls. Those who get these calls need not check that number, so time keeps two leaders apart: a new one
-//! waits until any call of the one before is surely past. The former one reads its key before each call, makes
-//! none that its lease does not cover, and each call ends, with its connection, within [`CALL_TIMEOUT`].
+//! One daemon is the leader for everything that the platform accepts from only one at a time: orders to engines, usage
+//! reports and pool sizes. The leader's key expires with its lease, and the revision at which it was written is the
+//! fencing token of its calls. The recipients of these calls need not check the token, so time separates two leaders: a
+//! new leader waits until any call of the previous one has certainly ended. A leader reads its key before each call,
+//! makes no call that its lease does not cover, and each call ends, with its connection, within [`CALL_TIMEOUT`].
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -27,51 +27,51 @@
     gateway::{metrics::StoreCall, state::Gateway},
 };
 
-/// Time between two checks of the lease.
+/// Interval between two checks of the lease.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Renewals in the life of a lease.
+/// Number of renewals within the TTL of a lease.
 const RENEWALS_PER_LEASE: u64 = 3;
-/// Time until a renewal that failed is tried again.
+/// Delay before a failed renewal is retried.
 const RENEW_RETRY_INTERVAL: Span = Span::millis(300);
-/// Time for one call of the leader, after which its connection is reset.
+/// Time limit for one call of the leader, after which its connection is reset.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a new leader waits beyond the time that must lie between the calls of two leaders: the last call of
-/// the former one, which began under its lease, and the way.
+/// Added to the time that must lie between the calls of two leaders: covers the last call of the previous leader, which
+/// started under its lease, and transmission.
 const WAIT_MARGIN: Span = Span::millis(1_200);
-/// Life of the key's lease, in seconds. A short one lets another daemon take over soon; it must
-/// bridge a slow store, which takes some hundred milliseconds for a call.
+/// TTL of the key's lease, in seconds. A short TTL lets another daemon take over soon; it must bridge a slow store,
+/// which takes some hundred milliseconds for a call.
 const LEASE_S: u64 = 2;
-/// Daemons that see the key go wait up to this, so that not all try at once.
+/// Upper bound of the random delay before a daemon tries to take the free key, so that not all try at once.
 const JITTER: Span = Span::millis(300);
 
-/// The leader's lease, as this daemon believes to have it.
+/// The leader's lease, as far as this daemon knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaderLease {
     authority: Authority,
-    /// When calls of the leader before are surely past.
+    /// When calls of the previous leader have certainly ended.
     may_act_from: Time,
 }
 
 impl LeaderLease {
-    /// The fencing number.
+    /// The fencing token.
     pub(super) const fn fence(&self) -> u64 {
         self.authority.epoch()
     }
 
-    /// In whose name calls are made.
+    /// The holder in whose name calls are made.
     pub(super) fn holder(&self, vm: &str) -> DutyHolder {
         DutyHolder { holder: vm.to_owned(), fence: self.fence() }
     }
 }
 
-/// Whether this daemon leads.
+/// Whether this daemon is the leader.
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
     lease: Mutex<Option<LeaderLease>>,
 }
 
 impl Leadership {
-    /// The lease, while it holds and calls may be made.
+    /// The lease, while it is valid and calls are allowed.
     pub(super) fn current(&self, now: Time) -> Option<LeaderLease> {
         let lease = *self.lease.lock().unwrap_or_else(PoisonError::into_inner);
         lease.filter(|lease| lease.may_act_from.is_past(now) && lease.authority.holds(now))
@@ -82,7 +82,8 @@
     }
 }
 
-/// State of a leader that counts under one lease: what it knew of the store under an earlier one may be old.
+/// State of a leader that is valid under one lease only: what it knew of the store under an earlier lease may be
+/// outdated.
 #[derive(Debug)]
 pub(super) struct LeaseScoped<T> {
     state: Option<(u64, T)>,
@@ -93,7 +94,8 @@
         Self { state: None }
     }
 
-    /// The current lease, with the state if that is of the same one; absent while this daemon does not lead.
+    /// Returns the current lease, with the state if it belongs to that lease; `None` while this daemon is not the
+    /// leader.
     pub(super) fn take(&mut self, current: Option<LeaderLease>) -> Option<(LeaderLease, Option<T>)> {
         let kept = self.state.take();
         let lease = current?;
@@ -101,13 +103,13 @@
         Some((lease, state))
     }
 
-    /// Keep the state for as long as the lease is the same.
+    /// Keeps the state until the lease changes.
     pub(super) fn keep(&mut self, lease: &LeaderLease, state: T) {
         self.state = Some((lease.fence(), state));
     }
 }
 
-/// The lease in the store, and what it allows.
+/// The lease in the store, and the leadership that it grants.
 #[derive(Debug)]
 struct HeldLease {
     lease: LeaseId,
@@ -115,7 +117,7 @@
     renew_at: Time,
 }
 
-/// Lead whenever nobody else does.
+/// Becomes the leader whenever there is none.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.begun.clone();
     let mut held_lease = None;
@@ -152,13 +154,13 @@
     format!("{}orders", gw.settings.keyspace)
 }
 
-/// Become the leader if there is none.
+/// Tries to become the leader if there is none.
 async fn acquire(gw: &Gateway) -> Option<HeldLease> {
     let key = key(gw);
     let is_vacant = {
         let cache = gw.store_cache();
-        // Only those that watch the store try: else all daemons would ask for a lease, try, and give it back whenever
-        // the leader is lost, or again and again without a store.
+        // Only daemons that watch the store try: otherwise all daemons would request a lease, try, and return it
+        // whenever the leader is lost, or over and over while the store is unreachable.
         cache.watching && !cache.unreachable && cache.is_complete() && cache.daemons.get(&key).is_none()
     };
     if !is_vacant || !(gw.fleet().has_split_engines() || gw.reports_usage() || gw.size_address().is_some()) {
@@ -199,10 +201,10 @@
     }))
 }
 
-/// Renew the lease when it is time; returns whether it still is in the store, as far as is known.
+/// Renews the lease when it is due; returns whether it is still in the store, as far as is known.
 ///
-/// While the store is away a lease waits there. No call is made here then; if the lease is there
-/// afterwards, nobody else can have led, and this daemon goes on.
+/// While the store is unreachable, it does not expire leases, and this daemon makes no calls. If the lease is still
+/// there afterwards, no other daemon can have been the leader, and this one continues.
 async fn renew(gw: &Gateway, held: &mut HeldLease) -> bool {
     let ttl = Span::seconds(LEASE_S as f64);
     let now = gw.now();
@@ -225,8 +227,8 @@
 }
 
 impl Gateway {
-    /// Make sure, right before a call, that this daemon still leads: while the key is there and the lease holds
-    /// nobody else makes such calls.
+    /// Confirms, immediately before a call, that this daemon is still the leader: while the key exists and the lease is
+    /// valid, no other daemon makes such calls.
     pub(super) async fn confirm_leadership(&self, lease: &LeaderLease) -> Result<(), CallError> {
         self.metrics.store_call(StoreCall::Leadership);
         let present = self.outside.kv.read(&key(self)).await?;
--- a/crates/daemon/src/gateway/listener.rs
+++ b/crates/daemon/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! Listener for callers.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
     listener::{Terms, serve_with},
 };
 
-/// Time for which an idle connection is kept before any configuration says.
+/// Idle timeout of a connection before a configuration is known.
 const DEFAULT_HEAD_TIMEOUT: Span = Span::millis(15_000);
-/// Bytes of a head before any configuration says.
+/// Maximum bytes of a head before a configuration is known.
 const DEFAULT_HEAD_BYTES: usize = 16 << 10;
-/// Bytes beyond the configured head that are read at once, so that a head at its bound fits.
+/// Bytes that are read beyond the configured head size, so that a head of exactly that size fits.
 const HEAD_MARGIN_BYTES: usize = 4 << 10;
 
-/// Serve callers until the daemon closes.
+/// Serves callers until the daemon stops accepting connections.
 pub(super) async fn run(gw: Arc<Gateway>, listener: TcpListener) {
     let answer = {
         let gw = Arc::clone(&gw);
@@ -33,7 +33,7 @@
 
 fn terms(gw: &Gateway) -> Terms {
     let limits = gw.table().map(|table| table.limits);
-    // One timer covers both the wait for a request and its head, so the longer bound counts.
+    // One timer covers both the wait for a request and its head, so the longer limit applies.
     let head_time = limits.map_or(DEFAULT_HEAD_TIMEOUT, |limits| limits.idle_time.max(limits.head_time));
     Terms {
         connections: gw.settings.caller_connections(),
--- a/crates/daemon/src/gateway/log.rs
+++ b/crates/daemon/src/gateway/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output: never waited for, and counted where they are dropped.
+//! Log lines on standard output: writing never blocks, and dropped lines are counted.
 
 use std::io::stdout;
 
@@ -11,10 +11,10 @@
 
 use crate::error::StartError;
 
-/// Lines that may wait for the writer. Some seconds at the usual load; about a megabyte.
+/// Number of lines that may wait for the writer: some seconds at the usual load, about a megabyte.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Keeps the writer running.
+/// Keeps the log writer running.
 #[derive(Debug)]
 pub struct Log {
     dropped: ErrorCounter,
@@ -22,10 +22,10 @@
 }
 
 impl Log {
-    /// Set up the log as the settings say.
+    /// Sets up logging according to the settings.
     ///
     /// # Errors
-    /// Why that cannot be done.
+    /// Why logging cannot be set up.
     pub fn start(settings: &LogSettings) -> Result<Self, StartError> {
         let (writer, guard) =
             NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(stdout());
@@ -44,7 +44,7 @@
         Ok(Self { dropped, _writer: guard })
     }
 
-    /// Counts the lines that were dropped because too many waited.
+    /// Counter of the lines that were dropped because too many were waiting.
     #[must_use]
     pub fn dropped(&self) -> ErrorCounter {
         self.dropped.clone()
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! What a daemon that serves by routes counts, shown as Prometheus text.
+//! Metrics of a daemon that serves by routes, exported as Prometheus text.
 
 use opentelemetry::{
     KeyValue,
@@ -10,29 +10,29 @@
 
 use crate::error::StartError;
 
-/// Bounds of the histograms of seconds.
+/// Bucket bounds of the histograms, in seconds.
 const BUCKETS_SECONDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.5, 1.0, 2.5, 10.0];
 
-/// What a call to the store is for.
+/// Purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoreCall {
-    /// Ask whether it is back.
+    /// Check whether the store is reachable again.
     Probe,
     /// Read everything.
     ReadAll,
     /// Wait for changes.
     Watch,
-    /// List this daemon, or renew that.
+    /// Register this daemon, or renew its registration.
     Register,
-    /// Hold the right to give orders, and check it.
+    /// Acquire, renew or confirm leadership.
     Leadership,
-    /// Keep the report of usage.
+    /// Store the usage report.
     Usage,
-    /// Keep what is ordered of sizes.
+    /// Store the ordered pool sizes.
     Sizes,
     /// Own shards of quotas.
     Quota,
-    /// Keep which requests are refused since replicas end under them.
+    /// Store which requests are refused or suspected because replicas crash while running them.
     Refused,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl GatewayMetrics {
-    /// Fresh instruments; `log` counts dropped lines of the log.
+    /// Creates the instruments; `log` counts dropped log lines.
     pub(super) fn new(log: Option<ErrorCounter>) -> Result<Self, StartError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -119,72 +119,72 @@
         })
     }
 
-    /// A request is over.
+    /// Counts a finished request.
     pub(super) fn request(&self, route: &str, outcome: &'static str) {
         self.requests.add(1, &[KeyValue::new("route", route.to_owned()), KeyValue::new("outcome", outcome)]);
     }
 
-    /// A try is over.
+    /// Counts a finished attempt.
     pub(super) fn attempt(&self, end: &'static str) {
         self.attempts.add(1, &[KeyValue::new("end", end)]);
     }
 
-    /// A call to the store is made.
+    /// Counts a call to the store.
     pub(super) fn store_call(&self, what: StoreCall) {
         self.store_calls.add(1, &[KeyValue::new("what", what.name())]);
     }
 
-    /// A call that follows the store is over.
+    /// Counts a finished watch call to the store.
     pub(super) fn store_answer(&self, end: &'static str) {
         self.store_answers.add(1, &[KeyValue::new("end", end)]);
     }
 
-    /// A message to or from another daemon.
+    /// Counts a datagram sent to or received from another daemon.
     pub(super) fn peer_message(&self, way: &'static str) {
         self.peer_messages.add(1, &[KeyValue::new("way", way)]);
     }
 
-    /// A replica ended while it had a request.
+    /// Counts a replica crash while it had a request.
     pub(super) fn replica_crash(&self) {
         self.replica_crashes.add(1, &[]);
     }
 
-    /// A report of usage was sent.
+    /// Counts a usage report that was sent.
     pub(super) fn usage_report(&self, answer: &'static str) {
         self.usage_reports.add(1, &[KeyValue::new("answer", answer)]);
     }
 
-    /// A request asked for units of its team's quota.
+    /// Counts the units of a team's quota that a request asked for.
     pub(super) fn quota_units(&self, outcome: &'static str, units: u64) {
         self.quota_units.add(units, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// How many engines a hall is to have was ordered.
+    /// Counts an order for the number of engines in a hall.
     pub(super) fn size_order(&self, answer: &'static str) {
         self.size_orders.add(1, &[KeyValue::new("answer", answer)]);
     }
 
-    /// The configuration in force was surely the newest so long ago.
+    /// Records the time since the configuration in force was certainly the newest.
     pub(super) fn proof_age(&self, seconds: f64) {
         self.proof_age.record(seconds, &[]);
     }
 
-    /// An answer's first byte came so long after the request.
+    /// Records the time from a request to the first byte of its response.
     pub(super) fn first_byte(&self, route: &str, seconds: f64) {
         self.first_byte.record(seconds, &[KeyValue::new("route", route.to_owned())]);
     }
 
-    /// An engine read a prompt.
+    /// Records the duration of a prefill.
     pub(super) fn reading(&self, seconds: f64) {
         self.reading.record(seconds, &[]);
     }
 
-    /// The events of a stream that is over came so far apart.
+    /// Records the mean interval between the events of a finished stream.
     pub(super) fn event_interval(&self, route: &str, seconds: f64) {
         self.event_interval.record(seconds, &[KeyValue::new("route", route.to_owned())]);
     }
 
-    /// All of it as Prometheus text.
+    /// All metrics as Prometheus text.
     pub(super) fn text(&self) -> Result<String, prometheus::Error> {
         let mut buf = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buf)?;
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,16 +1,28 @@
-//! Serving by routes: callers' requests go to the replicas that discovery knows.
+//! Serving by routes: callers' requests go to the replicas that service discovery knows.
 //!
-//! A request's way is [`listener`] (connections), [`admission`] (head, key, route and body), [`request`] (from there to
-//! its outcome, logged by [`ending`]), [`attempt`] (one try), [`reading`] (a prompt read for another engine), [`upstream`]
-//! (connections to replicas) and [`relay`] (the answer as it arrives); [`endings`] sees whether a
-//! replica ended under it, and [`blamed`] keeps what is known of that. Beside it run [`store_watch`]
-//! (configuration and replicas from the store), [`snapshot_transfer`] (the same from another daemon while the
-//! store is out of reach), [`peers`] (load reports between daemons in [`packet`]s, with [`peer_table`]), [`keys`]
-//! and [`freshness_probe`] (which keys hold, and how that is proved), [`quota`] (what teams may use), [`leadership`] (what one daemon does at a time),
-//! [`orders`] (roles of engines), [`usage`] (what is counted and reported by team), [`autoscaler`]
-//! (how many engines each hall has) and [`pages`] (readiness, metrics). [`store_cache`] is what was read from the
-//! store, [`suspension`] notices that the machine was suspended, [`passed`] what is noted of a stream's events, [`state`] what they share, and
-//! [`controller`] starts and stops them.
+//! The path of a request:
+//!
+//! - [`listener`] accepts connections.
+//! - [`admission`] reads the head, key, route and body.
+//! - [`request`] makes attempts until there is an outcome, which [`ending`] logs.
+//! - [`attempt`] makes one attempt; [`reading`] has a prompt prefilled for another engine.
+//! - [`upstream`] keeps the connections to replicas.
+//! - [`relay`] relays the response as it arrives.
+//! - [`endings`] checks whether a replica crashed while it had the request, and [`blamed`] stores what is known of that.
+//!
+//! Background tasks and shared parts:
+//!
+//! - [`store_watch`] reads the configuration and the replicas from the store, [`snapshot_transfer`] the same from
+//!   another daemon while the store is unreachable, and [`store_cache`] holds what was read.
+//! - [`peers`] exchanges load reports with other daemons in [`packet`]s, with [`peer_table`].
+//! - [`keys`] authenticates callers' keys, and [`freshness_probe`] proves that the configuration is recent enough.
+//! - [`quota`] keeps teams within their quotas.
+//! - [`leadership`] elects the daemon that sends orders for the roles of engines ([`orders`]), reports usage by team
+//!   ([`usage`]) and chooses the number of engines in each hall ([`autoscaler`]).
+//! - [`pages`] serves readiness and metrics.
+//! - [`suspension`] detects that the machine was suspended.
+//! - [`passed`] records the events of a stream.
+//! - [`state`] is what these parts share, and [`controller`] starts and stops them.
 
 mod admission;
 mod answer;
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to engines: the leader gives them.
+//! Orders to engines to change their role, sent by the leader.
 //!
-//! Each order names how many orders the engine must have taken before, so one that comes into effect late
-//! does nothing.
+//! Each order states how many orders the engine must have accepted before, so that an order that arrives late has no
+//! effect.
 
 use std::{sync::Arc, time::Duration};
 
@@ -27,23 +27,23 @@
     },
 };
 
-/// Time between two passes of the reconcile loop.
+/// Interval between two passes of the reconcile loop.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for a report to reach the other daemons that an engine gets no more work.
+/// Time for a load report to tell the other daemons that an engine gets no more work.
 const REPORT_DELAY: Duration = Duration::from_millis(60);
-/// Time for an engine's answer.
+/// Time limit for an engine's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time after an unanswered order in which it may still take effect; engines carry one out up to
-/// twelve seconds late.
+/// Time after an unanswered order in which it may still take effect; engines may execute an order up to twelve seconds
+/// late.
 const LATE_ORDER_TIMEOUT: Span = Span::millis(13_000);
-/// Time after a refused order until the engine is asked again.
+/// Time after a refused order until the engine gets another one.
 const REFUSED_ORDER_BACKOFF: Span = Span::millis(3_000);
-/// Time beyond the change itself for which an engine gets no work: what runs there ends first.
+/// Time in addition to the role change itself for which an engine gets no work: running requests finish first.
 const DRAIN_TIME: Span = Span::millis(700);
-/// Bytes of an engine's answer at most.
+/// Maximum bytes of an engine's response.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// Give orders whenever this daemon holds the right to.
+/// Sends orders while this daemon is the leader.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.begun.clone();
     tokio::select! {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Give the next order, if one is worth it.
+/// Sends the next order, if one is worthwhile.
 async fn reconcile_once(gw: &Arc<Gateway>, lease: &LeaderLease) {
     let now = gw.now();
     let Some((shift, replica)) = next_shift(gw, now) else {
@@ -87,7 +87,7 @@
     apply_answer(gw, &shift, change, answer.as_ref().ok());
 }
 
-/// What an order's answer means for the engine.
+/// Updates the engine's state according to the answer to an order.
 fn apply_answer(gw: &Gateway, shift: &Shift, change: Span, answer: Option<&OrderAnswer>) {
     let now = gw.now();
     let mut fleet = gw.fleet();
@@ -136,7 +136,8 @@
 ) -> Result<OrderAnswer, CallError> {
     let report = fetch_report(gw, replica).await?;
     if report.born.is_some() && report.born != replica.born {
-        // An order for the start before is not for this one, whose count of orders began anew.
+        // An order meant for the previous start of the engine does not apply to this one, whose order count started
+        // again from zero.
         return Ok(OrderAnswer::OtherReplica);
     }
     if report.changing {
@@ -157,7 +158,7 @@
     gw.outside.dialect.order_answer(status.as_u16()).ok_or_else(|| CallError::Lost(format!("status {status}")))
 }
 
-/// Ask an engine for its state.
+/// Requests the state of an engine.
 pub(super) async fn fetch_report(gw: &Gateway, replica: &ReplicaFacts) -> Result<EngineReport, CallError> {
     let req = gw.outside.dialect.ask_report(replica).map_err(|e| CallError::NotSent(e.to_string()))?;
     let (status, body) = call(gw, replica, req).await?;
--- a/crates/daemon/src/gateway/packet.rs
+++ b/crates/daemon/src/gateway/packet.rs
@@ -1,4 +1,4 @@
-//! The datagrams between daemons.
+//! Datagrams between daemons.
 
 use dahliaseam_core::usage::WindowCounts;
 use serde::{Deserialize, Serialize};
@@ -8,43 +8,43 @@
     quota::{CreditReply, CreditRequest},
 };
 
-/// One datagram.
+/// A datagram.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Packet {
-    /// What a daemon has under way.
+    /// Load report: the work that a daemon has in flight.
     Report(ReportPacket),
-    /// The probe how new a daemon's configuration is.
+    /// Freshness probe: asks how recent a daemon's configuration is.
     Probe {
         /// Number of the probe.
         probe: u64,
     },
-    /// The answer.
+    /// Reply to a freshness probe.
     Proof {
         /// Number of the probe.
         probe: u64,
-        /// Revision of the configuration that is in force there.
+        /// Revision of the configuration that is in force at the sender.
         revision: i64,
-        /// Microseconds since that was surely the newest.
+        /// Microseconds since that configuration was certainly the newest.
         age_us: u64,
     },
-    /// What a daemon counted, for the leader.
+    /// Usage counts of a daemon, for the leader.
     Usage {
         /// Name of the daemon's VM.
         vm: String,
-        /// The run of the daemon.
+        /// Run identifier of the daemon.
         run: u64,
-        /// What it counted in one window.
+        /// Counts of one window.
         window: WindowCounts,
     },
-    /// The leader has recorded that.
+    /// Acknowledges that the leader has recorded the counts of a window.
     UsageAck {
-        /// Fencing number of the leader.
+        /// Fencing token of the leader.
         fence: u64,
         /// The window, which is over.
         window: u64,
     },
-    /// The question for credit of a team's quota.
+    /// Request for credit from a team's quota.
     AskCredit(CreditRequest),
-    /// The answer.
+    /// Reply to a request for credit.
     Credit(CreditReply),
 }
--- a/crates/daemon/src/gateway/pages.rs
+++ b/crates/daemon/src/gateway/pages.rs
@@ -1,4 +1,4 @@
-//! Pages for the balancer, other daemons and operators: readiness, what was read, metrics.
+//! HTTP endpoints for the load balancer, other daemons and operators: readiness, state and metrics.
 
 use std::sync::Arc;
 
@@ -13,34 +13,35 @@
 
 use crate::gateway::{snapshot_transfer::STATE_PATH, state::Gateway};
 
-/// Media type of a packed copy.
+/// Media type of a packed update.
 const PACKED_MEDIA_TYPE: &str = "application/octet-stream";
-/// Milliseconds that a copy may take on the link, behind what waits there. Callers' prompts wait as
-/// long at most, and the asker gets it sooner from a daemon that has it meanwhile or whose link is better.
+/// Maximum milliseconds that an update may take on the link, including queued data. Callers' prompts wait for at most
+/// this long, and the requesting daemon gets the update sooner from another one that has it by then or has a better
+/// link.
 const MAX_LINK_MS: f64 = 100.0;
 /// Media type of Prometheus text.
 const PROMETHEUS_MEDIA_TYPE: &str = "text/plain; version=0.0.4";
 
-/// What the balancer asks.
+/// Readiness endpoint for the load balancer.
 pub(super) fn ready(gw: &Arc<Gateway>) -> Router {
     let path = gw.outside.dialect.ready_path();
     Router::new().route(path, get(is_ready)).with_state(Arc::clone(gw))
 }
 
-/// What operators ask.
+/// Metrics endpoint for operators.
 pub(super) fn metrics(gw: &Arc<Gateway>) -> Router {
     Router::new().route("/metrics", get(metrics_text)).with_state(Arc::clone(gw))
 }
 
-/// What other daemons ask: what this one has read from the store.
+/// State endpoint for other daemons: what this daemon has read from the store.
 pub(super) fn state(gw: &Arc<Gateway>) -> Router {
     Router::new().route(STATE_PATH, get(update)).with_state(Arc::clone(gw))
 }
 
-/// What another daemon asks for.
+/// Query of a request for an update.
 #[derive(Debug, Deserialize)]
 struct UpdateQuery {
-    /// Revision up to which it has everything.
+    /// Revision up to which the requesting daemon has all changes.
     #[serde(default)]
     after: i64,
 }
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -1,44 +1,45 @@
-//! The events of a stream that were passed on, and how far apart they came.
+//! Relayed events of a stream, and the time between them.
 
 use dahliaseam_core::{
     fleet::StreamPart,
     time::{Span, Time},
 };
 
-/// Part of a stream that is learned from: some ten events, so that single pauses do not count as the pace.
+/// Minimum duration of a part of a stream that estimates are updated from: about ten events, so that single pauses do
+/// not distort the pace.
 const MIN_PART_TIME: Span = Span::millis(500);
 
-/// What was passed on after a stream's first event.
+/// Events that were relayed after the first event of a stream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RelayedEvents {
     first_at: Time,
     last_at: Time,
     count: u64,
     longest_gap: Span,
-    /// What was passed on when it was last learned from.
+    /// Number of events that were relayed before the current part.
     part_start_count: u64,
     part_start: Time,
 }
 
 impl RelayedEvents {
-    /// Nothing after the first event, which came `now`.
+    /// No events yet after the first one, which arrived `now`.
     pub(super) const fn new(now: Time) -> Self {
         Self { first_at: now, last_at: now, count: 0, longest_gap: Span(0), part_start_count: 0, part_start: now }
     }
 
-    /// Note an event.
+    /// Records an event.
     pub(super) fn record(&mut self, now: Time) {
         self.longest_gap = self.longest_gap.max(now.since(self.last_at));
         self.last_at = now;
         self.count += 1;
     }
 
-    /// Events after the first.
+    /// Number of events after the first one.
     pub(super) const fn count(&self) -> u64 {
         self.count
     }
 
-    /// All of it.
+    /// The whole stream so far.
     pub(super) fn total(&self) -> StreamPart {
         StreamPart {
             events: self.count,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// What was passed on since this was last asked for, once that took long enough to learn from.
+    /// The events since the last returned part, once they cover enough time to update estimates from.
     pub(super) fn next_part(&mut self) -> Option<StreamPart> {
         let took = self.last_at.since(self.part_start);
         if took < MIN_PART_TIME {
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -1,4 +1,4 @@
-//! Credit for requests, from the owners of a quota's shards.
+//! Credit for requests, granted by the owners of a quota's shards.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,11 +20,11 @@
     gateway::{answer::Refusal, packet::Packet, peers, quota::lock, state::Gateway},
 };
 
-/// Time for an owner's answer, after which another one is asked. The way takes a few milliseconds, and a small VM
-/// that is busy some tens.
+/// Time limit for an owner's reply, after which another owner is asked. A round trip takes a few milliseconds, and some
+/// tens if a small VM is busy.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// A question for credit.
+/// A request for credit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(in crate::gateway) struct CreditRequest {
     number: u64,
@@ -33,7 +33,7 @@
     units: u64,
 }
 
-/// Its answer.
+/// Reply to a request for credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(in crate::gateway) struct CreditReply {
     number: u64,
@@ -42,18 +42,18 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Outcome {
-    /// The units were taken; so many are left.
+    /// The units were taken; this many are left.
     Granted(u64),
-    /// There are just so many.
+    /// Only this many units are available.
     Denied(u64),
     /// The daemon does not own the shard, or does not know the team's quota.
     NotOwner,
 }
 
-/// Take what a request costs from its team's quota.
+/// Takes the cost of a request from its team's quota.
 ///
 /// # Errors
-/// The refusal, if there is not enough or nobody can tell.
+/// The refusal, if the quota is used up or no owner can be reached.
 pub(in crate::gateway) async fn take(gw: &Gateway, request: &str, team: &Team, units: u64) -> Result<Credit, Refusal> {
     let Some(terms) = gw.quotas.terms(team) else {
         return Ok(Credit::asked_at(gw.now()));
@@ -102,7 +102,7 @@
     Refusal::QuotaUnavailable
 }
 
-/// Ask a shard's owner; absent without an answer.
+/// Asks the owner of a shard; `None` without a reply.
 async fn ask(gw: &Gateway, shard: u8, team: &str, units: u64) -> Option<Outcome> {
     let owner = gw.quotas.owner(shard)?;
     if owner.run == gw.run_id {
@@ -118,17 +118,17 @@
     reply.ok()?.ok().map(|reply| reply.outcome)
 }
 
-/// Answer a question for credit.
+/// Replies to a request for credit.
 pub(in crate::gateway) async fn handle_request(gw: &Gateway, from: SocketAddr, request: CreditRequest) {
     let outcome = grant(gw, request.shard, &request.team, request.units);
     let reply = CreditReply { number: request.number, outcome };
     peers::send_packet(gw, &Packet::Credit(reply), &[from]).await;
 }
 
-/// Take in an answer.
+/// Handles a reply.
 pub(in crate::gateway) fn handle_reply(gw: &Gateway, reply: CreditReply) {
     if let Some(tx) = lock(&gw.quotas.pending_replies).remove(&reply.number) {
-        // Whoever asked may have gone on to another owner.
+        // The request may have moved on to another owner.
         let _ = tx.send(reply);
     }
 }
--- a/crates/daemon/src/gateway/quota/mod.rs
+++ b/crates/daemon/src/gateway/quota/mod.rs
@@ -1,7 +1,7 @@
-//! Teams' quotas: this daemon's part in keeping them.
+//! Teams' quotas.
 //!
-//! [`credit`] takes what a request costs from the daemon that owns a shard of its team's quota, and answers
-//! others that ask for the same; [`ownership`] keeps every shard owned by some daemon.
+//! [`credit`] takes the cost of a request from the daemon that owns a shard of its team's quota, and replies to other
+//! daemons that do the same; [`ownership`] keeps every shard owned by some daemon.
 
 mod credit;
 mod ownership;
@@ -33,21 +33,21 @@
 };
 use crate::gateway::state::Gateway;
 
-/// How the owner of a shard stands in the store.
+/// Owner of a shard, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Owner {
-    /// Its VM.
+    /// Name of its VM.
     vm: String,
-    /// Its run.
+    /// Identifier of its run.
     run: u64,
-    /// Where it takes messages.
+    /// Address for datagrams.
     address: SocketAddr,
 }
 
-/// What stands in the store under a shard's key.
+/// The entry under a shard's key.
 #[derive(Clone, Debug)]
 struct Claim {
-    /// Absent where it cannot be read.
+    /// `None` if the entry is unreadable.
     owner: Option<Owner>,
     revision: i64,
 }
@@ -59,7 +59,7 @@
     buckets: Shard,
 }
 
-/// What this daemon knows and keeps of quotas.
+/// Quota state of this daemon.
 #[derive(Debug)]
 pub(super) struct Quotas {
     tolerance: Tolerance,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What each shard of a team may grant; absent if the team has no quota.
+    /// What each shard of a team's quota may grant; `None` if the team has no quota.
     fn terms(&self, team: &Team) -> Option<ShardTerms> {
         team.quota.as_ref().map(|quota| ShardTerms::split(quota, &self.tolerance))
     }
@@ -107,7 +107,7 @@
     (shard < SHARDS).then_some(shard)
 }
 
-/// Note an entry of the store; returns whether it names the owner of a shard.
+/// Applies an entry of the store; returns whether it is under a shard's key.
 pub(super) fn apply_put(gw: &Gateway, entry: &Entry) -> bool {
     let Some(shard) = shard_of(gw, &entry.key) else {
         return false;
@@ -117,7 +117,7 @@
     true
 }
 
-/// Note that an entry of the store is gone.
+/// Applies the removal of an entry of the store.
 pub(super) fn apply_removal(gw: &Gateway, key: &str) {
     if let Some(shard) = shard_of(gw, key) {
         lock(&gw.quotas.claims).remove(&shard);
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -1,8 +1,8 @@
-//! Owners of the shards of quotas.
+//! Ownership of quota shards.
 //!
-//! Each shard has a key in the store, which ends with its owner's lease. Daemons rank themselves for each
-//! shard by rendezvous hash and take a free one in that order, so that few try at once. A daemon that starts
-//! again takes what its former run owned right away, since that surely grants nothing any more.
+//! Each shard has a key in the store, which expires with its owner's lease. Daemons rank themselves for each shard by
+//! rendezvous hashing and take a free shard in that order, so that only a few try at once. A restarted daemon
+//! immediately takes the shards of its previous run, which certainly grants nothing any more.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -27,19 +27,19 @@
     },
 };
 
-/// Time between two checks of the shards.
+/// Interval between two checks of the shards.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Life of an owner's lease, in seconds. It bridges outages of the store that are shorter.
+/// TTL of an owner's lease, in seconds. It bridges shorter outages of the store.
 const LEASE_S: u64 = 20;
-/// Time between two renewals.
+/// Interval between two renewals.
 const RENEW_INTERVAL: Span = Span::millis(4_000);
-/// Time until a renewal that failed is tried again.
+/// Delay before a failed renewal is retried.
 const RETRY_INTERVAL: Span = Span::millis(500);
-/// Time for which a shard is seen free before the first daemon in its order takes it.
+/// Time for which a shard must be free before the first daemon in its order takes it.
 const MIN_FREE_TIME: Span = Span::millis(600);
-/// What each further one in the order waits.
+/// Additional delay for each further daemon in the order.
 const RANK_DELAY: Span = Span::millis(400);
-/// Time after a failed call in which nothing is taken.
+/// Time after a failed call in which no shard is taken.
 const BACKOFF: Span = Span::millis(2_000);
 
 /// The lease of all shards that this daemon owns.
@@ -50,7 +50,7 @@
     renew_at: Time,
 }
 
-/// Keep shards owned until the daemon stops.
+/// Keeps the shards owned until the daemon stops.
 pub(in crate::gateway) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.begun.clone();
     let mut held_lease = None;
@@ -87,7 +87,7 @@
     }
 }
 
-/// Shards that this daemon is to take now, each with the revision of what stands there.
+/// The shards that this daemon should take now, each with the revision of the present claim, or 0.
 fn shards_to_acquire(gw: &Gateway, free_since: &mut HashMap<u8, Time>, now: Time) -> Vec<(u8, i64)> {
     if !gw.store_cache().is_complete() {
         return Vec::new();
@@ -117,13 +117,14 @@
     due
 }
 
-/// Whether a claim names this VM, by a former run or by a call whose answer was lost.
+/// Whether a claim names this VM although this daemon does not own the shard: it is from a previous run, or from a call
+/// whose response was lost.
 fn is_own_stale_claim(gw: &Gateway, shard: u8, claim: &Claim) -> bool {
     let is_owned = lock(&gw.quotas.owned).contains_key(&shard);
     !is_owned && claim.owner.as_ref().is_some_and(|owner| owner.vm == gw.settings.vm)
 }
 
-/// How many daemons come before this one; absent while it is not listed.
+/// Number of daemons that rank before this one; `None` while this daemon is not registered.
 fn rank(shard: u8, own: &str, vms: &[String]) -> Option<u64> {
     let weight = |vm: &str| hash::rendezvous(u64::from(shard), hash::bytes(vm.as_bytes()));
     let is_registered = vms.iter().any(|vm| vm == own);
@@ -161,8 +162,8 @@
     Ok(())
 }
 
-/// Renew the lease when it is time. While the store is away shards are granted from until the lease may have ended;
-/// if it is there afterwards nobody else can have owned them.
+/// Renews the lease when it is due. While the store is unreachable, units are granted until the lease may have expired;
+/// if the lease is still there afterwards, no other daemon can have owned the shards.
 async fn renew(gw: &Gateway, held_lease: &mut Option<HeldLease>) {
     let Some(held) = held_lease else { return };
     let now = gw.now();
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -1,4 +1,5 @@
-//! Having a prompt read by an engine for another one, and keeping what it read until that takes it.
+//! Prefill: an engine processes a prompt for another engine and keeps the resulting KV cache until that engine takes it
+//! over.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,19 +23,19 @@
     },
 };
 
-/// How many times as long as predicted a prompt's reading may take before its engine is asked
-/// whether it is there at all. It is not broken off then: readings that begin again from nothing slow the others.
+/// Multiple of its predicted duration after which a prefill is overdue and its engine is asked whether it still
+/// responds. The prefill is not aborted then: prefills that start again from the beginning slow the others.
 const PREFILL_TIMEOUT_FACTOR: f64 = 2.0;
-/// What is added to that: the way there, and a prediction that is far off.
+/// Added to that time, for the round trip and for poor predictions.
 const PREFILL_TIMEOUT_MARGIN: Span = Span::millis(150);
-/// Time between two reports asked of an engine whose reading takes longer than predicted.
+/// Interval between two status requests to an engine whose prefill is overdue.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
-/// What is added for each daemon: what they send in the meantime is heard of later, the more there are.
+/// Added for each daemon: the more daemons there are, the later this one learns what they have sent in the meantime.
 const MARGIN_PER_DAEMON: Span = Span::millis(3);
-/// Time to free memory at an engine.
+/// Time limit for freeing memory at an engine.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A prompt that was read. Its memory at the engine is freed unless another one took it over.
+/// A prefilled prompt. Its memory at the engine is freed unless another engine took it over.
 pub(super) struct PrefilledPrompt {
     gw: Arc<Gateway>,
     pub(super) replica: ReplicaFacts,
@@ -70,7 +71,7 @@
 }
 
 impl ActiveRequest {
-    /// Have a prompt read.
+    /// Has a prompt prefilled.
     pub(super) async fn prefill(&self, step: &Step) -> Result<PrefilledPrompt, CallFailure> {
         let predicted = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * PREFILL_TIMEOUT_FACTOR);
         let margin = Span(MARGIN_PER_DAEMON.0 * self.gw.fleet().daemons() as u64);
@@ -106,10 +107,10 @@
         }
     }
 
-    /// Wait for a reading as long as its engine answers at all.
+    /// Waits for a prefill for as long as its engine responds at all.
     ///
-    /// A reading that is broken off is begun again from nothing elsewhere, where it costs as much
-    /// once more; so a busy engine keeps it, and only one that is gone or unreachable loses it.
+    /// An aborted prefill starts again from the beginning elsewhere, at the full cost; so a busy engine keeps it, and
+    /// only an engine that is gone or unreachable loses it.
     async fn prefill_while_responsive(&self, call: &Call<'_>, overdue: Time) -> Result<Handle, CallFailure> {
         let mut prefill = std::pin::pin!(self.call_prefill(call));
         if let Some(result) = self.gw.timeout_at(overdue, &mut prefill).await {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Return once the engine does not answer a question that costs it nothing, or is another start of it.
+    /// Returns when the engine does not respond to a cheap status request, or has been restarted.
     async fn until_unresponsive(&self, replica: &ReplicaFacts) {
         loop {
             let report = tokio::time::timeout(duration(SILENCE_TIMEOUT), orders::fetch_report(&self.gw, replica)).await;
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -1,12 +1,12 @@
-//! Updates of the store cache, taken from another daemon.
+//! Updates of the store cache, fetched from peers.
 //!
-//! The store may turn some VMs away and serve the others, and where there are many daemons only a few watch
-//! it. Reports between daemons tell how far each has followed the store; one that is cut off, or leaves
-//! watching to others, fetches what changed from a peer that is ahead. One whose link is busy with other
-//! updates says so, and the asker goes to another: with each round more daemons have the update.
+//! The store may refuse some VMs while it serves others, and in large deployments only a few daemons watch it. Load
+//! reports tell how far each daemon has followed the store; a daemon that is cut off, or leaves watching to others,
+//! fetches the changes from a peer that is ahead. A peer whose link is busy with other updates says so, and the daemon
+//! asks another one: with each round more daemons have the update.
 //!
-//! Updates are packed: a configuration of many routes is text that repeats itself, and small links would
-//! need seconds for a hall.
+//! Updates are compressed: a configuration with many routes is repetitive text, and small links would need seconds to
+//! serve a hall.
 
 use std::{
     io::{BufReader, Read},
@@ -33,25 +33,25 @@
     gateway::{state::Gateway, store_watch},
 };
 
-/// Path of updates on a daemon's peer address.
+/// Path of updates at a daemon's peer address.
 pub(super) const STATE_PATH: &str = "/state";
-/// Time between two checks whether an update is needed.
+/// Interval between two checks whether an update is needed.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence of the store after which another daemon is asked. The store itself answers in
-/// milliseconds, and what it says is newer.
+/// Silence of the store after which a peer is asked. The store itself responds within milliseconds, and its data is
+/// newer.
 const STORE_SILENCE_TIMEOUT: Span = Span::millis(600);
-/// Time for another daemon's answer. A large configuration takes a small link some hundred
-/// milliseconds, and others of the hall ask at the same time.
+/// Time limit for a peer's response. A large configuration takes some hundred milliseconds on a small link, and other
+/// daemons of the hall ask at the same time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Shortest time between two updates. While entries change all the time, each brings what changed since the last
-/// one instead of a few entries.
+/// Minimum interval between two updates. While entries change continuously, each update carries all changes since the
+/// last one instead of a few entries.
 const TRANSFER_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time until another daemon is asked where one did not answer.
+/// Minimum delay before another peer is asked if one did not respond.
 const PEER_FALLBACK_DELAY: Span = Span::millis(50);
-/// Time between two probes to seeds while no daemon is known to be ahead. The store may not hold
-/// a configuration yet, and then all of them ask.
+/// Interval between two requests to seeds while no daemon is known to be ahead. The store may not contain a
+/// configuration yet, in which case all daemons ask.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes of an unpacked update at most: the largest value of the store a few times over.
+/// Maximum bytes of an unpacked update: a few times the largest value of the store.
 const MAX_UPDATE_BYTES: u64 = 8 << 20;
 
 /// What a daemon has read from the store.
@@ -59,13 +59,13 @@
 pub(super) struct CacheUpdate {
     /// Revision up to which nothing is missing.
     pub(super) revision: i64,
-    /// Whether these are all entries; otherwise those that changed.
+    /// Whether `entries` contains all entries; otherwise only changed ones.
     pub(super) whole: bool,
     /// The entries.
     pub(super) entries: Vec<CachedEntry>,
-    /// Keys that were removed, with the revisions at which they were.
+    /// Removed keys, with the revisions of their removal.
     pub(super) removed: Vec<(String, i64)>,
-    /// Milliseconds for which entries that lapsed while the store was away may still come back.
+    /// Milliseconds for which entries that lapsed while the store was unreachable may still come back.
     pub(super) grace_ms: u64,
     /// Removals up to this revision may be such lapses.
     #[serde(default)]
@@ -73,7 +73,7 @@
 }
 
 impl CacheUpdate {
-    /// The update as it is sent.
+    /// Encodes the update for sending.
     pub(super) fn pack(&self) -> Result<Vec<u8>, CallError> {
         let unsent = |e: &dyn std::error::Error| CallError::NotSent(e.to_string());
         let mut packed = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -81,7 +81,7 @@
         packed.finish().map_err(|e| unsent(&e))
     }
 
-    /// Read an update that was sent.
+    /// Decodes a received update.
     fn unpack(packed: &[u8]) -> Result<Self, CallError> {
         let text = DeflateDecoder::new(packed).take(MAX_UPDATE_BYTES);
         serde_json::from_reader(BufReader::new(text))
@@ -89,7 +89,7 @@
     }
 }
 
-/// One entry.
+/// An entry of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct CachedEntry {
     key: String,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Ask other daemons whenever the store does not answer.
+/// Fetches updates from peers while this daemon does not watch the store or the store is silent.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.finished.clone();
     tokio::select! {
@@ -127,7 +127,7 @@
         }
         match choose_source(gw) {
             Some(Source::Ahead(from)) if !update_from(gw, &client, from).await => {
-                // Others ask it too, or it is gone; by now more daemons may have it.
+                // Other daemons ask the same peer, or it is gone; by now more peers may have the update.
                 gw.peer_ahead.notify_one();
                 tokio::time::sleep(duration(PEER_FALLBACK_DELAY) + duration(Span(gw.random() % PEER_FALLBACK_DELAY.0)))
                     .await;
@@ -142,12 +142,12 @@
     }
 }
 
-/// Which daemon to ask.
+/// The peer to ask.
 #[derive(Clone, Copy, Debug)]
 enum Source {
-    /// One that has followed the store further.
+    /// A peer that has followed the store further.
     Ahead(SocketAddr),
-    /// Any of those in the settings, while none is known to be ahead.
+    /// A seed from the settings, while no daemon is known to be ahead.
     Seed(SocketAddr),
 }
 
@@ -157,7 +157,7 @@
     !cache.watching || cache.unreachable_for(now).is_some_and(|silent| silent > STORE_SILENCE_TIMEOUT)
 }
 
-/// A daemon that is ahead; any seed while nothing is known at all.
+/// A peer that is ahead; a random seed while nothing is known at all.
 fn choose_source(gw: &Gateway) -> Option<Source> {
     let (revision, is_complete) = {
         let cache = gw.store_cache();
@@ -191,7 +191,7 @@
     gw.store_cache().advance(update.revision);
 }
 
-/// Ask one daemon; returns whether it answered.
+/// Fetches an update from one peer and applies it; returns whether the peer responded.
 async fn update_from(gw: &Arc<Gateway>, client: &HttpClient, from: SocketAddr) -> bool {
     let after = gw.store_cache().revision;
     match fetch_update(client, from, after).await {
--- a/crates/daemon/src/gateway/sse.rs
+++ b/crates/daemon/src/gateway/sse.rs
@@ -1,36 +1,36 @@
-//! Cutting an event stream into whole events, without changing a byte.
+//! Splits an event stream into whole events without changing a byte.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most; a longer one is passed on in pieces.
+/// Maximum bytes of one event; a longer one is relayed in pieces.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Collects bytes until they make whole events.
+/// Buffers bytes until they form whole events.
 #[derive(Debug, Default)]
 pub(super) struct EventBuffer {
     buf: BytesMut,
 }
 
 impl EventBuffer {
-    /// Add bytes and take all events that are whole by now.
+    /// Adds bytes and returns all events that are complete now.
     pub(super) fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.buf.extend_from_slice(data);
         let end = last_event_end(&self.buf)?;
         Some(self.buf.split_to(end).freeze())
     }
 
-    /// The bytes of an event that is not whole.
+    /// Takes the bytes of an incomplete event.
     pub(super) fn take_rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
-    /// Forget an event that is not whole.
+    /// Discards an incomplete event.
     pub(super) fn clear(&mut self) {
         self.buf.clear();
     }
 }
 
-/// Where the last whole event ends: after an empty line.
+/// End of the last complete event, after an empty line.
 fn last_event_end(buf: &[u8]) -> Option<usize> {
     if buf.len() > MAX_EVENT_BYTES {
         return Some(buf.len());
@@ -50,7 +50,7 @@
     end
 }
 
-/// The identifier of the last of some whole events.
+/// Identifier of the last of some complete events that has one.
 pub(super) fn last_event_id(events: &[u8]) -> Option<String> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a daemon that serves by routes share.
+//! State that is shared by the parts of a daemon that serves by routes.
 
 use std::{
     net::SocketAddr,
@@ -29,18 +29,18 @@
     },
 };
 
-/// What a daemon meets outside, so that tests can put fakes there.
+/// External dependencies of a daemon, which tests can replace by fakes.
 #[derive(Clone, Debug)]
 pub struct Outside {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The key-value service, for the daemons' own keys.
     pub kv: Arc<dyn KeyValue>,
-    /// The same service, for following its changes.
+    /// The same service, for watching its changes.
     pub feed: Arc<dyn ChangeFeed>,
-    /// The language of callers, endpoints and the stored configuration.
+    /// Protocol of callers and endpoints, and format of the stored configuration.
     pub dialect: SharedDialect,
-    /// Counts lines of the log that were dropped.
+    /// Counts dropped log lines.
     pub dropped_lines: Option<ErrorCounter>,
 }
 
@@ -49,14 +49,14 @@
 pub(super) struct Gateway {
     pub(super) settings: GatewaySettings,
     pub(super) outside: Outside,
-    /// Number that tells this run of the daemon from all others.
+    /// Identifies this run of the daemon among all others.
     pub(super) run_id: u64,
     pub(super) fleet: Mutex<Fleet>,
     pub(super) store_cache: Mutex<StoreCache>,
     pub(super) keys: Keys,
     pub(super) probes: Probes,
     pub(super) quotas: Quotas,
-    /// Carries messages to and from other daemons.
+    /// Socket for datagrams between daemons.
     pub(super) socket: UdpSocket,
     pub(super) leadership: Leadership,
     pub(super) usage: Usage,
@@ -67,13 +67,13 @@
     pub(super) stop: Stop,
     /// Wakes the task that publishes load reports.
     pub(super) load_changed: Notify,
-    /// Wakes the task that aggregates the hall, when a daemon of it has reported something.
+    /// Wakes the task that aggregates the hall, when one of its daemons has reported something.
     pub(super) hall_changed: Notify,
-    /// Wakes the task that asks peers, when one has followed the store further.
+    /// Wakes the task that fetches updates, when a peer has followed the store further.
     pub(super) peer_ahead: Notify,
-    /// When the daemon started, by its clock and by the one that does not count suspensions.
+    /// When the daemon started, by its clock and by a clock that does not count suspensions.
     pub(super) started_at: (Time, Instant),
-    /// Wakes all that waits for a deadline, when the machine goes on after it was suspended.
+    /// Wakes all tasks that wait for a deadline when the machine resumes after a suspension.
     pub(super) resumed: Notify,
     /// Hash of this daemon's hall.
     pub(super) hall: u32,
@@ -83,34 +83,34 @@
     random_counter: AtomicU64,
 }
 
-/// The stages of a planned stop.
+/// Stages of a graceful shutdown.
 #[derive(Debug, Default)]
 pub(super) struct Stop {
-    /// It began: not ready, still taking work.
+    /// It has begun: the daemon reports not ready, but still accepts work.
     pub(super) begun: CancellationToken,
-    /// No more connections are taken.
+    /// No more connections are accepted.
     pub(super) closing: CancellationToken,
-    /// Background tasks are to end.
+    /// Background tasks must end.
     pub(super) finished: CancellationToken,
-    /// The requests under way.
+    /// Requests in flight.
     pub(super) requests: TaskTracker,
-    /// Micros of the time at which the process must be over; 0 before a stop.
+    /// When the process must have exited, in microseconds; 0 before the shutdown.
     exit_at: AtomicU64,
-    /// Micros of the time from which on no long answer is begun, however quick they have been.
+    /// When the daemon stops accepting requests with long responses, however short they have been, in microseconds.
     no_long_from: AtomicU64,
 }
 
-/// Part of a stop after which no long answer is begun. Some take far longer than usual, and one
-/// that begins this late must be over by the end.
+/// Share of the shutdown time after which no long response is started. Some take far longer than usual, and one that
+/// starts this late would have to be complete by the end.
 const LONG_RESPONSE_SHARE: f64 = 0.3;
 
-/// How many times the usual time of a long answer must be left for one to be begun. A tenth of
-/// them takes twice as long, and one that the end of the process cuts is lost; a caller that is
-/// refused finds another VM within its objective or soon after.
+/// Multiple of the usual duration of a long response that must be left to start one. One in ten takes twice as long,
+/// and one that the exit of the process cuts off is lost; a caller that is refused finds another VM within its latency
+/// objective or soon after.
 const LONG_RESPONSE_FACTOR: f64 = 1.3;
 
 impl Stop {
-    /// The stop begins.
+    /// Starts the shutdown.
     pub(super) fn begin(&self, now: Time, exit_at: Time) {
         let no_long_from = now + Span::seconds(exit_at.since(now).as_seconds() * LONG_RESPONSE_SHARE);
         self.no_long_from.store(no_long_from.0, Ordering::Relaxed);
@@ -118,7 +118,7 @@
         self.begun.cancel();
     }
 
-    /// Whether a long answer that usually takes so long may still be begun.
+    /// Whether a long response that usually takes `usual` may still be started.
     pub(super) fn may_start_long(&self, usual: Span, now: Time) -> bool {
         let exit_at = self.exit_at.load(Ordering::Relaxed);
         if exit_at == 0 {
@@ -129,7 +129,7 @@
     }
 }
 
-/// Where reports of usage go and by which windows, if the platform asks for them.
+/// Where and for which windows usage is reported, if the platform asks for it.
 fn usage_terms(settings: &GatewaySettings, outside: &Outside) -> Option<(SocketAddr, Windows)> {
     let duties = settings.duties.as_ref()?;
     outside.dialect.asks_usage(&duties.asked).then(|| (duties.address, duties.windows()))
@@ -173,12 +173,12 @@
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub(super) fn now(&self) -> Time {
         self.outside.clock.now()
     }
 
-    /// The replicas.
+    /// The known replicas.
     pub(super) fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -188,12 +188,12 @@
         self.store_cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The routes in force, once there are any.
+    /// The routes in force, if any.
     pub(super) fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Put routes in force, unless newer ones are; returns whether they are in force now.
+    /// Puts routes in force unless newer ones are; returns whether they are in force now.
     pub(super) fn set_table(&self, table: RouteTable) -> bool {
         let mut current = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let is_newer = current.as_ref().is_none_or(|current| table.version > current.version);
@@ -203,17 +203,17 @@
         is_newer
     }
 
-    /// Bounds on repeated sends.
+    /// Limits of the retry budget.
     pub(super) fn retry_budget(&self) -> BudgetTerms {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner).terms()
     }
 
-    /// A few daemons that may be asked for what they know.
+    /// Daemons that may be asked while no others are known.
     pub(super) fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Use what of new settings can change while the daemon runs; returns the names of those.
+    /// Applies those settings that can change while the daemon runs; returns the names of the changed ones.
     pub(super) fn reload(&self, settings: GatewaySettings) -> Vec<&'static str> {
         let mut changed = Vec::new();
         let mut seeds = self.seeds.lock().unwrap_or_else(PoisonError::into_inner);
@@ -229,13 +229,13 @@
         changed
     }
 
-    /// A number that is unlike the ones before.
+    /// A pseudo-random number, different at each call.
     pub(super) fn random(&self) -> u64 {
         let n = self.random_counter.fetch_add(1, Ordering::Relaxed);
         dahliaseam_core::hash::bytes(&n.to_le_bytes())
     }
 
-    /// Whether the balancer should send work here.
+    /// Whether the load balancer should send requests to this daemon.
     pub(super) fn is_ready(&self) -> bool {
         !self.stop.begun.is_cancelled() && self.table().is_some() && self.store_cache().is_complete()
     }
--- a/crates/daemon/src/gateway/store_cache.rs
+++ b/crates/daemon/src/gateway/store_cache.rs
@@ -9,37 +9,37 @@
 
 use crate::gateway::snapshot_transfer::{CacheUpdate, CachedEntry};
 
-/// What was last read from the store, as it lay there.
+/// What was last read from the store, unparsed.
 #[derive(Debug, Default)]
 pub(super) struct StoreCache {
     /// The configuration.
     pub(super) configuration: Option<Entry>,
-    /// Revision of the newest configuration, also one that cannot be read.
+    /// Revision of the newest configuration, even if that is unreadable.
     pub(super) newest_configuration: i64,
-    /// The replicas' entries, by key.
+    /// Entries of replicas, by key.
     pub(super) replicas: RevisionTable<Entry>,
-    /// The daemons' entries, by key.
+    /// Entries of daemons, by key.
     pub(super) daemons: RevisionTable<Entry>,
-    /// The store's revision up to which nothing is missing.
+    /// Revision of the store up to which nothing is missing.
     pub(super) revision: i64,
     /// When the store last answered.
     pub(super) last_answer_at: Time,
     /// Whether this daemon watches the store itself.
     pub(super) watching: bool,
-    /// Until when entries that lapsed while the store was away may come back.
+    /// Until when entries that lapsed while the store was unreachable may come back.
     pub(super) grace_until: Time,
-    /// Removals up to this revision may be such lapses; later ones are meant.
+    /// Removals up to this revision may be such lapses; later ones are intended.
     pub(super) lapsed_up_to: i64,
-    /// Until when removals that the store reports may still be lapses of the time before.
+    /// Until when removals that the store reports may still be lapses from the outage.
     pub(super) lapses_until: Time,
-    /// Whether the store did not answer this daemon's last call.
+    /// Whether this daemon's last call to the store failed.
     pub(super) unreachable: bool,
     /// The update that was last packed.
     packed: Option<PackedUpdate>,
 }
 
-/// An update as it was sent, kept for others that ask for the same: packing one takes a small VM tens of
-/// milliseconds, and all of a hall ask for each change.
+/// A packed update, kept for other daemons that request the same: packing takes some tens of milliseconds on a small
+/// VM, and all daemons of a hall request each change.
 #[derive(Debug)]
 struct PackedUpdate {
     after: i64,
@@ -48,12 +48,12 @@
 }
 
 impl StoreCache {
-    /// Whether the store does not answer, and for how long that has been known.
+    /// Time since the store last answered, if it is unreachable.
     pub(super) fn unreachable_for(&self, now: Time) -> Option<Span> {
         self.unreachable.then(|| now.since(self.last_answer_at))
     }
 
-    /// What changed after a revision, for another daemon; all of it if that is not known.
+    /// The changes after a revision, for another daemon; everything if the changes are not known.
     fn update_since(&self, after: i64, now: Time) -> CacheUpdate {
         let whole = !self.replicas.is_complete_after(after) || !self.daemons.is_complete_after(after);
         let from = if whole { i64::MIN } else { after };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The same as it is sent.
+    /// The same update, packed for sending.
     pub(super) fn packed(&mut self, after: i64, now: Time) -> Result<Bytes, CallError> {
         let in_grace = !self.grace_until.is_past(now);
         if let Some(packed) = &self.packed
@@ -80,18 +80,18 @@
             return Ok(packed.bytes.clone());
         }
         let bytes = Bytes::from(self.update_since(after, now).pack()?);
-        // While entries may come back an update tells how much longer, and is another one each time.
+        // While entries may come back, an update states for how much longer, and so differs each time.
         self.packed = (!in_grace).then(|| PackedUpdate { after, revision: self.revision, bytes: bytes.clone() });
         Ok(bytes)
     }
 
-    /// Note that everything was read at a revision: removals before it are not known one by one.
+    /// Records that everything was read at a revision: earlier removals are not known individually.
     pub(super) fn read_whole(&mut self, revision: i64) {
         self.replicas.read_whole(revision);
         self.daemons.read_whole(revision);
     }
 
-    /// Give entries that were removed up to a revision this long to come back.
+    /// Gives entries that were removed up to a revision until `until` to come back.
     pub(super) fn set_grace(&mut self, until: Time, lapsed_up_to: i64) {
         self.grace_until = self.grace_until.max(until);
         self.lapsed_up_to = self.lapsed_up_to.max(lapsed_up_to);
@@ -102,7 +102,7 @@
         if revision <= self.lapsed_up_to { now.max(self.grace_until) } else { now }
     }
 
-    /// Go on from a revision that another daemon has followed the store to.
+    /// Advances to a revision up to which the store was followed.
     pub(super) fn advance(&mut self, revision: i64) {
         self.revision = self.revision.max(revision);
     }
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -1,8 +1,9 @@
-//! Noticing that the machine was suspended.
+//! Detects that the machine was suspended.
 //!
-//! The daemon's clock counts such a time, the runtime's timers do not: what waits for a deadline would wait for the rest of it
-//! once more. So each such wait looks at the clock again when the machine goes on ([`Gateway::timeout_at`]), what
-//! was believed of others before is looked at anew, and nothing is learned from work that took so long for that reason.
+//! The daemon's clock counts suspended time, the timers of the runtime do not: a wait for a deadline would continue for
+//! the rest of its time after a suspension. So each such wait checks the clock again when the machine resumes
+//! ([`Gateway::timeout_at`]), what was known of other daemons before is discarded, and estimates are not updated from
+//! work whose duration includes a suspension.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -10,12 +11,13 @@
 
 use crate::{clock::duration, emit, gateway::state::Gateway};
 
-/// Time between two looks: small against the deadlines of callers, and ten a second cost nothing that can be measured.
+/// Interval between two checks: short compared with the deadlines of callers, and ten checks a second have no
+/// measurable cost.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Difference between the two clocks from which on the machine was suspended. Each is read a moment after the other.
+/// Minimum difference between the two clocks that counts as a suspension. They are read one after the other.
 const MIN_SUSPENSION: Span = Span::millis(50);
 
-/// Look for suspensions until the daemon is over.
+/// Detects suspensions until the daemon shuts down.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.finished.clone();
     tokio::select! {
@@ -39,7 +41,7 @@
 fn handle_resume(gw: &Gateway, suspended: Span) {
     emit!(warn, MACHINE_RESUMED, away_ms = suspended.as_millis());
     let now = gw.now();
-    // What others said before is too old to act on.
+    // Reports from before the suspension are too old to act on.
     let silent = gw.fleet().forget_silent(now);
     for sender in silent {
         emit!(info, PEER_SILENT, sender);
@@ -47,26 +49,26 @@
     gw.resumed.notify_waiters();
 }
 
-/// For how long the machine was suspended in all since the daemon started.
+/// Total time for which the machine was suspended since the daemon started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SuspendedTime(Span);
 
 impl SuspendedTime {
-    /// Whether the machine was suspended since that was so.
+    /// Whether the machine was suspended since `before` was read.
     pub(super) const fn has_grown_since(self, before: Self) -> bool {
         self.0.0 > before.0.0 + MIN_SUSPENSION.0
     }
 }
 
 impl Gateway {
-    /// For how long the machine was suspended so far.
+    /// Total time for which the machine was suspended so far.
     pub(super) fn suspended_time(&self) -> SuspendedTime {
         let (started_at, instant) = self.started_at;
         let steady = instant.elapsed().as_micros() as u64;
         SuspendedTime(Span(self.now().since(started_at).0.saturating_sub(steady)))
     }
 
-    /// Wait for something until a deadline; absent if that comes first.
+    /// Waits for a future until a deadline; `None` if the deadline comes first.
     pub(super) async fn timeout_at<F: Future>(&self, deadline: Time, awaited: F) -> Option<F::Output> {
         let mut awaited = pin!(awaited);
         loop {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Wait so long, or until the machine goes on after a suspension.
+    /// Sleeps for this time, or until the machine resumes after a suspension.
     pub(super) async fn sleep(&self, time: Duration) {
         tokio::select! {
             () = tokio::time::sleep(time) => {}
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -1,4 +1,4 @@
-//! Work at a replica, counted from when it is sent until it is over.
+//! Work at a replica, counted from when it is sent until it is finished.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     gateway::{state::Gateway, suspension::SuspendedTime},
 };
 
-/// One replica's work for a request. Dropping it ends the count.
+/// A call to one replica for a request. Dropping it ends the count.
 #[derive(Debug)]
 pub(super) struct InFlightCall {
     gw: Arc<Gateway>,
@@ -23,7 +23,8 @@
 }
 
 impl InFlightCall {
-    /// Count work that is about to be sent; absent if the replica is no longer known.
+    /// Counts work that is about to be sent; `None` if the replica is gone, or its rate limit or retry time does not
+    /// allow a request from this daemon now.
     pub(super) fn begin(gw: &Arc<Gateway>, step: &Step, prompt: Option<&Prompt>) -> Option<Self> {
         let now = gw.now();
         let sent = gw.fleet().begin(step.key, step, prompt, now)?;
@@ -31,17 +32,17 @@
         Some(Self { gw: Arc::clone(gw), sent, end: StepEnd::Unknown, suspended_before: gw.suspended_time() })
     }
 
-    /// Set how it will have ended.
+    /// Sets how the call is reported to have ended when it is dropped.
     pub(super) const fn set_end(&mut self, end: StepEnd) {
         self.end = end;
     }
 
-    /// Whether the machine was suspended since it was sent, so that nothing can be learned from how long it took.
+    /// Whether the machine was suspended since the call was sent, so that its duration must not update estimates.
     pub(super) fn was_suspended(&self) -> bool {
         self.gw.suspended_time().has_grown_since(self.suspended_before)
     }
 
-    /// The reading is over; the rest goes on.
+    /// Records that the prefill is finished; the rest of the call continues.
     pub(super) fn record_prefill_end(&mut self, end: StepEnd) {
         let end = if self.was_suspended() { StepEnd::Unknown } else { end };
         let now = self.gw.now();
@@ -49,7 +50,7 @@
         self.gw.load_changed.notify_one();
     }
 
-    /// A plain call was answered.
+    /// Updates the estimates from a completed call to a plain service.
     pub(super) fn record_plain_call(&self) {
         if self.was_suspended() {
             return;
@@ -58,17 +59,17 @@
         self.gw.fleet().learn_plain(&self.sent, now.since(self.sent.at), now);
     }
 
-    /// Where it is done.
+    /// Key of the replica.
     pub(super) const fn replica_key(&self) -> ReplicaKey {
         self.sent.key
     }
 
-    /// Whether it is the answer that will keep a slot for seconds.
+    /// Whether the call is a long response, which occupies a slot for seconds.
     pub(super) const fn is_long(&self) -> bool {
         self.sent.load.streams > 0
     }
 
-    /// Whether the replica had nothing else to read.
+    /// Whether the replica had no other prompt to prefill.
     pub(super) const fn was_alone(&self) -> bool {
         self.sent.alone
     }
@@ -78,12 +79,12 @@
         &self.sent
     }
 
-    /// Time since it was sent.
+    /// Time since the call was sent.
     pub(super) fn age(&self) -> Span {
         self.gw.now().since(self.sent.at)
     }
 
-    /// The replica is no longer the one that was known.
+    /// Records that another process has replaced the replica that was known.
     pub(super) fn replica_replaced(&self) {
         let now = self.gw.now();
         self.gw.fleet().replaced(self.sent.key, now);
