--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -147,7 +147,7 @@
     let mut sync = StoreSync::default();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(SYNC_INTERVAL) => sync.sync(&gw).await,
+            () = tokio::time::sleep(SYNC_INTERVAL) => sync.reconcile(&gw).await,
             () = stop.cancelled() => return,
         }
     }
@@ -226,7 +226,7 @@
 }
 
 impl StoreSync {
-    async fn sync(&mut self, gw: &Arc<Gateway>) {
+    async fn reconcile(&mut self, gw: &Arc<Gateway>) {
         let now = gw.now();
         let (contents, lapsed) = {
             let endings = &mut gw.fleet().endings;
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -68,7 +68,7 @@
     quota_units: Counter<u64>,
     proof_age: Gauge<f64>,
     first_byte: Histogram<f64>,
-    reading: Histogram<f64>,
+    prefill: Histogram<f64>,
     event_interval: Histogram<f64>,
 }
 
@@ -90,9 +90,9 @@
                 .with_callback(dropped)
                 .build();
         }
-        let counter = |name, what| meter.u64_counter(name).with_description(what).build();
-        let histogram = |name, what| {
-            meter.f64_histogram(name).with_description(what).with_boundaries(BUCKETS_SECONDS.to_vec()).build()
+        let counter = |name, description| meter.u64_counter(name).with_description(description).build();
+        let histogram = |name, description| {
+            meter.f64_histogram(name).with_description(description).with_boundaries(BUCKETS_SECONDS.to_vec()).build()
         };
         Ok(Self {
             requests: counter("dahliaseam_route_requests", "Requests that are over, by route and outcome"),
@@ -109,7 +109,7 @@
                 .with_description("Seconds since the configuration in force was surely the newest")
                 .build(),
             first_byte: histogram("dahliaseam_first_byte_seconds", "Seconds from a request to its answer's first byte"),
-            reading: histogram("dahliaseam_reading_seconds", "Seconds that an engine took to read a prompt"),
+            prefill: histogram("dahliaseam_reading_seconds", "Seconds that an engine took to read a prompt"),
             event_interval: histogram(
                 "dahliaseam_event_interval_seconds",
                 "Mean seconds between two events of a stream that is over",
@@ -130,8 +130,8 @@
     }
 
     /// Counts a call to the store.
-    pub(super) fn store_call(&self, what: StoreCall) {
-        self.store_calls.add(1, &[KeyValue::new("what", what.name())]);
+    pub(super) fn store_call(&self, purpose: StoreCall) {
+        self.store_calls.add(1, &[KeyValue::new("what", purpose.name())]);
     }
 
     /// Counts a finished watch call to the store.
@@ -140,8 +140,8 @@
     }
 
     /// Counts a datagram sent to or received from another daemon.
-    pub(super) fn peer_message(&self, way: &'static str) {
-        self.peer_messages.add(1, &[KeyValue::new("way", way)]);
+    pub(super) fn peer_message(&self, direction: &'static str) {
+        self.peer_messages.add(1, &[KeyValue::new("way", direction)]);
     }
 
     /// Counts a replica crash while it had a request.
@@ -175,8 +175,8 @@
     }
 
     /// Records the duration of a prefill.
-    pub(super) fn reading(&self, seconds: f64) {
-        self.reading.record(seconds, &[]);
+    pub(super) fn prefill(&self, seconds: f64) {
+        self.prefill.record(seconds, &[]);
     }
 
     /// Records the mean interval between the events of a finished stream.
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -82,7 +82,7 @@
         let result = self.prefill_while_responsive(&call, overdue).await;
         match result {
             Ok(handle) => {
-                self.gw.metrics.reading(in_flight.age().as_seconds());
+                self.gw.metrics.prefill(in_flight.age().as_seconds());
                 emit!(
                     debug,
                     PROMPT_READ,
