--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -156,7 +156,7 @@
                 return Err(AttemptFailure { why, in_prefill: false, replica: write.key });
             }
             credit = self.usable_credit(credit).await.map_err(|_| AttemptFailure {
-                why: CallFailure::NotTried("the team's quota is used up"),
+                why: CallFailure::NotTried("no credit available from the team's quota"),
                 in_prefill: false,
                 replica: write.key,
             })?;
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -188,7 +188,7 @@
         if needed > 0.0 {
             peak.note(needed, now);
         } else if !known.is_some_and(|known| known.seen) {
-            // Before any demand is observed, the engines that the operators configured tell what they expect.
+            // Before any demand is observed, the engines that the operators configured show what they expect.
             let configured = current.values().map(|hall| f64::from(hall.staying)).sum();
             peak.expect(known.map_or(configured, |known| known.engines), now);
         }
