--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -30,18 +30,18 @@
     vms::VmList,
 };
 
-type Failure = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Daemons of the deployment.
 const DAEMONS: usize = 3;
 /// Callers at once.
 const CALLERS: u64 = 24;
 /// Length of each of the two phases.
-const PHASE: Duration = Duration::from_secs(8);
+const PHASE_DURATION: Duration = Duration::from_secs(8);
 /// Time between two requests of a caller.
-const PAUSE: Duration = Duration::from_millis(40);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 /// Time a caller waits for an answer.
-const CALLER_LIMIT: Duration = Duration::from_secs(15);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(15);
 const ENGINES: [(&str, Role); 4] =
     [("engine-1", Role::Mixed), ("engine-2", Role::Mixed), ("engine-3", Role::Prefill), ("engine-4", Role::Decode)];
 
@@ -52,7 +52,7 @@
 ];
 
 /// The stand-ins, which serve as long as this lives.
-struct Outdoors {
+struct StandIns {
     kv: Kv,
     vms: VmList,
     engines: Vec<EngineStandIn>,
@@ -60,10 +60,10 @@
 }
 
 #[tokio::main]
-async fn main() -> Result<(), Failure> {
-    let outdoors = start_stand_ins().await?;
-    let daemons = start_daemons(&outdoors).await?;
-    configure(&daemons, &outdoors).await?;
+async fn main() -> Result<(), BoxError> {
+    let stand_ins = start_stand_ins().await?;
+    let daemons = start_daemons(&stand_ins).await?;
+    configure(&daemons, &stand_ins).await?;
     println!("three daemons, four engines and two plain services serve on loopback\n");
 
     let addresses: Vec<_> = daemons.iter().map(|d| d.node().settings.caller_address.clone()).collect();
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-async fn start_stand_ins() -> Result<Outdoors, Failure> {
+async fn start_stand_ins() -> Result<StandIns, BoxError> {
     let local = || "127.0.0.1:0".to_owned();
     let params = ModelParams { change_seconds: 2.0, ..ModelParams::default() };
     let mut engines = Vec::new();
@@ -96,10 +96,10 @@
         let setup = PlainSetup { address: local(), work_ms: 5, history: History::in_memory(name) };
         plains.push(Plain::start(setup).await?);
     }
-    Ok(Outdoors { kv: Kv::start("127.0.0.1:0").await?, vms: VmList::start("127.0.0.1:0").await?, engines, plains })
+    Ok(StandIns { kv: Kv::start("127.0.0.1:0").await?, vms: VmList::start("127.0.0.1:0").await?, engines, plains })
 }
 
-async fn start_daemons(outdoors: &Outdoors) -> Result<Vec<Controller>, Failure> {
+async fn start_daemons(stand_ins: &StandIns) -> Result<Vec<Controller>, BoxError> {
     let mut daemons = Vec::new();
     let mut list = Vec::new();
     for n in 1..=DAEMONS {
@@ -108,8 +108,8 @@
         let settings: Settings = serde_json::from_value(json!({
             "vm": vm, "hall": hall, "keyspace": "/quickstart/",
             "caller_address": free_address(), "operator_address": free_address(), "peer_address": peer,
-            "kv_address": outdoors.kv.server().address().to_string(),
-            "vm_list_address": outdoors.vms.server().address().to_string(),
+            "kv_address": stand_ins.kv.server().address().to_string(),
+            "vm_list_address": stand_ins.vms.server().address().to_string(),
             "peer_secret": "quick-start-secret", "operator_token": "quick-start-token",
             "timing": { "probe_ms": 100, "list_ms": 200, "observe_ms": 200, "stop_grace_ms": 500 },
         }))?;
@@ -118,7 +118,7 @@
     }
     let endpoints = ENGINES.iter().map(|(name, _)| *name).chain(["till-1", "till-2"]);
     list.extend(endpoints.map(|name| json!({ "vm": name, "hall": "oslo-1", "part": "endpoint" })));
-    let url = format!("http://{}/vms", outdoors.vms.server().address());
+    let url = format!("http://{}/vms", stand_ins.vms.server().address());
     let body = http_body_util::Full::from(bytes::Bytes::from(Value::Array(list).to_string()));
     let req = http::Request::put(url).header("content-type", "application/json").body(body)?;
     HttpClient::new(Reuse::Fresh).fetch(req, Duration::from_secs(2)).await?;
@@ -126,17 +126,17 @@
 }
 
 /// Declare Fjordkjede's resources with these endpoints.
-async fn configure(daemons: &[Controller], outdoors: &Outdoors) -> Result<(), Failure> {
+async fn configure(daemons: &[Controller], stand_ins: &StandIns) -> Result<(), BoxError> {
     let file: Value = serde_json::from_str(include_str!("../../../deploy/fjordkjede/resources.json"))?;
     let mut resources = file["resources"].as_array().cloned().unwrap_or_default();
-    let engines = ENGINES.iter().zip(&outdoors.engines);
+    let engines = ENGINES.iter().zip(&stand_ins.engines);
     resources.extend(engines.map(|((name, role), engine)| {
         json!({ "kind": "endpoint", "name": name, "spec": {
             "pool": "catalogue", "address": engine.server().address().to_string(), "vm": name,
             "hall": "oslo-1", "role": role, "fencing": "checks",
         } })
     }));
-    let plains = ["till-1", "till-2"].iter().zip(&outdoors.plains);
+    let plains = ["till-1", "till-2"].iter().zip(&stand_ins.plains);
     resources.extend(plains.map(|(name, plain)| {
         json!({ "kind": "endpoint", "name": name, "spec": {
             "pool": "till", "address": plain.server().address().to_string(), "vm": name,
@@ -168,9 +168,9 @@
 }
 
 async fn run_phase(addresses: &[String], phase: &str, mix: &[(&'static str, u64)]) -> Vec<(Call, Got)> {
-    let caller = Caller::new(History::in_memory("caller"), CALLER_LIMIT);
+    let caller = Caller::new(History::in_memory("caller"), CALLER_TIMEOUT);
     let addresses = Arc::new(addresses.to_vec());
-    let until = Instant::now() + PHASE;
+    let until = Instant::now() + PHASE_DURATION;
     let callers = (0..CALLERS).map(|n| {
         let (caller, addresses, mix, phase) = (caller.clone(), Arc::clone(&addresses), mix.to_vec(), phase.to_owned());
         tokio::spawn(async move {
@@ -183,7 +183,7 @@
                 let address = &addresses[((n + i) % addresses.len() as u64) as usize];
                 let got = caller.send(address, &call).await;
                 answers.push((call, got));
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(REQUEST_INTERVAL).await;
             }
             answers
         })
--- a/crates/daemon/src/bin/dahliaseamd/main.rs
+++ b/crates/daemon/src/bin/dahliaseamd/main.rs
@@ -44,7 +44,7 @@
     tokio::select! {
         _ = term.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
-        () = daemon.told_to_leave() => {}
+        () = daemon.leave_requested() => {}
     }
     daemon.stop().await;
     telemetry.flush();
--- a/crates/daemon/src/bin/dahliaseamd/routes.rs
+++ b/crates/daemon/src/bin/dahliaseamd/routes.rs
@@ -19,7 +19,7 @@
 use crate::app::App;
 
 /// Time between two looks whether the settings file was written without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Run the daemon until it is told to stop.
 ///
@@ -55,19 +55,19 @@
         dropped_lines: Some(log.dropped()),
     };
     let daemon = GatewayController::start(settings, outside).await?;
-    let mut written = Written::of(&app.settings);
+    let mut loaded_version = FileVersion::of(&app.settings);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = tokio::signal::ctrl_c() => break,
             _ = hangup.recv() => {}
-            () = tokio::time::sleep(LOOK) => {
-                if Written::of(&app.settings) == written {
+            () = tokio::time::sleep(FILE_CHECK_INTERVAL) => {
+                if FileVersion::of(&app.settings) == loaded_version {
                     continue;
                 }
             }
         }
-        written = Written::of(&app.settings);
+        loaded_version = FileVersion::of(&app.settings);
         reload(app, &daemon);
     }
     daemon.stop().await;
@@ -76,12 +76,12 @@
 
 /// What tells whether a file was written again; nothing while it is not there.
 #[derive(Debug, PartialEq, Eq)]
-struct Written(Option<(SystemTime, u64)>);
+struct FileVersion(Option<(SystemTime, u64)>);
 
-impl Written {
+impl FileVersion {
     fn of(file: &Path) -> Self {
-        let told = std::fs::metadata(file).and_then(|facts| Ok((facts.modified()?, facts.len())));
-        Self(told.ok())
+        let version = std::fs::metadata(file).and_then(|metadata| Ok((metadata.modified()?, metadata.len())));
+        Self(version.ok())
     }
 }
 
--- a/crates/daemon/src/caller/completion.rs
+++ b/crates/daemon/src/caller/completion.rs
@@ -16,11 +16,11 @@
 use tokio::sync::mpsc;
 use tracing::{Instrument, info_span};
 
-use super::{Caller, body, refusal, terms};
+use super::{CallerState, body, refusal, terms};
 use crate::{
     clock::wall_millis,
     dispatch::{
-        exchange::{Completion, Exchange, Size, complete},
+        exchange::{ActiveRequest, Completion, ContentInfo, complete},
         failure::Failure,
     },
     endpoint::attempt::Piece,
@@ -28,7 +28,7 @@
 };
 
 /// Pieces that wait for a slow caller; then its engine's stream waits too.
-const PIECES: usize = 64;
+const PIECE_BUFFER: usize = 64;
 /// Bytes of a prompt that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Largest answer that a caller may ask for, in tokens.
@@ -50,7 +50,7 @@
     }
 
     /// A chunk of a stream.
-    fn chunk(self, head: &Head, text: &str, finish: Option<&str>) -> Value {
+    fn chunk(self, meta: &ResponseMeta, text: &str, finish: Option<&str>) -> Value {
         let (object, mut choice) = match self {
             Self::Text => ("text_completion", json!({ "text": text })),
             Self::Chat if finish.is_some() => ("chat.completion.chunk", json!({ "delta": {} })),
@@ -59,12 +59,12 @@
         choice["index"] = json!(0);
         choice["finish_reason"] = json!(finish);
         json!({
-            "id": head.id, "object": object, "created": head.created, "model": head.model, "choices": [choice],
+            "id": meta.id, "object": object, "created": meta.created, "model": meta.model, "choices": [choice],
         })
     }
 
     /// A whole answer.
-    fn whole(self, head: &Head, text: &str, tokens: u32, finish: &str) -> Value {
+    fn full_response(self, meta: &ResponseMeta, text: &str, tokens: u32, finish: &str) -> Value {
         let (object, mut choice) = match self {
             Self::Text => ("text_completion", json!({ "text": text })),
             Self::Chat => ("chat.completion", json!({ "message": { "role": "assistant", "content": text } })),
@@ -72,12 +72,12 @@
         choice["index"] = json!(0);
         choice["finish_reason"] = json!(finish);
         let usage = json!({
-            "prompt_tokens": head.prompt_tokens,
+            "prompt_tokens": meta.prompt_tokens,
             "completion_tokens": tokens,
-            "total_tokens": head.prompt_tokens + tokens,
+            "total_tokens": meta.prompt_tokens + tokens,
         });
         json!({
-            "id": head.id, "object": object, "created": head.created, "model": head.model,
+            "id": meta.id, "object": object, "created": meta.created, "model": meta.model,
             "choices": [choice], "usage": usage,
         })
     }
@@ -85,7 +85,7 @@
 
 /// What every part of an answer repeats.
 #[derive(Clone, Debug)]
-struct Head {
+struct ResponseMeta {
     id: String,
     model: String,
     created: u64,
@@ -94,7 +94,7 @@
 
 /// What a caller's body asks for.
 #[derive(Debug)]
-struct Wanted {
+struct CompletionRequest {
     model: String,
     prompt: String,
     output_tokens: u32,
@@ -102,48 +102,48 @@
     body: Map<String, Value>,
 }
 
-pub(super) async fn text(State(caller): State<Caller>, req: Request) -> Response {
-    run(caller, req, Api::Text).await
+pub(super) async fn text(State(state): State<CallerState>, req: Request) -> Response {
+    run(state, req, Api::Text).await
 }
 
-pub(super) async fn chat(State(caller): State<Caller>, req: Request) -> Response {
-    run(caller, req, Api::Chat).await
+pub(super) async fn chat(State(state): State<CallerState>, req: Request) -> Response {
+    run(state, req, Api::Chat).await
 }
 
-async fn run(caller: Caller, req: Request, api: Api) -> Response {
-    let id = caller.node.identity.fresh();
+async fn run(state: CallerState, req: Request, api: Api) -> Response {
+    let id = state.node.identity.new_id();
     let span = info_span!("request", request = id);
-    telemetry::adopt(&span, req.headers());
-    let answer = answer(&caller, req, api, &id).instrument(span).await;
-    answer.unwrap_or_else(|failure| refusal::response(&id, &failure))
+    telemetry::continue_trace(&span, req.headers());
+    let response = handle(&state, req, api, &id).instrument(span).await;
+    response.unwrap_or_else(|failure| refusal::response(&id, &failure))
 }
 
-async fn answer(caller: &Caller, req: Request, api: Api, id: &str) -> Result<Response, Failure> {
-    caller.admit()?;
-    let doc = caller.node.document();
+async fn handle(state: &CallerState, req: Request, api: Api, id: &str) -> Result<Response, Failure> {
+    state.check_accepts_work()?;
+    let doc = state.node.document();
     let (parts, raw) = req.into_parts();
-    let terms = terms::read(&caller.node, &doc, id, &parts.headers)?;
-    let raw = body::read(raw, &caller.node.settings.limits).await?;
-    let wanted = read_wanted(&raw, api, terms.kind.output_tokens)?;
+    let params = terms::read(&state.node, &doc, id, &parts.headers)?;
+    let raw = body::read(raw, &state.node.settings.limits).await?;
+    let wanted = parse_request(&raw, api, params.kind.output_tokens)?;
     let (pool, adapter) = resolve(&doc, &wanted.model)?;
-    let size = Size {
+    let content = ContentInfo {
         prompt_tokens: (wanted.prompt.len() / BYTES_PER_TOKEN + 1) as u32,
         output_tokens: wanted.output_tokens,
         prefix: hash::prefix(wanted.prompt.as_bytes()),
         adapter,
     };
-    let head = Head {
+    let meta = ResponseMeta {
         id: id.to_owned(),
         model: wanted.model,
         created: wall_millis() / 1_000,
-        prompt_tokens: size.prompt_tokens,
+        prompt_tokens: content.prompt_tokens,
     };
-    let exchange = Exchange::submit(&caller.node, terms, &pool, size)?;
-    let completion = Completion { path: api.path(), content: hash::bytes(&raw), body: wanted.body };
-    let (tx, rx) = mpsc::channel(PIECES);
-    let work = complete(exchange, completion, caller.clients.clone(), tx);
-    caller.node.stop.requests.spawn(work.in_current_span());
-    if wanted.stream { streamed(api, head, rx).await } else { collected(api, &head, rx).await }
+    let active = ActiveRequest::submit(&state.node, params, &pool, content)?;
+    let completion = Completion { path: api.path(), content_hash: hash::bytes(&raw), body: wanted.body };
+    let (tx, rx) = mpsc::channel(PIECE_BUFFER);
+    let work = complete(active, completion, state.clients.clone(), tx);
+    state.node.stop.requests.spawn(work.in_current_span());
+    if wanted.stream { streamed_response(api, meta, rx).await } else { collected_response(api, &meta, rx).await }
 }
 
 /// The pool that carries a model, and the adapter's identifier if an adapter was asked for.
@@ -158,7 +158,7 @@
     Ok((pool.clone(), adapter))
 }
 
-fn read_wanted(raw: &[u8], api: Api, default_tokens: u32) -> Result<Wanted, Failure> {
+fn parse_request(raw: &[u8], api: Api, default_tokens: u32) -> Result<CompletionRequest, Failure> {
     let invalid = |message: String| Failure::bad_request(400, "body_invalid", message);
     let mut body: Map<String, Value> =
         serde_json::from_slice(raw).map_err(|e| invalid(format!("the body is not a JSON object: {e}")))?;
@@ -191,7 +191,7 @@
         },
     };
     body.insert("max_tokens".to_owned(), json!(output_tokens));
-    Ok(Wanted { model, prompt, output_tokens, stream, body })
+    Ok(CompletionRequest { model, prompt, output_tokens, stream, body })
 }
 
 fn chat_prompt(body: &Map<String, Value>) -> Option<String> {
@@ -200,7 +200,7 @@
     contents.collect::<Option<Vec<_>>>().map(|parts| parts.join("\n"))
 }
 
-async fn collected(api: Api, head: &Head, mut rx: mpsc::Receiver<Piece>) -> Result<Response, Failure> {
+async fn collected_response(api: Api, meta: &ResponseMeta, mut rx: mpsc::Receiver<Piece>) -> Result<Response, Failure> {
     let mut text = String::new();
     let mut tokens = 0;
     while let Some(piece) = rx.recv().await {
@@ -210,44 +210,44 @@
                 tokens += n;
             }
             Piece::End(finish) => {
-                let headers = refusal::head(&head.id, Outcome::Whole);
-                return Ok((headers, Json(api.whole(head, &text, tokens, &finish))).into_response());
+                let headers = refusal::outcome_headers(&meta.id, Outcome::Whole);
+                return Ok((headers, Json(api.full_response(meta, &text, tokens, &finish))).into_response());
             }
             Piece::Failed(failure) => return Err(failure),
         }
     }
-    Err(gone())
+    Err(daemon_stopped())
 }
 
 /// The status waits for the first piece, so that a refusal has its own.
-async fn streamed(api: Api, head: Head, mut rx: mpsc::Receiver<Piece>) -> Result<Response, Failure> {
+async fn streamed_response(api: Api, meta: ResponseMeta, mut rx: mpsc::Receiver<Piece>) -> Result<Response, Failure> {
     let first = match rx.recv().await {
         Some(Piece::Failed(failure)) => return Err(failure),
         Some(piece) => piece,
-        None => return Err(gone()),
+        None => return Err(daemon_stopped()),
     };
-    let mut headers: HeaderMap = refusal::head(&head.id, Outcome::Whole);
+    let mut headers: HeaderMap = refusal::outcome_headers(&meta.id, Outcome::Whole);
     // How a stream ends is told in it.
     headers.remove(OUTCOME);
     headers.insert(CONTENT_TYPE, http::HeaderValue::from_static("text/event-stream"));
     let rest = stream::unfold(rx, |mut rx| async move { rx.recv().await.map(|piece| (piece, rx)) });
     let pieces = stream::once(async { first }).chain(rest);
-    let events = pieces.map(move |piece| Ok::<_, Infallible>(event(api, &head, piece)));
+    let events = pieces.map(move |piece| Ok::<_, Infallible>(sse_event(api, &meta, piece)));
     Ok((headers, Body::from_stream(events)).into_response())
 }
 
-fn event(api: Api, head: &Head, piece: Piece) -> Bytes {
+fn sse_event(api: Api, meta: &ResponseMeta, piece: Piece) -> Bytes {
     let text = match piece {
-        Piece::Text(text, _) => format!("data: {}\n\n", api.chunk(head, &text, None)),
-        Piece::End(finish) => format!("data: {}\n\ndata: [DONE]\n\n", api.chunk(head, "", Some(&finish))),
+        Piece::Text(text, _) => format!("data: {}\n\n", api.chunk(meta, &text, None)),
+        Piece::End(finish) => format!("data: {}\n\ndata: [DONE]\n\n", api.chunk(meta, "", Some(&finish))),
         Piece::Failed(failure) => {
-            let body = serde_json::to_string(&refusal::body(&head.id, &failure)).unwrap_or_default();
+            let body = serde_json::to_string(&refusal::body(&meta.id, &failure)).unwrap_or_default();
             format!("data: {body}\n\n")
         }
     };
     Bytes::from(text)
 }
 
-fn gone() -> Failure {
+fn daemon_stopped() -> Failure {
     Failure::new(Outcome::Unknown, "daemon_over", "the daemon ended before the answer was whole")
 }
--- a/crates/daemon/src/caller/mod.rs
+++ b/crates/daemon/src/caller/mod.rs
@@ -20,14 +20,14 @@
 
 /// What the handlers share.
 #[derive(Clone, Debug)]
-pub(crate) struct Caller {
+pub(crate) struct CallerState {
     node: Arc<Node>,
     clients: Clients,
 }
 
 /// The callers' routes.
 pub fn router(node: Arc<Node>) -> Router {
-    let caller = Caller { node, clients: Clients::default() };
+    let state = CallerState { node, clients: Clients::default() };
     Router::new()
         .route("/v1/completions", post(completion::text))
         .route("/v1/chat/completions", post(completion::chat))
@@ -35,7 +35,7 @@
         .route("/services/{pool}/{*path}", any(plain::call))
         .fallback(unknown_path)
         .layer(DefaultBodyLimit::disable())
-        .with_state(caller)
+        .with_state(state)
 }
 
 async fn unknown_path() -> Response {
@@ -43,10 +43,10 @@
     refusal::response("", &failure).into_response()
 }
 
-impl Caller {
+impl CallerState {
     /// Refuse new work while this daemon may not take any.
-    fn admit(&self) -> Result<(), Failure> {
-        if self.node.takes_work() {
+    fn check_accepts_work(&self) -> Result<(), Failure> {
+        if self.node.accepts_work() {
             return Ok(());
         }
         Err(Failure::new(Outcome::NotRun, "not_ready", "this VM is cut off or has no configuration yet; ask another"))
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -20,22 +20,22 @@
 use tokio::sync::oneshot;
 use tracing::{Instrument, info_span};
 
-use super::{Caller, body, refusal, terms};
+use super::{CallerState, body, refusal, terms};
 use crate::{
     dispatch::{
         desk::Dispatch,
-        exchange::{AfterAttempt, Exchange, Size, Step},
+        exchange::{ActiveRequest, AfterAttempt, ContentInfo, NoAttempt},
         failure::Failure,
     },
-    endpoint::attempt::{Clients, Ended, end_of, is_not_run},
+    endpoint::attempt::{AttemptResult, Clients, attempt_end, is_not_run},
     telemetry,
 };
 
 /// Bytes of an answer at most.
-const MAX_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1).
-const HOP_HEADERS: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -55,80 +55,85 @@
     body: Bytes,
 }
 
-type Answer = Result<(StatusCode, HeaderMap, Bytes), Failure>;
+type CallResult = Result<(StatusCode, HeaderMap, Bytes), Failure>;
 
-pub(super) async fn call_root(State(caller): State<Caller>, Path(pool): Path<String>, req: Request) -> Response {
-    run(caller, pool, String::new(), req).await
+pub(super) async fn call_root(State(state): State<CallerState>, Path(pool): Path<String>, req: Request) -> Response {
+    run(state, pool, String::new(), req).await
 }
 
 pub(super) async fn call(
-    State(caller): State<Caller>,
+    State(state): State<CallerState>,
     Path((pool, path)): Path<(String, String)>,
     req: Request,
 ) -> Response {
-    run(caller, pool, path, req).await
+    run(state, pool, path, req).await
 }
 
-async fn run(caller: Caller, pool: String, path: String, req: Request) -> Response {
-    let id = caller.node.identity.fresh();
+async fn run(state: CallerState, pool: String, path: String, req: Request) -> Response {
+    let id = state.node.identity.new_id();
     let span = info_span!("request", request = id, pool);
-    telemetry::adopt(&span, req.headers());
-    let answer = answer(&caller, &pool, &path, req, &id).instrument(span).await;
+    telemetry::continue_trace(&span, req.headers());
+    let answer = handle(&state, &pool, &path, req, &id).instrument(span).await;
     answer.unwrap_or_else(|failure| refusal::response(&id, &failure))
 }
 
-async fn answer(caller: &Caller, pool: &str, path: &str, req: Request, id: &str) -> Result<Response, Failure> {
-    caller.admit()?;
-    let doc = caller.node.document();
+async fn handle(state: &CallerState, pool: &str, path: &str, req: Request, id: &str) -> Result<Response, Failure> {
+    state.check_accepts_work()?;
+    let doc = state.node.document();
     let class = doc.pools.get(pool).map(|p| p.spec.endpoints);
     if class != Some(EndpointClass::Plain) {
         return Err(Failure::bad_request(404, "pool_unknown", format!("there is no pool of plain services {pool:?}")));
     }
     let (parts, raw) = req.into_parts();
-    let terms = terms::read(&caller.node, &doc, id, &parts.headers)?;
-    let body = body::read(raw, &caller.node.settings.limits).await?;
+    let params = terms::read(&state.node, &doc, id, &parts.headers)?;
+    let body = body::read(raw, &state.node.settings.limits).await?;
     let query = parts.uri.query().map(|q| format!("?{q}")).unwrap_or_default();
-    let call = Call { method: parts.method, path: format!("/{path}{query}"), headers: pass_on(&parts.headers), body };
-    let exchange = Exchange::submit(&caller.node, terms, pool, Size::default())?;
+    let call = Call {
+        method: parts.method,
+        path: format!("/{path}{query}"),
+        headers: end_to_end_headers(&parts.headers),
+        body,
+    };
+    let active = ActiveRequest::submit(&state.node, params, pool, ContentInfo::default())?;
     let (tx, rx) = oneshot::channel();
-    let work = serve(exchange, call, caller.clients.clone(), tx);
-    caller.node.stop.requests.spawn(work.in_current_span());
-    let over = || Failure::new(Outcome::Unknown, "daemon_over", "the daemon ended before the answer was whole");
-    let (status, headers, body) = rx.await.map_err(|_| over())??;
+    let work = serve(active, call, state.clients.clone(), tx);
+    state.node.stop.requests.spawn(work.in_current_span());
+    let stopped = || Failure::new(Outcome::Unknown, "daemon_over", "the daemon ended before the answer was whole");
+    let (status, headers, body) = rx.await.map_err(|_| stopped())??;
     let mut resp = (status, headers, body).into_response();
-    resp.headers_mut().extend(refusal::head(id, Outcome::Whole));
+    resp.headers_mut().extend(refusal::outcome_headers(id, Outcome::Whole));
     Ok(resp)
 }
 
-fn pass_on(headers: &HeaderMap) -> HeaderMap {
+fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut out = headers.clone();
-    for name in HOP_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         out.remove(name);
     }
     out
 }
 
-async fn serve(mut exchange: Exchange, call: Call, clients: Clients, mut tx: oneshot::Sender<Answer>) {
-    let content = hash::bytes(format!("{} {}", call.method, call.path).as_bytes()) ^ hash::bytes(&call.body);
+async fn serve(mut active: ActiveRequest, call: Call, clients: Clients, mut tx: oneshot::Sender<CallResult>) {
+    let content_hash = hash::bytes(format!("{} {}", call.method, call.path).as_bytes()) ^ hash::bytes(&call.body);
     let result = loop {
         let next = tokio::select! {
-            next = exchange.next_dispatch(content) => next,
+            next = active.next_dispatch(content_hash) => next,
             () = tx.closed() => return,
         };
         let dispatch = match next {
             Ok(dispatch) => dispatch,
-            Err(Step::Failed(failure)) => break Err(failure),
-            Err(Step::Recorded(recorded)) => break replay(recorded),
+            Err(NoAttempt::Failed(failure)) => break Err(failure),
+            Err(NoAttempt::Recorded(recorded)) => break recorded_response(recorded),
         };
         // Once sent, a call that may not be repeated is seen through, so that its outcome is
         // recorded even when the caller has gone.
-        let seen_through = !exchange.terms.kind.repeatable;
+        let run_to_completion = !active.params.kind.repeatable;
         let (ended, answer) = tokio::select! {
-            done = attempt(&mut exchange, &call, &clients, &dispatch) => done,
-            () = tx.closed(), if !seen_through => return,
+            done = attempt(&mut active, &call, &clients, &dispatch) => done,
+            () = tx.closed(), if !run_to_completion => return,
         };
-        match (exchange.attempt_ended(&ended), answer) {
-            (AfterAttempt::TryAgain, _) => {}
+        match (active.attempt_ended(&ended), answer) {
+            (AfterAttempt::Retry, _) => {}
             (AfterAttempt::Answered, Some(answer)) => break Ok(answer),
             (AfterAttempt::Failed(failure), _) => break Err(failure),
             (AfterAttempt::Answered, None) => {
@@ -137,25 +142,25 @@
         }
     };
     let recorded = result.as_ref().map(recorded);
-    exchange.over(recorded.as_ref().map_err(|f| *f)).await;
+    active.finish(recorded.as_ref().map_err(|f| *f)).await;
     let _ = tx.send(result);
 }
 
 async fn attempt(
-    exchange: &mut Exchange,
+    active: &mut ActiveRequest,
     call: &Call,
     clients: &Clients,
     dispatch: &Dispatch,
-) -> (Ended, Option<(StatusCode, HeaderMap, Bytes)>) {
+) -> (AttemptResult, Option<(StatusCode, HeaderMap, Bytes)>) {
     let span = info_span!("attempt", attempt = dispatch.attempt, endpoint = dispatch.endpoint.name);
-    let repeatable = exchange.terms.kind.repeatable;
-    let request = exchange.id().to_owned();
+    let repeatable = active.params.kind.repeatable;
+    let request = active.id().to_owned();
     let work = send(clients, call, dispatch, &request, repeatable).instrument(span);
     let (end, answer) = tokio::select! {
         done = work => done,
-        end = exchange.ticket().stopped() => (end, None),
+        end = active.ticket().stopped() => (end, None),
     };
-    (Ended { end, at: Site::Serving, words: String::new() }, answer)
+    (AttemptResult { end, site: Site::Serving, detail: String::new() }, answer)
 }
 
 async fn send(
@@ -168,16 +173,16 @@
     let Some(req) = build(call, dispatch, request) else {
         return (AttemptEnd::NotSent, None);
     };
-    let resp = match clients.of(repeatable).send(req).await {
+    let resp = match clients.for_kind(repeatable).send(req).await {
         Ok(resp) => resp,
-        Err(e) => return (end_of(&e), None),
+        Err(e) => return (attempt_end(&e), None),
     };
     if is_not_run(&resp) {
         return (AttemptEnd::Refused, None);
     }
     let (parts, body) = resp.into_parts();
-    match Limited::new(body, MAX_ANSWER).collect().await {
-        Ok(body) => (AttemptEnd::Whole, Some((parts.status, pass_on(&parts.headers), body.to_bytes()))),
+    match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
+        Ok(body) => (AttemptEnd::Whole, Some((parts.status, end_to_end_headers(&parts.headers), body.to_bytes()))),
         Err(_) => (AttemptEnd::Broken, None),
     }
 }
@@ -206,7 +211,7 @@
 }
 
 /// The recorded answer, for a second request with the same key.
-fn replay(recorded: RecordedResult) -> Answer {
+fn recorded_response(recorded: RecordedResult) -> CallResult {
     let (Outcome::Whole, Some(body)) = (recorded.outcome, recorded.body) else {
         return Err(Failure {
             retry_after_ms: None,
--- a/crates/daemon/src/caller/refusal.rs
+++ b/crates/daemon/src/caller/refusal.rs
@@ -10,18 +10,18 @@
 
 use crate::dispatch::failure::Failure;
 
-const MILLIS: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// The HTTP status of a failure.
 #[must_use]
 pub fn status(failure: &Failure) -> u16 {
-    let usual = match (failure.outcome, failure.reason) {
+    let default_status = match (failure.outcome, failure.reason) {
         (Outcome::NotRun, "team_limit") => StatusCode::TOO_MANY_REQUESTS,
         (Outcome::NotRun, _) => StatusCode::SERVICE_UNAVAILABLE,
         (Outcome::Unknown, _) => StatusCode::GATEWAY_TIMEOUT,
         (Outcome::Ran | Outcome::Whole, _) => StatusCode::BAD_GATEWAY,
     };
-    failure.status.unwrap_or(usual.as_u16())
+    failure.status.unwrap_or(default_status.as_u16())
 }
 
 /// The body of a failure.
@@ -41,9 +41,9 @@
 /// The whole response of a failure.
 #[must_use]
 pub fn response(request: &str, failure: &Failure) -> Response {
-    let mut headers = head(request, failure.outcome);
+    let mut headers = outcome_headers(request, failure.outcome);
     if let Some(ms) = failure.retry_after_ms {
-        headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(MILLIS).max(1)));
+        headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(MILLIS_PER_SECOND).max(1)));
     }
     let status = StatusCode::from_u16(status(failure)).unwrap_or(StatusCode::BAD_GATEWAY);
     (status, headers, Json(body(request, failure))).into_response()
@@ -51,7 +51,7 @@
 
 /// The headers that every answer has.
 #[must_use]
-pub fn head(request: &str, outcome: Outcome) -> HeaderMap {
+pub fn outcome_headers(request: &str, outcome: Outcome) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(request) {
         headers.insert(REQUEST, value);
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
-const MICROS: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
 impl Clock for BootClock {
     fn now(&self) -> Time {
         let now = clock_gettime(ClockId::Boottime);
-        Time(now.tv_sec as u64 * MICROS + now.tv_nsec as u64 / NANOS_PER_MICRO)
+        Time(now.tv_sec as u64 * MICROS_PER_SECOND + now.tv_nsec as u64 / NANOS_PER_MICRO)
     }
 }
 
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -21,17 +21,17 @@
 use crate::{emit, endpoint::duties, node::Node};
 
 /// Watchers in each hall.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_HALL: usize = 2;
 /// Time between two looks at whether there is anything to do.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Age of an unconfirmed copy at which the service is read directly.
-const READ_AFTER: Span = Span::millis(1_500);
+const MAX_UNCONFIRMED_AGE: Span = Span::millis(1_500);
 /// Tries at one change, when others change other resources meanwhile.
-const CHANGE_TRIES: u32 = 8;
+const MAX_CHANGE_ATTEMPTS: u32 = 8;
 /// Tries to settle a change whose answer was lost.
-const SETTLE_TRIES: u32 = 5;
+const MAX_SETTLE_ATTEMPTS: u32 = 5;
 /// Time between them.
-const SETTLE_AGAIN: Duration = Duration::from_millis(200);
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The document's key.
 #[must_use]
@@ -40,18 +40,18 @@
 }
 
 /// Put a document in force if it is newer; returns whether it is.
-pub fn put_in_force(node: &Node, doc: Document) -> bool {
+pub fn apply_document(node: &Node, doc: Document) -> bool {
     let generation = doc.generation;
-    let newer = node.config.send_if_modified(|present| {
-        let newer = generation > present.generation;
+    let newer = node.config.send_if_modified(|current| {
+        let newer = generation > current.generation;
         if newer {
-            *present = Arc::new(doc);
+            *current = Arc::new(doc);
         }
         newer
     });
     if newer {
         let live = node.members().live_count();
-        node.desk.configure(&node.document(), live, node.now());
+        node.dispatcher.configure(&node.document(), live, node.now());
         duties::apply(node);
         emit!(info, CONFIG_IN_FORCE, generation);
     }
@@ -61,7 +61,7 @@
 /// Keep the configuration until the daemon is over.
 pub async fn run(node: Arc<Node>) {
     let mut reachable = true;
-    while !node.stop.over.is_cancelled() {
+    while !node.stop.finished.is_cancelled() {
         let result = if is_watcher(&node) {
             watch(&node).await
         } else if is_stale(&node) {
@@ -77,15 +77,15 @@
             }
         }
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
-            () = node.stop.over.cancelled() => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
+            () = node.stop.finished.cancelled() => {}
         }
     }
 }
 
 fn is_stale(node: &Node) -> bool {
     let at = node.freshness().config_at();
-    at.is_none_or(|at| node.now().since(at) > READ_AFTER)
+    at.is_none_or(|at| node.now().since(at) > MAX_UNCONFIRMED_AGE)
 }
 
 /// Whether this daemon is one of its hall's watchers.
@@ -96,25 +96,25 @@
     let vms: Vec<_> = same_hall.map(|(_, m)| m.contact.vm.clone()).chain([me.vm.clone()]).collect();
     drop(members);
     let named = vms.iter().map(|vm| (hash::bytes(vm.as_bytes()), vm));
-    hash::owners(hash::bytes(me.hall.as_bytes()), named, WATCHERS).contains(&&me.vm)
+    hash::owners(hash::bytes(me.hall.as_bytes()), named, WATCHERS_PER_HALL).contains(&&me.vm)
 }
 
 async fn watch(node: &Arc<Node>) -> Result<(), CallError> {
     node.metrics.kv_call("watch");
-    let mut news = node.kv.watch(&key(node)).await?;
+    let mut events = node.kv.watch(&key(node)).await?;
     // A change between a read and a watch would be missed, so the read comes second.
     read(node).await?;
     while is_watcher(node) {
         let next = tokio::select! {
-            next = news.next() => next,
-            () = node.stop.over.cancelled() => return Ok(()),
+            next = events.next() => next,
+            () = node.stop.finished.cancelled() => return Ok(()),
         };
-        let heard = node.now();
+        let received = node.now();
         match next {
             None => return Ok(()),
             Some(Err(e)) => return Err(e),
-            Some(Ok(WatchNews::Put(entry))) => take(node, &entry, heard),
-            Some(Ok(WatchNews::Alive | WatchNews::Gone)) => node.freshness().confirm_config(heard),
+            Some(Ok(WatchNews::Put(entry))) => apply_entry(node, &entry, received),
+            Some(Ok(WatchNews::Alive | WatchNews::Gone)) => node.freshness().confirm_config(received),
         }
     }
     Ok(())
@@ -126,16 +126,16 @@
     node.metrics.kv_call("config_read");
     let entry = node.kv.read(&key(node)).await?;
     match &entry {
-        Some(entry) => take(node, entry, asked),
+        Some(entry) => apply_entry(node, entry, asked),
         None => node.freshness().confirm_config(asked),
     }
     Ok(entry)
 }
 
-fn take(node: &Node, entry: &Entry, at: Time) {
+fn apply_entry(node: &Node, entry: &Entry, at: Time) {
     match parse(entry) {
         Ok(doc) => {
-            put_in_force(node, doc);
+            apply_document(node, doc);
             node.freshness().confirm_config(at);
         }
         Err(why) => emit!(error, CONFIG_REJECTED, why),
@@ -148,7 +148,7 @@
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug)]
-pub enum NotAccepted {
+pub enum ChangeError {
     /// It does not apply.
     Refused(Refused),
     /// It did not take effect: the service or the other daemons are out of reach.
@@ -161,19 +161,19 @@
 ///
 /// # Errors
 /// Why they were not accepted.
-pub async fn change(node: &Arc<Node>, changes: &[Change]) -> Result<u64, NotAccepted> {
+pub async fn change(node: &Arc<Node>, changes: &[Change]) -> Result<u64, ChangeError> {
     if !node.has_majority() {
         let why = "this VM reaches no more than half of the entry VMs; ask another".to_owned();
-        return Err(NotAccepted::Unavailable(why));
+        return Err(ChangeError::Unavailable(why));
     }
-    let token = node.identity.fresh();
-    for _ in 0..CHANGE_TRIES {
-        let entry = read(node).await.map_err(|e| NotAccepted::Unavailable(e.to_string()))?;
-        let present = match &entry {
-            Some(entry) => parse(entry).map_err(NotAccepted::Unavailable)?,
+    let token = node.identity.new_id();
+    for _ in 0..MAX_CHANGE_ATTEMPTS {
+        let entry = read(node).await.map_err(|e| ChangeError::Unavailable(e.to_string()))?;
+        let current = match &entry {
+            Some(entry) => parse(entry).map_err(ChangeError::Unavailable)?,
             None => Document::default(),
         };
-        let next = present.changed(changes, &token).map_err(NotAccepted::Refused)?;
+        let next = current.changed(changes, &token).map_err(ChangeError::Refused)?;
         let generation = next.generation;
         let swap = Swap {
             key: key(node),
@@ -184,22 +184,22 @@
         node.metrics.kv_call("config_write");
         match node.kv.swap_each(vec![swap]).await.as_deref() {
             Ok([Swapped::Done(_)]) => {
-                put_in_force(node, next);
+                apply_document(node, next);
                 emit!(info, CONFIG_ACCEPTED, generation);
                 return Ok(generation);
             }
             Ok(_) => {}
-            Err(e) if e.surely_no_effect() => return Err(NotAccepted::Unavailable(e.to_string())),
+            Err(e) if e.surely_no_effect() => return Err(ChangeError::Unavailable(e.to_string())),
             Err(_) => return settle(node, &token).await,
         }
     }
-    Err(NotAccepted::Unavailable("too many others change the configuration".to_owned()))
+    Err(ChangeError::Unavailable("too many others change the configuration".to_owned()))
 }
 
 /// Settle a write whose answer was lost, by looking for its own token.
-async fn settle(node: &Arc<Node>, token: &str) -> Result<u64, NotAccepted> {
-    for _ in 0..SETTLE_TRIES {
-        tokio::time::sleep(SETTLE_AGAIN).await;
+async fn settle(node: &Arc<Node>, token: &str) -> Result<u64, ChangeError> {
+    for _ in 0..MAX_SETTLE_ATTEMPTS {
+        tokio::time::sleep(SETTLE_RETRY_DELAY).await;
         if read(node).await.is_err() {
             continue;
         }
@@ -209,5 +209,5 @@
         }
     }
     // An unseen write may still be on its way, so its absence proves nothing.
-    Err(NotAccepted::Unknown("the answer was lost; read the resource to see what holds".to_owned()))
+    Err(ChangeError::Unknown("the answer was lost; read the resource to see what holds".to_owned()))
 }
--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -15,13 +15,13 @@
 use crate::node::Node;
 
 /// Added to the time for which a dead process's bytes may still arrive.
-const MARGIN: Span = Span::millis(1_000);
+const ARRIVAL_MARGIN: Span = Span::millis(1_000);
 
 #[derive(Debug, Default)]
-struct State {
+struct Inner {
     shards: BTreeMap<String, u64>,
-    waits: BTreeMap<String, WaitReason>,
-    over_since: HashMap<Incarnation, Time>,
+    wait_reasons: BTreeMap<String, WaitReason>,
+    terminated_since: HashMap<Incarnation, Time>,
     unlisted_since: HashMap<String, Time>,
     listed: Vec<String>,
     changing: BTreeMap<String, String>,
@@ -29,13 +29,13 @@
 
 /// The board.
 #[derive(Debug, Default)]
-pub struct Board {
-    state: Mutex<State>,
+pub struct ControlState {
+    inner: Mutex<Inner>,
 }
 
-impl Board {
-    fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+impl ControlState {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The shards that this daemon holds, with the fencing numbers.
@@ -44,46 +44,46 @@
         self.lock().shards.iter().map(|(name, epoch)| (name.clone(), *epoch)).collect()
     }
 
-    pub(super) fn won(&self, shard: &str, epoch: u64) {
+    pub(super) fn add_shard(&self, shard: &str, epoch: u64) {
         self.lock().shards.insert(shard.to_owned(), epoch);
     }
 
-    pub(super) fn lost(&self, shard: &str) {
+    pub(super) fn remove_shard(&self, shard: &str) {
         self.lock().shards.remove(shard);
     }
 
     /// What control of an endpoint waits for.
     #[must_use]
-    pub fn wait_of(&self, endpoint: &str) -> Option<WaitReason> {
-        self.lock().waits.get(endpoint).copied()
+    pub fn wait_reason(&self, endpoint: &str) -> Option<WaitReason> {
+        self.lock().wait_reasons.get(endpoint).copied()
     }
 
     /// Note what control waits for; returns whether that is new.
-    pub(super) fn waits(&self, endpoint: &str, wait: Option<WaitReason>) -> bool {
-        let mut state = self.lock();
+    pub(super) fn set_wait_reason(&self, endpoint: &str, wait: Option<WaitReason>) -> bool {
+        let mut inner = self.lock();
         match wait {
-            Some(wait) => state.waits.insert(endpoint.to_owned(), wait) != Some(wait),
-            None => state.waits.remove(endpoint).is_some(),
+            Some(wait) => inner.wait_reasons.insert(endpoint.to_owned(), wait) != Some(wait),
+            None => inner.wait_reasons.remove(endpoint).is_some(),
         }
     }
 
     /// The change under way at an endpoint, in words.
     #[must_use]
-    pub fn change_of(&self, endpoint: &str) -> Option<String> {
+    pub fn change_in_progress(&self, endpoint: &str) -> Option<String> {
         self.lock().changing.get(endpoint).cloned()
     }
 
     pub(super) fn set_changing(&self, pool_endpoints: &[String], changing: BTreeMap<String, String>) {
-        let mut state = self.lock();
-        state.changing.retain(|name, _| !pool_endpoints.contains(name));
-        state.changing.extend(changing);
+        let mut inner = self.lock();
+        inner.changing.retain(|name, _| !pool_endpoints.contains(name));
+        inner.changing.extend(changing);
     }
 
     /// Take in the platform's list as asked for at `asked`.
-    pub fn note_list(&self, list: &[ListedVm], asked: Time) {
-        let mut state = self.lock();
-        state.listed = list.iter().map(|vm| vm.vm.clone()).collect();
-        let State { listed, unlisted_since, .. } = &mut *state;
+    pub fn apply_vm_list(&self, list: &[ListedVm], asked: Time) {
+        let mut inner = self.lock();
+        inner.listed = list.iter().map(|vm| vm.vm.clone()).collect();
+        let Inner { listed, unlisted_since, .. } = &mut *inner;
         unlisted_since.retain(|vm, _| !listed.contains(vm));
         for since in unlisted_since.values_mut() {
             *since = (*since).min(asked);
@@ -91,27 +91,27 @@
     }
 
     /// Whether `process` is known to be over, and long enough for its last bytes to be gone.
-    pub(super) fn is_over(&self, node: &Node, process: &Incarnation) -> bool {
+    pub(super) fn is_terminated(&self, node: &Node, process: &Incarnation) -> bool {
         let now = node.now();
-        let bound = Span(USER_TIMEOUT.as_micros() as u64 + MARGIN.0);
-        let lag = Span::millis(node.settings.timing.list_lag_ms);
-        let (replaced, unheard) = {
+        let max_delivery_time = Span(USER_TIMEOUT.as_micros() as u64 + ARRIVAL_MARGIN.0);
+        let list_lag = Span::millis(node.settings.timing.list_lag_ms);
+        let (terminated, unknown) = {
             let members = node.members();
             (members.is_terminated(process), members.by_vm(&process.vm).is_none())
         };
-        let mut state = self.lock();
-        let listed = state.listed.contains(&process.vm);
+        let mut inner = self.lock();
+        let listed = inner.listed.contains(&process.vm);
         // A VM that this daemon never heard of counts as gone once the list has had time to
         // show it: all VMs may have been replaced since.
-        let gone = unheard && !listed && !state.listed.is_empty() && {
-            let since = *state.unlisted_since.entry(process.vm.clone()).or_insert(now);
-            now.since(since) > lag
+        let gone = unknown && !listed && !inner.listed.is_empty() && {
+            let since = *inner.unlisted_since.entry(process.vm.clone()).or_insert(now);
+            now.since(since) > list_lag
         };
-        if !replaced && !gone {
-            state.over_since.remove(process);
+        if !terminated && !gone {
+            inner.terminated_since.remove(process);
             return false;
         }
-        let since = *state.over_since.entry(process.clone()).or_insert(now);
-        now.since(since) > bound
+        let since = *inner.terminated_since.entry(process.clone()).or_insert(now);
+        now.since(since) > max_delivery_time
     }
 }
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -22,21 +22,21 @@
 use futures_util::future::join_all;
 
 use super::{
-    custodian::{Custodian, Reached, ask},
+    custodian::{Custodian, DriveResult, query_status},
     shard::Shard,
 };
 use crate::{emit, endpoint::duties, node::Node};
 
 /// Daemons asked for their demand; the sum is scaled up to all.
-const DEMAND_SAMPLE: usize = 16;
+const DEMAND_SAMPLE_SIZE: usize = 16;
 /// Time between two looks at the demand.
-const DEMAND_EVERY: Span = Span::millis(2_000);
+const DEMAND_INTERVAL: Span = Span::millis(2_000);
 /// Time between two looks at an engine with nothing to do.
-const LOOK_EVERY: Span = Span::millis(2_000);
+const IDLE_STATUS_INTERVAL: Span = Span::millis(2_000);
 /// Daemons told of new marks directly; the others hear by gossip.
 const MARK_FANOUT: usize = 16;
 /// Time between two tries to release records without the lease.
-const RELEASE_EVERY: Span = Span::millis(500);
+const RELEASE_INTERVAL: Span = Span::millis(500);
 /// Loads that may be ordered at once.
 const LOAD_BURST: f64 = 2.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
@@ -49,15 +49,15 @@
     custodians: BTreeMap<String, Custodian>,
     targets: BTreeMap<String, Role>,
     /// What engines said of themselves, and when.
-    seen: BTreeMap<String, (Time, EngineStatus)>,
+    statuses: BTreeMap<String, (Time, EngineStatus)>,
     planner: Planner,
-    outlook: AverageDemand,
-    look_at: Time,
-    release_at: Time,
-    loads: TokenBucket,
+    demand: AverageDemand,
+    next_demand_at: Time,
+    next_release_at: Time,
+    load_bucket: TokenBucket,
     marks: Option<Marks>,
     /// Marks that were sent out; sent again when they or the fencing number change.
-    told: Option<Marks>,
+    sent_marks: Option<Marks>,
 }
 
 /// The engines of the shard with what they say.
@@ -71,35 +71,35 @@
             client: HttpClient::new(Reuse::Fresh),
             custodians: BTreeMap::new(),
             targets: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            statuses: BTreeMap::new(),
             planner: Planner::default(),
-            outlook: AverageDemand::default(),
-            look_at: Time::default(),
-            release_at: Time::default(),
-            loads: TokenBucket::new(per_second, LOAD_BURST, node.now()),
+            demand: AverageDemand::default(),
+            next_demand_at: Time::default(),
+            next_release_at: Time::default(),
+            load_bucket: TokenBucket::new(per_second, LOAD_BURST, node.now()),
             marks: None,
-            told: None,
+            sent_marks: None,
         }
     }
 
     /// One round while the shard's lease is held.
-    pub(super) async fn round(&mut self, node: &Arc<Node>, shard: &Shard) {
+    pub(super) async fn run_round(&mut self, node: &Arc<Node>, shard: &Shard) {
         let doc = node.document();
-        let engines = self.look(node, &doc).await;
+        let engines = self.query_engines(node, &doc).await;
         self.targets.retain(|name, _| engines.contains_key(name));
-        self.look_at_demand(node).await;
+        self.update_demand(node).await;
         self.plan(node, &doc, &engines);
-        self.tell_marks(node, shard, &engines).await;
+        self.send_marks(node, shard, &engines).await;
         self.drive(node, shard, &doc, &engines).await;
-        self.show(node, &engines);
+        self.publish_changing(node, &engines);
     }
 
     /// Without the lease: let go of what this process still has custody of.
     pub(super) async fn step_down(&mut self, node: &Node) {
         self.targets.clear();
-        self.told = None;
-        if self.release_at.is_past(node.now()) {
-            self.release_at = node.now() + RELEASE_EVERY;
+        self.sent_marks = None;
+        if self.next_release_at.is_past(node.now()) {
+            self.next_release_at = node.now() + RELEASE_INTERVAL;
             self.release_all(node).await;
         }
     }
@@ -108,64 +108,66 @@
     pub(super) async fn release_all(&mut self, node: &Node) -> bool {
         let doc = node.document();
         for (name, custodian) in &mut self.custodians {
-            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_mine()) {
+            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_custodian()) {
                 custodian.release(node, &self.client, &endpoint.spec).await;
             }
         }
-        !self.custodians.values().any(Custodian::may_be_mine)
+        !self.custodians.values().any(Custodian::may_be_custodian)
     }
 
     /// What each engine says of itself: those with something to do are asked in each round, the
     /// others now and then.
-    async fn look(&mut self, node: &Node, doc: &Document) -> Engines {
+    async fn query_engines(&mut self, node: &Node, doc: &Document) -> Engines {
         let now = node.now();
         let mine = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == self.pool);
         let asked = mine.map(|(name, endpoint)| async {
-            let (spec, known) = (&endpoint.spec, self.seen.get(name));
-            let known =
-                known.filter(|(at, status)| now.since(*at) < LOOK_EVERY && self.is_quiet(doc, name, spec, status));
+            let (spec, known) = (&endpoint.spec, self.statuses.get(name));
+            let known = known.filter(|(at, status)| {
+                now.since(*at) < IDLE_STATUS_INTERVAL && self.is_as_desired(doc, name, spec, status)
+            });
             let status = match known {
                 Some(known) => Some(known.clone()),
-                None => ask(&self.client, spec).await.map(|status| (now, status)),
+                None => query_status(&self.client, spec).await.map(|status| (now, status)),
             };
             (name.clone(), (spec.clone(), status))
         });
         let looked: Vec<_> = join_all(asked).await;
-        self.seen = looked.iter().filter_map(|(name, (_, seen))| Some((name.clone(), seen.clone()?))).collect();
-        looked.into_iter().map(|(name, (spec, seen))| (name, (spec, seen.map(|(_, status)| status)))).collect()
+        self.statuses =
+            looked.iter().filter_map(|(name, (_, statuses))| Some((name.clone(), statuses.clone()?))).collect();
+        looked.into_iter().map(|(name, (spec, statuses))| (name, (spec, statuses.map(|(_, status)| status)))).collect()
     }
 
     /// Whether an engine is as it is wanted, as far as was seen.
-    fn is_quiet(&self, doc: &Document, name: &str, spec: &EndpointSpec, status: &EngineStatus) -> bool {
+    fn is_as_desired(&self, doc: &Document, name: &str, spec: &EndpointSpec, status: &EngineStatus) -> bool {
         !self.targets.contains_key(name)
-            && !self.custodians.get(name).is_some_and(Custodian::is_busy)
+            && !self.custodians.get(name).is_some_and(Custodian::may_have_open_order)
             && !status.changing
             && status.cordoned == spec.drained
-            && wanted_loads(doc, spec).all(|item| status.loaded.contains(&item))
+            && desired_loads(doc, spec).all(|item| status.loaded.contains(&item))
             && doc.roles.get(&self.pool).is_none_or(|r| r.spec.fixed.get(name).is_none_or(|role| *role == status.role))
     }
 
-    async fn look_at_demand(&mut self, node: &Arc<Node>) {
+    async fn update_demand(&mut self, node: &Arc<Node>) {
         let now = node.now();
-        if !self.look_at.is_past(now) {
+        if !self.next_demand_at.is_past(now) {
             return;
         }
-        self.look_at = now + DEMAND_EVERY;
-        let (live, addresses) = sample(node, DEMAND_SAMPLE - 1);
+        self.next_demand_at = now + DEMAND_INTERVAL;
+        let (live, addresses) = sample(node, DEMAND_SAMPLE_SIZE - 1);
         let asked = addresses.iter().map(|address| async {
             let client = node.peers.get(node, address)?;
             node.metrics.peer_call("demand");
             let report = client.demand().await.ok()?;
             report.pools.into_iter().find(|p| p.pool == self.pool).map(|p| (p.short, p.long))
         });
-        let mut seen: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
-        seen.extend(node.desk.demand(&self.pool, now));
-        let scale = live as f64 / seen.len().max(1) as f64;
+        let mut statuses: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
+        statuses.extend(node.dispatcher.demand(&self.pool, now));
+        let scale = live as f64 / statuses.len().max(1) as f64;
         let sum = |pick: fn(&(Demand, Demand)) -> Demand| {
-            let sum = seen.iter().map(pick).fold(Demand::default(), Demand::plus);
+            let sum = statuses.iter().map(pick).fold(Demand::default(), Demand::plus);
             Demand { prefill: sum.prefill * scale, decode: sum.decode * scale }
         };
-        self.outlook = AverageDemand { short: sum(|d| d.0), long: sum(|d| d.1) };
+        self.demand = AverageDemand { short: sum(|d| d.0), long: sum(|d| d.1) };
     }
 
     fn plan(&mut self, node: &Node, doc: &Document, engines: &Engines) {
@@ -176,12 +178,12 @@
                 self.targets.insert(name.clone(), *role);
             }
         }
-        self.plan_free(node, doc, engines, role_spec);
+        self.plan_flexible(node, doc, engines, role_spec);
     }
 
-    fn plan_free(&mut self, node: &Node, doc: &Document, engines: &Engines, role_spec: &RoleSpec) {
+    fn plan_flexible(&mut self, node: &Node, doc: &Document, engines: &Engines, role_spec: &RoleSpec) {
         let Some(pool) = doc.pools.get(&self.pool) else { return };
-        let free: Vec<_> = engines
+        let flexible: Vec<_> = engines
             .iter()
             .filter(|(name, (spec, _))| !role_spec.fixed.contains_key(*name) && !spec.drained)
             .filter_map(|(name, (_, status))| Some((name, status.as_ref()?)))
@@ -189,7 +191,7 @@
         // An engine that is changing counts in the role that it will have.
         let role_of = |name: &str, status: &EngineStatus| self.targets.get(name).copied().unwrap_or(status.role);
         let mut counts = RoleCounts::default();
-        for (name, status) in &free {
+        for (name, status) in &flexible {
             match role_of(name, status) {
                 Role::Prefill => counts.prefill += 1,
                 Role::Decode => counts.decode += 1,
@@ -200,9 +202,9 @@
         let rates = pool.spec.role_rates;
         let in_flight = self.targets.len();
         let now = node.now();
-        let change = self.planner.plan(&role_spec.planner, rates, counts, self.outlook, in_flight, now);
+        let change = self.planner.plan(&role_spec.planner, rates, counts, self.demand, in_flight, now);
         let Some(change) = change else { return };
-        let candidates = free.iter().filter(|(name, status)| {
+        let candidates = flexible.iter().filter(|(name, status)| {
             status.role == change.from && !self.targets.contains_key(*name) && !status.cordoned
         });
         let Some((name, _)) = candidates.min_by_key(|(_, status)| status.running) else { return };
@@ -212,22 +214,22 @@
         self.targets.insert((*name).clone(), change.to);
     }
 
-    async fn tell_marks(&mut self, node: &Arc<Node>, shard: &Shard, engines: &Engines) {
+    async fn send_marks(&mut self, node: &Arc<Node>, shard: &Shard, engines: &Engines) {
         let Some(authority) = shard.authority(node.now()) else { return };
         let marks = self.next_marks(shard, authority.epoch(), engines);
-        if self.told.as_ref() == Some(&marks) {
+        if self.sent_marks.as_ref() == Some(&marks) {
             return;
         }
-        node.duties.mark(marks.clone());
+        node.availability.apply_marks(marks.clone());
         duties::apply(node);
         let (_, addresses) = sample(node, MARK_FANOUT);
-        let told = addresses.iter().map(|address| async {
+        let sent_marks = addresses.iter().map(|address| async {
             let client = node.peers.get(node, address)?;
             node.metrics.peer_call("marks");
             client.marks(marks.clone()).await.ok()
         });
-        join_all(told).await;
-        self.told = Some(marks);
+        join_all(sent_marks).await;
+        self.sent_marks = Some(marks);
     }
 
     fn next_marks(&mut self, shard: &Shard, epoch: u64, engines: &Engines) -> Marks {
@@ -252,25 +254,25 @@
 
     async fn drive(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
         for (name, (spec, status)) in engines {
-            let wanted = status.as_ref().and_then(|s| self.wanted(node, doc, name, spec, s));
-            let open = self.custodians.get(name).is_some_and(Custodian::may_be_mine);
+            let wanted = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
+            let open = self.custodians.get(name).is_some_and(Custodian::may_be_custodian);
             if wanted.is_none() && !open {
                 continue;
             }
             let custodian = self.custodians.entry(name.clone()).or_insert_with(|| Custodian::new(node, name));
-            let reached = custodian.drive(node, &self.client, shard, spec, wanted.as_ref(), status.clone()).await;
-            let waits = match reached {
-                Reached::Waits(wait) => Some(wait),
-                Reached::Done | Reached::Going => None,
+            let result = custodian.drive(node, &self.client, shard, spec, wanted.as_ref(), status.clone()).await;
+            let waits = match result {
+                DriveResult::Waiting(wait) => Some(wait),
+                DriveResult::Done | DriveResult::Incomplete => None,
             };
-            if node.board.waits(name, waits) && waits == Some(WaitReason::FormerCustodian) {
+            if node.control.set_wait_reason(name, waits) && waits == Some(WaitReason::FormerCustodian) {
                 emit!(warn, CUSTODY_WAITS, engine = name, ignores = spec.fencing == Fencing::Ignores);
             }
         }
     }
 
     /// The next order that an engine should get.
-    fn wanted(
+    fn next_order(
         &mut self,
         node: &Node,
         doc: &Document,
@@ -293,19 +295,19 @@
         if status.cordoned {
             return Some(OrderKind::Uncordon);
         }
-        let missing = wanted_loads(doc, spec).find(|item| !status.loaded.contains(item))?;
-        self.loads.take(1.0, node.now()).then_some(OrderKind::Load(missing))
+        let missing = desired_loads(doc, spec).find(|item| !status.loaded.contains(item))?;
+        self.load_bucket.take(1.0, node.now()).then_some(OrderKind::Load(missing))
     }
 
-    fn show(&self, node: &Node, engines: &Engines) {
+    fn publish_changing(&self, node: &Node, engines: &Engines) {
         let changing = self.targets.iter().map(|(name, role)| (name.clone(), format!("to {role:?}").to_lowercase()));
         let names: Vec<_> = engines.keys().cloned().collect();
-        node.board.set_changing(&names, changing.collect());
+        node.control.set_changing(&names, changing.collect());
     }
 }
 
 /// What an engine is to have loaded: its own list, and its pool's models in their version.
-fn wanted_loads<'a>(doc: &'a Document, spec: &'a EndpointSpec) -> impl Iterator<Item = String> + 'a {
+fn desired_loads<'a>(doc: &'a Document, spec: &'a EndpointSpec) -> impl Iterator<Item = String> + 'a {
     let models = doc.pools.get(&spec.pool).map(|p| p.spec.models.as_slice()).unwrap_or_default();
     let versions = models.iter().filter_map(|m| doc.models.get(m)).map(|m| m.spec.version.clone());
     spec.load.iter().cloned().chain(versions)
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -20,11 +20,11 @@
 use crate::{clock::wall_millis, emit, node::Node};
 
 /// Time for one call to an engine.
-const CALL: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which an order stays good.
-const ORDER_GOOD_MS: u64 = 2_000;
+const ORDER_VALIDITY_MS: u64 = 2_000;
 /// Steps in one round at most.
-const STEPS: usize = 4;
+const MAX_STEPS_PER_ROUND: usize = 4;
 
 /// What this daemon knows of one engine's record.
 #[derive(Debug)]
@@ -33,20 +33,20 @@
     key: String,
     record: Option<(EngineRecord, i64)>,
     /// Whether the stored record may name this process; holds on while that is not known.
-    may_be_mine: bool,
+    may_be_custodian: bool,
     /// After an order without an answer, nothing is sent before its bytes are surely gone.
-    quiet_until: Time,
+    no_send_until: Time,
 }
 
 /// What a round led to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reached {
+pub(super) enum DriveResult {
     /// The engine is as wanted.
     Done,
     /// More is to be done in the next round.
-    Going,
+    Incomplete,
     /// Nothing can be done now.
-    Waits(WaitReason),
+    Waiting(WaitReason),
 }
 
 impl Custodian {
@@ -55,18 +55,18 @@
             name: name.to_owned(),
             key: format!("{}engines/{name}", node.settings.keyspace),
             record: None,
-            may_be_mine: false,
-            quiet_until: Time::default(),
+            may_be_custodian: false,
+            no_send_until: Time::default(),
         }
     }
 
     /// Whether the stored record may name this process.
-    pub(super) const fn may_be_mine(&self) -> bool {
-        self.may_be_mine
+    pub(super) const fn may_be_custodian(&self) -> bool {
+        self.may_be_custodian
     }
 
     /// Whether an order may be open, or the record is not at hand.
-    pub(super) fn is_busy(&self) -> bool {
+    pub(super) fn may_have_open_order(&self) -> bool {
         self.record.as_ref().is_none_or(|(record, _)| record.intent.is_some())
     }
 
@@ -79,55 +79,55 @@
         spec: &EndpointSpec,
         wanted: Option<&OrderKind>,
         mut status: Option<EngineStatus>,
-    ) -> Reached {
-        for _ in 0..STEPS {
-            if !self.load(node).await {
-                return Reached::Going;
+    ) -> DriveResult {
+        for _ in 0..MAX_STEPS_PER_ROUND {
+            if !self.load_record(node).await {
+                return DriveResult::Incomplete;
             }
-            let Some((record, _)) = &self.record else { return Reached::Going };
+            let Some((record, _)) = &self.record else { return DriveResult::Incomplete };
             let former = record.custodian.as_ref().filter(|c| *c != node.identity.me());
             let view = View {
                 me: node.identity.me(),
                 epoch: shard.authority(node.now()).map(|a| a.epoch()),
                 fencing: spec.fencing,
-                custodian_terminated: former.is_some_and(|c| node.board.is_over(node, c)),
+                custodian_terminated: former.is_some_and(|c| node.control.is_terminated(node, c)),
                 status: status.as_ref(),
                 wanted,
             };
             match custody::next_step(record, &view) {
-                Step::Done => return Reached::Done,
+                Step::Done => return DriveResult::Done,
                 Step::Wait(wait) => {
                     // Its release would show in the stored record only.
                     if wait == WaitReason::FormerCustodian {
                         self.record = None;
                     }
-                    return Reached::Waits(wait);
+                    return DriveResult::Waiting(wait);
                 }
                 Step::Write(next) => {
-                    if !self.write(node, next).await {
-                        return Reached::Going;
+                    if !self.write_record(node, next).await {
+                        return DriveResult::Incomplete;
                     }
                 }
                 Step::Send(order) => {
-                    if !self.quiet_until.is_past(node.now()) {
-                        return Reached::Going;
+                    if !self.no_send_until.is_past(node.now()) {
+                        return DriveResult::Incomplete;
                     }
-                    self.send(node, client, shard, spec, order).await;
-                    status = ask(client, spec).await;
+                    self.send_order(node, client, shard, spec, order).await;
+                    status = query_status(client, spec).await;
                 }
             }
         }
-        Reached::Going
+        DriveResult::Incomplete
     }
 
     /// Give the record up, once its intent is settled.
     pub(super) async fn release(&mut self, node: &Node, client: &HttpClient, spec: &EndpointSpec) {
         self.record = None;
-        if !self.load(node).await {
+        if !self.load_record(node).await {
             return;
         }
         let Some((record, _)) = self.record.clone() else { return };
-        if !self.may_be_mine {
+        if !self.may_be_custodian {
             return;
         }
         let record = match &record.intent {
@@ -137,18 +137,18 @@
             _ => record,
         };
         if let Some(next) = custody::release(&record, node.identity.me()) {
-            self.write(node, next).await;
+            self.write_record(node, next).await;
         }
     }
 
     /// Whether an order that was intended can no longer take effect, or has.
     async fn is_settled(&self, node: &Node, client: &HttpClient, spec: &EndpointSpec, intent: &Order) -> bool {
-        let Some(status) = ask(client, spec).await else { return false };
+        let Some(status) = query_status(client, spec).await else { return false };
         let taken = (status.epoch, status.sequence) == (intent.epoch, intent.sequence);
-        !status.changing && (taken || self.quiet_until.is_past(node.now()))
+        !status.changing && (taken || self.no_send_until.is_past(node.now()))
     }
 
-    async fn load(&mut self, node: &Node) -> bool {
+    async fn load_record(&mut self, node: &Node) -> bool {
         if self.record.is_some() {
             return true;
         }
@@ -160,42 +160,42 @@
         };
         let custodian = self.record.as_ref().map(|(record, _)| record.custodian.as_ref());
         if let Some(custodian) = custodian {
-            self.may_be_mine = custodian == Some(node.identity.me());
+            self.may_be_custodian = custodian == Some(node.identity.me());
         }
         self.record.is_some()
     }
 
     /// Write the record if it is unchanged; else, or when that is unknown, read it again.
-    async fn write(&mut self, node: &Node, next: EngineRecord) -> bool {
+    async fn write_record(&mut self, node: &Node, next: EngineRecord) -> bool {
         let Some((_, revision)) = self.record.take() else { return false };
         let swap =
             Swap { key: self.key.clone(), expect: revision, value: serde_json::to_string(&next).ok(), lease: None };
-        let is_mine = next.custodian.as_ref() == Some(node.identity.me());
-        self.may_be_mine |= is_mine;
+        let is_custodian = next.custodian.as_ref() == Some(node.identity.me());
+        self.may_be_custodian |= is_custodian;
         node.metrics.kv_call("record_write");
         if let Ok([Swapped::Done(revision)]) = node.kv.swap_each(vec![swap]).await.as_deref() {
             self.record = Some((next, *revision));
-            self.may_be_mine = is_mine;
+            self.may_be_custodian = is_custodian;
             return true;
         }
         false
     }
 
-    async fn send(&mut self, node: &Node, client: &HttpClient, shard: &Shard, spec: &EndpointSpec, order: Order) {
+    async fn send_order(&mut self, node: &Node, client: &HttpClient, shard: &Shard, spec: &EndpointSpec, order: Order) {
         // The last check before the effect: a pause may lie behind any await above.
         if shard.authority(node.now()).is_none_or(|a| a.epoch() != order.epoch) {
             return;
         }
-        let req = OrderRequest { not_after_ms: wall_millis() + ORDER_GOOD_MS, order };
+        let req = OrderRequest { not_after_ms: wall_millis() + ORDER_VALIDITY_MS, order };
         emit!(info, ORDER_SENT, engine = self.name, epoch = req.order.epoch, sequence = req.order.sequence,
             kind = ?req.order.kind);
         let url = format!("http://{}{ORDER_PATH}", spec.address);
-        match client.post::<_, OrderAnswer>(&url, &req, CALL).await {
+        match client.post::<_, OrderAnswer>(&url, &req, CALL_TIMEOUT).await {
             Ok(answer) => emit!(info, ORDER_ANSWERED, engine = self.name, answer = ?answer),
             Err(e) => {
                 emit!(warn, ORDER_UNANSWERED, engine = self.name, why = %e);
                 if matches!(e, CallError::Lost(_)) && spec.fencing == Fencing::Ignores {
-                    self.quiet_until = node.now() + Span(USER_TIMEOUT.as_micros() as u64);
+                    self.no_send_until = node.now() + Span(USER_TIMEOUT.as_micros() as u64);
                 }
             }
         }
@@ -203,7 +203,7 @@
 }
 
 /// Ask an engine for its status.
-pub(super) async fn ask(client: &HttpClient, spec: &EndpointSpec) -> Option<EngineStatus> {
+pub(super) async fn query_status(client: &HttpClient, spec: &EndpointSpec) -> Option<EngineStatus> {
     let url = format!("http://{}{STATUS_PATH}", spec.address);
-    client.get::<StatusReport>(&url, CALL).await.ok().map(|report| report.status)
+    client.get::<StatusReport>(&url, CALL_TIMEOUT).await.ok().map(|report| report.status)
 }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -19,59 +19,60 @@
 use shard::Shard;
 
 /// Daemons that stand for one shard's lease.
-const CANDIDATES: usize = 3;
+const CANDIDATE_COUNT: usize = 3;
 
 /// Tries to release records at a planned stop.
-const RELEASE_TRIES: u32 = 25;
+const MAX_RELEASE_ATTEMPTS: u32 = 25;
 /// Time between them.
-const RELEASE_AGAIN: Duration = Duration::from_millis(200);
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// One shard as this daemon handles it.
 #[derive(Debug)]
-struct Held {
+struct ManagedShard {
     shard: Shard,
     changes: Changes,
 }
 
 /// Run control until the daemon is over, then hand over what it holds.
 pub async fn run(node: Arc<Node>) {
-    let every = Duration::from_millis(node.settings.timing.control_ms);
-    let mut shards: HashMap<String, Held> = HashMap::new();
-    while !node.stop.over.is_cancelled() {
+    let interval = Duration::from_millis(node.settings.timing.control_ms);
+    let mut shards: HashMap<String, ManagedShard> = HashMap::new();
+    while !node.stop.finished.is_cancelled() {
         for pool in engine_pools(&node) {
-            let held = shards
-                .entry(pool.clone())
-                .or_insert_with(|| Held { shard: Shard::new(&node, &pool), changes: Changes::new(&node, &pool) });
-            round(&node, held, is_candidate(&node, &pool)).await;
+            let managed = shards.entry(pool.clone()).or_insert_with(|| ManagedShard {
+                shard: Shard::new(&node, &pool),
+                changes: Changes::new(&node, &pool),
+            });
+            run_round(&node, managed, is_candidate(&node, &pool)).await;
         }
         tokio::select! {
-            () = tokio::time::sleep(every) => {}
-            () = node.stop.over.cancelled() => {}
+            () = tokio::time::sleep(interval) => {}
+            () = node.stop.finished.cancelled() => {}
         }
     }
-    for held in shards.values_mut() {
-        hand_over(&node, held).await;
+    for managed in shards.values_mut() {
+        hand_over(&node, managed).await;
     }
 }
 
 /// Release all records, then the lease. What cannot be released in time passes on once the
 /// other daemons know that this process is over.
-async fn hand_over(node: &Node, held: &mut Held) {
-    for _ in 0..RELEASE_TRIES {
-        if held.changes.release_all(node).await {
+async fn hand_over(node: &Node, managed: &mut ManagedShard) {
+    for _ in 0..MAX_RELEASE_ATTEMPTS {
+        if managed.changes.release_all(node).await {
             break;
         }
-        tokio::time::sleep(RELEASE_AGAIN).await;
+        tokio::time::sleep(RELEASE_RETRY_DELAY).await;
     }
-    held.shard.hand_over(node).await;
+    managed.shard.hand_over(node).await;
 }
 
-async fn round(node: &Arc<Node>, held: &mut Held, candidate: bool) {
-    held.shard.keep(node, candidate && !node.stop.begun.is_cancelled()).await;
-    if held.shard.authority(node.now()).is_some() {
-        held.changes.round(node, &held.shard).await;
+async fn run_round(node: &Arc<Node>, managed: &mut ManagedShard, candidate: bool) {
+    managed.shard.maintain(node, candidate && !node.stop.begun.is_cancelled()).await;
+    if managed.shard.authority(node.now()).is_some() {
+        managed.changes.run_round(node, &managed.shard).await;
     } else {
-        held.changes.step_down(node).await;
+        managed.changes.step_down(node).await;
     }
 }
 
@@ -86,5 +87,5 @@
     let members = node.members();
     let live = members.others().filter(|(_, m)| m.health == Health::Alive);
     let vms = live.map(|(_, m)| hash::bytes(m.contact.vm.as_bytes())).chain([me]);
-    hash::owners(hash::bytes(pool.as_bytes()), vms.map(|vm| (vm, vm)), CANDIDATES).contains(&me)
+    hash::owners(hash::bytes(pool.as_bytes()), vms.map(|vm| (vm, vm)), CANDIDATE_COUNT).contains(&me)
 }
--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -12,10 +12,10 @@
 use crate::{emit, node::Node};
 
 /// Time between two looks for a free lease.
-const LOOK: Span = Span::millis(1_000);
+const ACQUIRE_INTERVAL: Span = Span::millis(1_000);
 /// A lease is renewed this many times before it would end.
-const RENEWALS: u64 = 3;
-const MILLIS: u64 = 1_000;
+const RENEWALS_PER_TTL: u64 = 3;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// The lease of one shard, held or not.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     holder_key: String,
     epoch_key: String,
     held: Option<(LeaseId, Authority)>,
-    look_at: Time,
+    next_acquire_at: Time,
     renew_at: Time,
 }
 
@@ -36,7 +36,7 @@
             holder_key: key("holder"),
             epoch_key: key("epoch"),
             held: None,
-            look_at: Time::default(),
+            next_acquire_at: Time::default(),
             renew_at: Time::default(),
         }
     }
@@ -51,7 +51,7 @@
     }
 
     /// Renew the lease when due, or try to win it.
-    pub(super) async fn keep(&mut self, node: &Node, candidate: bool) {
+    pub(super) async fn maintain(&mut self, node: &Node, candidate: bool) {
         let now = node.now();
         if self.held.is_some() && self.authority(now).is_none() {
             self.lose(node, "its deadline passed");
@@ -60,10 +60,10 @@
             if self.renew_at.is_past(now) {
                 self.renew(node, lease).await;
             }
-        } else if candidate && self.look_at.is_past(now) {
-            self.look_at = now + LOOK;
+        } else if candidate && self.next_acquire_at.is_past(now) {
+            self.next_acquire_at = now + ACQUIRE_INTERVAL;
             // Failing to win is usual: another holds it, or the service is down.
-            let _ = self.stand(node).await;
+            let _ = self.try_acquire(node).await;
         }
     }
 
@@ -77,13 +77,13 @@
     }
 
     fn ttl(node: &Node) -> Span {
-        Span::millis(node.settings.timing.lease_ms / MILLIS * MILLIS)
+        Span::millis(node.settings.timing.lease_ms / MILLIS_PER_SECOND * MILLIS_PER_SECOND)
     }
 
     async fn renew(&mut self, node: &Node, lease: LeaseId) {
         let sent = node.now();
         let ttl = Self::ttl(node);
-        self.renew_at = sent + Span(ttl.0 / RENEWALS);
+        self.renew_at = sent + Span(ttl.0 / RENEWALS_PER_TTL);
         node.metrics.kv_call("renew");
         match node.kv.keep_alive(lease).await {
             Ok(true) => {
@@ -93,28 +93,28 @@
             }
             Ok(false) => self.lose(node, "the lease is gone"),
             // No answer: the deadline bounds what this daemon still believes.
-            Err(_) => self.renew_at = node.now() + Span(ttl.0 / RENEWALS / RENEWALS),
+            Err(_) => self.renew_at = node.now() + Span(ttl.0 / RENEWALS_PER_TTL / RENEWALS_PER_TTL),
         }
     }
 
-    async fn stand(&mut self, node: &Node) -> Result<(), CallError> {
+    async fn try_acquire(&mut self, node: &Node) -> Result<(), CallError> {
         node.metrics.kv_call("holder_read");
         if node.kv.read(&self.holder_key).await?.is_some() {
             return Ok(());
         }
         node.metrics.kv_call("epoch_read");
         let epoch = node.kv.read(&self.epoch_key).await?;
-        let number = epoch.as_ref().and_then(|e| e.value.parse::<u64>().ok()).unwrap_or(0) + 1;
+        let new_epoch = epoch.as_ref().and_then(|e| e.value.parse::<u64>().ok()).unwrap_or(0) + 1;
         let sent = node.now();
         let ttl = Self::ttl(node);
         node.metrics.kv_call("grant");
-        let lease = node.kv.grant(ttl.as_millis() / MILLIS).await?;
-        let token = node.identity.fresh();
+        let lease = node.kv.grant(ttl.as_millis() / MILLIS_PER_SECOND).await?;
+        let token = node.identity.new_id();
         let swaps = vec![
             Swap {
                 key: self.epoch_key.clone(),
                 expect: epoch.map_or(0, |e| e.revision),
-                value: Some(number.to_string()),
+                value: Some(new_epoch.to_string()),
                 lease: None,
             },
             Swap { key: self.holder_key.clone(), expect: 0, value: Some(token.clone()), lease: Some(lease) },
@@ -130,16 +130,16 @@
             let _ = node.kv.revoke(lease).await;
             return Ok(());
         }
-        self.held = Some((lease, Authority::granted(number, sent, ttl)));
-        self.renew_at = sent + Span(ttl.0 / RENEWALS);
-        node.board.won(&self.name, number);
-        emit!(info, SHARD_WON, shard = self.name, epoch = number);
+        self.held = Some((lease, Authority::granted(new_epoch, sent, ttl)));
+        self.renew_at = sent + Span(ttl.0 / RENEWALS_PER_TTL);
+        node.control.add_shard(&self.name, new_epoch);
+        emit!(info, SHARD_WON, shard = self.name, epoch = new_epoch);
         Ok(())
     }
 
     fn lose(&mut self, node: &Node, why: &str) {
         if let Some((_, authority)) = self.held.take() {
-            node.board.lost(&self.name);
+            node.control.remove_shard(&self.name);
             emit!(info, SHARD_LOST, shard = self.name, epoch = authority.epoch(), why);
         }
     }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -27,15 +27,15 @@
     clock::{BootClock, Clock, wall_millis},
     configuration::configure,
     control,
-    control::board::Board,
+    control::board::ControlState,
     dispatch::{
         claims::{self, Claims},
-        desk::Desk,
+        desk::SharedDispatcher,
         records::Records,
     },
     emit,
     endpoint::{
-        duties::{self, Duties},
+        duties::{self, Availability},
         observe,
     },
     error::StartError,
@@ -51,11 +51,11 @@
 };
 
 /// Time between two ticks of the dispatcher while it holds requests.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between two ticks while it holds none.
-const IDLE_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two looks at the standing.
-const STANDING_LOOK: Duration = Duration::from_millis(250);
+const STANDING_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a daemon meets outside, so that tests can put fakes there.
 #[derive(Debug)]
@@ -99,15 +99,16 @@
         settings.check()?;
         let caller_listener = bind("caller_address", &settings.caller_address).await?;
         let operator_listener = bind("operator_address", &settings.operator_address).await?;
-        let node = Arc::new(node(settings, outside)?);
+        let node = Arc::new(new_node(settings, outside)?);
         let peer = peer_server::start(Arc::clone(&node)).await?;
         let limits = node.settings.limits;
-        let (begun, closing, over) = (node.stop.begun.clone(), node.stop.closing.clone(), node.stop.over.clone());
+        let (begun, closing, finished) =
+            (node.stop.begun.clone(), node.stop.closing.clone(), node.stop.finished.clone());
         let routes = caller::router(Arc::clone(&node));
         let caller = tokio::spawn(listener::serve(caller_listener, routes, limits, begun, closing));
         let routes = health::router(Arc::clone(&node)).merge(operator::router(Arc::clone(&node)));
-        let operator = tokio::spawn(listener::serve(operator_listener, routes, limits, over.clone(), over));
-        let background = background(&node);
+        let operator = tokio::spawn(listener::serve(operator_listener, routes, limits, finished.clone(), finished));
+        let background = spawn_background(&node);
         emit!(info, STARTED, vm = node.settings.vm, hall = node.settings.hall, start = node.identity.me().start);
         Ok(Self { node, caller, operator, peer, background })
     }
@@ -119,7 +120,7 @@
     }
 
     /// Wait until the platform lists this VM as leaving.
-    pub async fn told_to_leave(&self) {
+    pub async fn leave_requested(&self) {
         self.node.stop.begun.cancelled().await;
     }
 
@@ -134,12 +135,12 @@
         let _ = self.caller.await;
         stop.requests.close();
         stop.requests.wait().await;
-        claims::settled(&self.node).await;
+        claims::wait_settled(&self.node).await;
         emit!(info, DRAINED);
-        stop.over.cancel();
+        stop.finished.cancel();
         self.background.close();
         self.background.wait().await;
-        peers::farewell(&self.node).await;
+        peers::announce_leaving(&self.node).await;
         let _ = self.peer.stop();
         let _ = self.operator.await;
         emit!(info, STOPPED);
@@ -147,7 +148,7 @@
 
     /// End at once, as a kill would. For tests of failures within one process.
     pub fn abort(self) {
-        self.node.stop.over.cancel();
+        self.node.stop.finished.cancel();
         self.node.stop.closing.cancel();
         let _ = self.peer.stop();
         self.caller.abort();
@@ -159,7 +160,7 @@
     TcpListener::bind(address).await.map_err(|e| StartError::Bind(what, address.to_owned(), e))
 }
 
-fn node(settings: Settings, outside: Outside) -> Result<Node, StartError> {
+fn new_node(settings: Settings, outside: Outside) -> Result<Node, StartError> {
     let now = outside.clock.now();
     // The wall clock orders the runs of a VM that is replaced under its name.
     let start = wall_millis();
@@ -177,58 +178,58 @@
         identity: Identity::new(me),
         kv: outside.kv,
         vm_list: outside.vm_list,
-        desk: Desk::new(settings.policy.policy(), seed, now),
+        dispatcher: SharedDispatcher::new(settings.policy.policy(), seed, now),
         members: Mutex::new(Members::new(members, contact, start, seed)),
         peers: PeerClients::default(),
         config: watch::Sender::new(Arc::new(Document::default())),
         freshness: Mutex::new(Freshness::default()),
-        duties: Duties::default(),
+        availability: Availability::default(),
         claims: Claims::default(),
         records: Records::default(),
         metrics: Metrics::new()?,
-        board: Board::default(),
+        control: ControlState::default(),
         stop: Stop::default(),
         settings,
     })
 }
 
-fn background(node: &Arc<Node>) -> TaskTracker {
+fn spawn_background(node: &Arc<Node>) -> TaskTracker {
     let tasks = TaskTracker::new();
     tasks.spawn(peers::run(Arc::clone(node)));
-    tasks.spawn(peers::spread(Arc::clone(node)));
+    tasks.spawn(peers::announce_config(Arc::clone(node)));
     tasks.spawn(configure::run(Arc::clone(node)));
-    tasks.spawn(duties::follow_list(Arc::clone(node)));
+    tasks.spawn(duties::watch_vm_list(Arc::clone(node)));
     tasks.spawn(observe::run(Arc::clone(node)));
     tasks.spawn(control::run(Arc::clone(node)));
     tasks.spawn(tick(Arc::clone(node)));
     tasks.spawn(watch_standing(Arc::clone(node)));
-    let over = node.stop.over.clone();
+    let finished = node.stop.finished.clone();
     let claims = claims::run(Arc::clone(node));
     tasks.spawn(async move {
         tokio::select! {
             () = claims => {}
-            () = over.cancelled() => {}
+            () = finished.cancelled() => {}
         }
     });
     tasks
 }
 
 async fn tick(node: Arc<Node>) {
-    while !node.stop.over.is_cancelled() {
-        node.desk.tick(node.now());
-        let idle = node.desk.counts().0 == 0;
-        tokio::time::sleep(if idle { IDLE_TICK } else { TICK }).await;
+    while !node.stop.finished.is_cancelled() {
+        node.dispatcher.tick(node.now());
+        let idle = node.dispatcher.counts().0 == 0;
+        tokio::time::sleep(if idle { IDLE_TICK_INTERVAL } else { TICK_INTERVAL }).await;
     }
 }
 
 async fn watch_standing(node: Arc<Node>) {
-    let mut before = None;
-    while !node.stop.over.is_cancelled() {
+    let mut last = None;
+    while !node.stop.finished.is_cancelled() {
         let standing = (node.is_ready(), node.standing());
-        if before != Some(standing) {
+        if last != Some(standing) {
             emit!(info, STANDING, ready = standing.0, standing = ?standing.1);
-            before = Some(standing);
+            last = Some(standing);
         }
-        tokio::time::sleep(STANDING_LOOK).await;
+        tokio::time::sleep(STANDING_CHECK_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -22,48 +22,48 @@
 use crate::{emit, node::Node};
 
 /// Claims in one call at most.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 /// Time for which a batch is collected.
-const COLLECT: Duration = Duration::from_millis(2);
+const BATCH_DELAY: Duration = Duration::from_millis(2);
 /// Time after which a claim is given up.
-const CLAIM: Duration = Duration::from_secs(1);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which claims are refused at once after the service did not answer.
-const CLOSED: Span = Span::millis(500);
+const UNAVAILABLE_TIME: Span = Span::millis(500);
 /// Time between tries to settle a record in the background.
-const SETTLE_AGAIN: Duration = Duration::from_millis(500);
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Tries to settle a record before it is left to its lease.
-const SETTLE_TRIES: u32 = 240;
+const MAX_SETTLE_ATTEMPTS: u32 = 240;
 /// Leases are this many times as long as a key is remembered, and renewed by a fresh one.
 const LEASE_FACTOR: u64 = 2;
 /// Largest answer that is recorded, in bytes.
-const MAX_RECORDED: usize = 64 << 10;
+const MAX_RECORDED_BYTES: usize = 64 << 10;
 
-type Reply = oneshot::Sender<Result<Swapped, CallError>>;
+type ReplySender = oneshot::Sender<Result<Swapped, CallError>>;
 
 /// The way to the batching task.
 #[derive(Debug)]
 pub struct Claims {
-    tx: mpsc::Sender<(Swap, Reply)>,
-    rx: Mutex<Option<mpsc::Receiver<(Swap, Reply)>>>,
-    closed_until: Mutex<Time>,
-    settling: tokio_util::task::TaskTracker,
+    tx: mpsc::Sender<(Swap, ReplySender)>,
+    rx: Mutex<Option<mpsc::Receiver<(Swap, ReplySender)>>>,
+    unavailable_until: Mutex<Time>,
+    settle_tasks: tokio_util::task::TaskTracker,
 }
 
 impl Default for Claims {
     fn default() -> Self {
-        let (tx, rx) = mpsc::channel(BATCH * 16);
+        let (tx, rx) = mpsc::channel(MAX_BATCH * 16);
         Self {
             tx,
             rx: Mutex::new(Some(rx)),
-            closed_until: Mutex::default(),
-            settling: tokio_util::task::TaskTracker::new(),
+            unavailable_until: Mutex::default(),
+            settle_tasks: tokio_util::task::TaskTracker::new(),
         }
     }
 }
 
 /// A claim that this daemon holds; its result must be recorded.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldClaim {
     key: String,
     claim: Claim,
     revision: i64,
@@ -71,9 +71,9 @@
 
 /// Why there is no claim.
 #[derive(Debug)]
-pub enum NotHeld {
+pub enum ClaimError {
     /// Another request has it.
-    Second(Duplicate),
+    Duplicate(Duplicate),
     /// The service is out of reach.
     Unavailable,
 }
@@ -85,8 +85,8 @@
     let mut lease = ClaimLease::default();
     while let Some(first) = rx.recv().await {
         let mut batch = vec![first];
-        let collect_until = tokio::time::Instant::now() + COLLECT;
-        while batch.len() < BATCH {
+        let collect_until = tokio::time::Instant::now() + BATCH_DELAY;
+        while batch.len() < MAX_BATCH {
             match tokio::time::timeout_at(collect_until, rx.recv()).await {
                 Ok(Some(next)) => batch.push(next),
                 _ => break,
@@ -96,7 +96,7 @@
     }
 }
 
-async fn send_batch(node: &Node, lease: &mut ClaimLease, batch: Vec<(Swap, Reply)>) {
+async fn send_batch(node: &Node, lease: &mut ClaimLease, batch: Vec<(Swap, ReplySender)>) {
     let (mut swaps, replies): (Vec<_>, Vec<_>) = batch.into_iter().unzip();
     let answer = match lease.current(node).await {
         Err(e) => Err(e),
@@ -137,11 +137,11 @@
         {
             return Ok(id);
         }
-        let keep = Span::millis(node.settings.timing.claim_ms);
+        let retention = Span::millis(node.settings.timing.claim_ms);
         node.metrics.kv_call("claim_lease");
-        let id = node.kv.grant(keep.as_millis() * LEASE_FACTOR / 1_000).await?;
+        let id = node.kv.grant(retention.as_millis() * LEASE_FACTOR / 1_000).await?;
         self.id = Some(id);
-        self.replace_at = now + keep;
+        self.replace_at = now + retention;
         Ok(id)
     }
 }
@@ -150,53 +150,58 @@
 ///
 /// # Errors
 /// Why this request must not be sent.
-pub async fn claim(node: &Arc<Node>, key: &str, request: &str, content: u64) -> Result<Held, NotHeld> {
+pub async fn acquire(node: &Arc<Node>, key: &str, request: &str, content: u64) -> Result<HeldClaim, ClaimError> {
     let now = node.now();
-    if !lock(&node.claims.closed_until).is_past(now) {
-        return Err(NotHeld::Unavailable);
+    if !lock(&node.claims.unavailable_until).is_past(now) {
+        return Err(ClaimError::Unavailable);
     }
     let claim = Claim { request: request.to_owned(), owner: node.identity.me().clone(), content, result: None };
     let key = format!("{}claims/{key}", node.settings.keyspace);
-    let held = |revision| Held { key: key.clone(), claim: claim.clone(), revision };
+    let held = |revision| HeldClaim { key: key.clone(), claim: claim.clone(), revision };
     match swap(node, &key, 0, Some(&claim)).await {
         Ok(Swapped::Done(revision)) => Ok(held(revision)),
-        Ok(Swapped::Differs(Some(entry))) => told(node, &entry, &claim, held),
-        Ok(Swapped::Differs(None)) => Err(NotHeld::Unavailable),
-        Err(e) => settle_claim(node, &e, &key, &claim, held).await,
+        Ok(Swapped::Differs(Some(entry))) => check_existing(node, &entry, &claim, held),
+        Ok(Swapped::Differs(None)) => Err(ClaimError::Unavailable),
+        Err(e) => settle_lost_answer(node, &e, &key, &claim, held).await,
     }
 }
 
 /// What an existing record means for this request.
-fn told(node: &Node, entry: &Entry, mine: &Claim, held: impl Fn(i64) -> Held) -> Result<Held, NotHeld> {
+fn check_existing(
+    node: &Node,
+    entry: &Entry,
+    mine: &Claim,
+    held: impl Fn(i64) -> HeldClaim,
+) -> Result<HeldClaim, ClaimError> {
     let Ok(present) = serde_json::from_str::<Claim>(&entry.value) else {
-        return Err(NotHeld::Second(Duplicate::Unknown));
+        return Err(ClaimError::Duplicate(Duplicate::Unknown));
     };
     if present.request == mine.request {
         return Ok(held(entry.revision));
     }
     let over = node.members().is_terminated(&present.owner);
-    Err(NotHeld::Second(check_duplicate(&present, mine.content, over)))
+    Err(ClaimError::Duplicate(check_duplicate(&present, mine.content, over)))
 }
 
-async fn settle_claim(
+async fn settle_lost_answer(
     node: &Arc<Node>,
     error: &CallError,
     key: &str,
     claim: &Claim,
-    held: impl Fn(i64) -> Held,
-) -> Result<Held, NotHeld> {
+    held: impl Fn(i64) -> HeldClaim,
+) -> Result<HeldClaim, ClaimError> {
     if !error.surely_no_effect() {
         emit!(warn, CLAIM_UNSETTLED, request = claim.request, why = %error);
         node.metrics.kv_call("claim_read");
-        let read = tokio::time::timeout(CLAIM, node.kv.read(key)).await;
+        let read = tokio::time::timeout(CLAIM_TIMEOUT, node.kv.read(key)).await;
         match read {
-            Ok(Ok(Some(entry))) => return told(node, &entry, claim, held),
-            Ok(Ok(None) | Err(_)) | Err(_) => forget_later(node, key.to_owned(), claim.clone()),
+            Ok(Ok(Some(entry))) => return check_existing(node, &entry, claim, held),
+            Ok(Ok(None) | Err(_)) | Err(_) => delete_in_background(node, key.to_owned(), claim.clone()),
         }
     }
-    *lock(&node.claims.closed_until) = node.now() + CLOSED;
+    *lock(&node.claims.unavailable_until) = node.now() + UNAVAILABLE_TIME;
     emit!(warn, CLAIM_REFUSED, why = %error);
-    Err(NotHeld::Unavailable)
+    Err(ClaimError::Unavailable)
 }
 
 async fn swap(node: &Node, key: &str, expect: i64, value: Option<&Claim>) -> Result<Swapped, CallError> {
@@ -207,51 +212,51 @@
     if sent.is_err() {
         return Err(CallError::NotSent("the daemon is over".to_owned()));
     }
-    match tokio::time::timeout(CLAIM, answer).await {
+    match tokio::time::timeout(CLAIM_TIMEOUT, answer).await {
         Ok(Ok(result)) => result,
         _ => Err(CallError::Lost("no answer in time".to_owned())),
     }
 }
 
 /// Record what became of a claimed request; in the background when the service is out of reach.
-pub async fn record(node: &Arc<Node>, held: Held, mut recorded: RecordedResult) {
-    if recorded.body.as_ref().is_some_and(|body| body.len() > MAX_RECORDED) {
-        recorded.body = None;
+pub async fn record(node: &Arc<Node>, held: HeldClaim, mut result: RecordedResult) {
+    if result.body.as_ref().is_some_and(|body| body.len() > MAX_RECORDED_BYTES) {
+        result.body = None;
     }
-    let claim = Claim { result: Some(recorded), ..held.claim };
+    let claim = Claim { result: Some(result), ..held.claim };
     if !matches!(swap(node, &held.key, held.revision, Some(&claim)).await, Ok(Swapped::Done(_))) {
-        settle_later(node, held.key, claim.clone(), Some(claim));
+        settle_in_background(node, held.key, claim.clone(), Some(claim));
     }
 }
 
 /// Give a claim back: the request did not run, and the key may be used again.
-pub async fn release(node: &Arc<Node>, held: Held) {
+pub async fn release(node: &Arc<Node>, held: HeldClaim) {
     if !matches!(swap(node, &held.key, held.revision, None).await, Ok(Swapped::Done(_))) {
-        forget_later(node, held.key, held.claim);
+        delete_in_background(node, held.key, held.claim);
     }
 }
 
 /// Wait until nothing is left to settle.
-pub async fn settled(node: &Node) {
-    node.claims.settling.close();
-    node.claims.settling.wait().await;
+pub async fn wait_settled(node: &Node) {
+    node.claims.settle_tasks.close();
+    node.claims.settle_tasks.wait().await;
 }
 
-fn forget_later(node: &Arc<Node>, key: String, claim: Claim) {
-    settle_later(node, key, claim, None);
+fn delete_in_background(node: &Arc<Node>, key: String, claim: Claim) {
+    settle_in_background(node, key, claim, None);
 }
 
 /// Bring the record under `key` to `wanted`, as long as it belongs to the same request.
-fn settle_later(node: &Arc<Node>, key: String, claim: Claim, wanted: Option<Claim>) {
+fn settle_in_background(node: &Arc<Node>, key: String, claim: Claim, desired: Option<Claim>) {
     let node = Arc::clone(node);
-    node.clone().claims.settling.spawn(async move {
-        for _ in 0..SETTLE_TRIES {
-            tokio::time::sleep(SETTLE_AGAIN).await;
+    node.clone().claims.settle_tasks.spawn(async move {
+        for _ in 0..MAX_SETTLE_ATTEMPTS {
+            tokio::time::sleep(SETTLE_RETRY_DELAY).await;
             let Ok(read) = node.kv.read(&key).await else { continue };
             let Some(entry) = read else { return };
             let present = serde_json::from_str::<Claim>(&entry.value);
             let mine = present.is_ok_and(|p| p.request == claim.request && p.result.is_none());
-            if !mine || matches!(swap(&node, &key, entry.revision, wanted.as_ref()).await, Ok(Swapped::Done(_))) {
+            if !mine || matches!(swap(&node, &key, entry.revision, desired.as_ref()).await, Ok(Swapped::Done(_))) {
                 return;
             }
         }
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -64,7 +64,7 @@
         /// Milliseconds after which to come back.
         retry_after_ms: u64,
         /// What the last look at the pool saw.
-        seen: Vec<CandidateRecord>,
+        candidates: Vec<CandidateRecord>,
     },
 }
 
@@ -95,7 +95,7 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct EndpointInfo {
     target: Target,
     spec: EndpointSpec,
 }
@@ -106,13 +106,13 @@
     pools: HashMap<String, PoolKey>,
     endpoints: HashMap<String, EndpointKey>,
     by_hash: HashMap<u64, EndpointKey>,
-    known: SecondaryMap<EndpointKey, Known>,
+    endpoint_info: SecondaryMap<EndpointKey, EndpointInfo>,
     waiters: HashMap<RequestKey, mpsc::UnboundedSender<Command>>,
 }
 
 /// The desk.
 #[derive(Debug)]
-pub struct Desk {
+pub struct SharedDispatcher {
     inner: Mutex<Inner>,
 }
 
@@ -137,7 +137,7 @@
     pub own_prefill: f64,
 }
 
-impl Desk {
+impl SharedDispatcher {
     /// An empty desk.
     #[must_use]
     pub fn new(policy: Policy, seed: u64, now: Time) -> Self {
@@ -147,7 +147,7 @@
                 pools: HashMap::new(),
                 endpoints: HashMap::new(),
                 by_hash: HashMap::new(),
-                known: SecondaryMap::new(),
+                endpoint_info: SecondaryMap::new(),
                 waiters: HashMap::new(),
             }),
         }
@@ -160,7 +160,7 @@
     /// Follow a newer configuration.
     pub fn configure(&self, doc: &Document, live: usize, now: Time) {
         let mut inner = self.lock();
-        inner.drop_old(doc, now);
+        inner.remove_obsolete(doc, now);
         for (name, pool) in &doc.pools {
             let rates = pool.spec.rates;
             if let Some(key) = inner.pools.get(name).copied() {
@@ -219,7 +219,7 @@
     }
 
     /// Forget a request, if it is still there.
-    pub fn withdraw(&self, key: RequestKey, now: Time) {
+    pub fn cancel(&self, key: RequestKey, now: Time) {
         let mut inner = self.lock();
         inner.waiters.remove(&key);
         let pool = inner.dispatcher.request(key).map(|r| r.spec.pool);
@@ -233,17 +233,17 @@
     pub fn tick(&self, now: Time) {
         let mut inner = self.lock();
         let actions = inner.dispatcher.tick(now);
-        inner.carry_out(actions, now);
+        inner.execute(actions, now);
     }
 
     /// Open an endpoint to new work or close it; returns whether that changed anything.
-    pub fn set_duty(&self, name: &str, duty: AdminState, now: Time) -> bool {
+    pub fn set_admin_state(&self, name: &str, state: AdminState, now: Time) -> bool {
         let mut inner = self.lock();
         let Some(key) = inner.endpoints.get(name).copied() else { return false };
         let before = inner.dispatcher.endpoint(key).map(|row| row.admin_state);
-        let actions = inner.dispatcher.set_admin_state(key, duty);
-        inner.carry_out(actions, now);
-        before != Some(duty)
+        let actions = inner.dispatcher.set_admin_state(key, state);
+        inner.execute(actions, now);
+        before != Some(state)
     }
 
     /// Note an endpoint's role.
@@ -263,7 +263,7 @@
     }
 
     /// Take in a load report that a peer passed on, with what that peer has sent there itself.
-    pub fn observe_hash(&self, endpoint: u64, load: LoadReport, at: Time, peer_prefill: f64) {
+    pub fn observe_by_hash(&self, endpoint: u64, load: LoadReport, at: Time, peer_prefill: f64) {
         let mut inner = self.lock();
         let Some(key) = inner.by_hash.get(&endpoint).copied() else { return };
         inner.dispatcher.observe(key, load, at);
@@ -335,21 +335,21 @@
 }
 
 impl Inner {
-    fn drop_old(&mut self, doc: &Document, now: Time) {
-        let moved = |(name, key): (&String, &EndpointKey)| {
-            let wanted = doc.endpoints.get(name).map(|e| &e.spec);
-            let stays = wanted.is_some_and(|w| {
-                let known = &self.known[*key].spec;
-                (&w.pool, &w.address) == (&known.pool, &known.address)
+    fn remove_obsolete(&mut self, doc: &Document, now: Time) {
+        let if_obsolete = |(name, key): (&String, &EndpointKey)| {
+            let new = doc.endpoints.get(name).map(|e| &e.spec);
+            let unchanged = new.is_some_and(|new| {
+                let endpoint_info = &self.endpoint_info[*key].spec;
+                (&new.pool, &new.address) == (&endpoint_info.pool, &endpoint_info.address)
             });
-            (!stays).then(|| (name.clone(), *key))
+            (!unchanged).then(|| (name.clone(), *key))
         };
-        let gone: Vec<_> = self.endpoints.iter().filter_map(moved).collect();
-        for (name, key) in gone {
+        let obsolete: Vec<_> = self.endpoints.iter().filter_map(if_obsolete).collect();
+        for (name, key) in obsolete {
             self.endpoints.remove(&name);
             self.by_hash.remove(&hash::bytes(name.as_bytes()));
             let actions = self.dispatcher.remove_endpoint(key);
-            self.carry_out(actions, now);
+            self.execute(actions, now);
         }
         let pools: HashSet<_> = doc.pools.keys().collect();
         self.pools.retain(|name, _| pools.contains(name));
@@ -370,25 +370,25 @@
             row.adapters = spec.load.iter().map(|item| hash::bytes(item.as_bytes())).collect();
         }
         let target = Target { name: name.to_owned(), address };
-        self.known.insert(key, Known { target, spec: spec.clone() });
+        self.endpoint_info.insert(key, EndpointInfo { target, spec: spec.clone() });
     }
 
     fn pump(&mut self, pool: PoolKey, now: Time) {
         let actions = self.dispatcher.pump(pool, now);
-        self.carry_out(actions, now);
+        self.execute(actions, now);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, now: Time) {
+    fn execute(&mut self, actions: Vec<Action>, now: Time) {
         for action in actions {
             let (request, command) = match action {
-                Action::Send { request, attempt, choice } => (request, self.send(attempt, &choice)),
+                Action::Send { request, attempt, choice } => (request, self.send_command(attempt, &choice)),
                 Action::Stop { request, end } => (request, Command::Stop(end)),
                 Action::Refuse { request, outcome, reason, retry_at, candidates } => {
                     let command = Command::Refuse {
                         outcome,
                         reason,
                         retry_after_ms: retry_at.since(now).as_millis(),
-                        seen: self.candidates(&candidates),
+                        candidates: self.candidates(&candidates),
                     };
                     if let Some(tx) = self.waiters.remove(&request) {
                         let _ = tx.send(command);
@@ -402,8 +402,8 @@
         }
     }
 
-    fn send(&self, attempt: u32, choice: &Choice) -> Command {
-        let target = |key: EndpointKey| self.known[key].target.clone();
+    fn send_command(&self, attempt: u32, choice: &Choice) -> Command {
+        let target = |key: EndpointKey| self.endpoint_info[key].target.clone();
         Command::Send(Dispatch {
             attempt,
             endpoint: target(choice.chosen.endpoint),
@@ -415,7 +415,7 @@
     }
 
     fn candidates(&self, candidates: &[Candidate]) -> Vec<CandidateRecord> {
-        let name = |key: EndpointKey| self.known.get(key).map(|k| k.target.name.clone());
+        let name = |key: EndpointKey| self.endpoint_info.get(key).map(|k| k.target.name.clone());
         candidates
             .iter()
             .map(|c| CandidateRecord {
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -19,20 +19,20 @@
 
 use crate::{
     dispatch::{
-        claims::{self, Held, NotHeld},
+        claims::{self, ClaimError, HeldClaim},
         desk::{Command, Dispatch, Ticket},
         failure::Failure,
         progress::Progress,
         records::{OpenRecord, lock},
     },
     emit,
-    endpoint::attempt::{Clients, Ended, EngineAsk, Piece, generate},
+    endpoint::attempt::{AttemptResult, Clients, EngineCall, Piece, generate},
     node::Node,
 };
 
 /// What a caller asks, apart from its content.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RequestParams {
     /// The request's identifier.
     pub request: String,
     /// Name of its kind.
@@ -51,19 +51,19 @@
 
 /// A request on its way.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct ActiveRequest {
     /// The daemon.
     pub node: Arc<Node>,
     /// What the caller asks.
-    pub terms: Terms,
+    pub params: RequestParams,
     ticket: Ticket,
     record: OpenRecord,
-    held: Option<Held>,
+    claim: Option<HeldClaim>,
 }
 
 /// What the desk needs to know of a request's content.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Size {
+pub struct ContentInfo {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens of the answer at most.
@@ -74,42 +74,42 @@
     pub adapter: u64,
 }
 
-impl Exchange {
+impl ActiveRequest {
     /// Submit a request.
     ///
     /// # Errors
     /// Why it is refused at once.
-    pub fn submit(node: &Arc<Node>, terms: Terms, pool: &str, size: Size) -> Result<Self, Failure> {
+    pub fn submit(node: &Arc<Node>, params: RequestParams, pool: &str, content: ContentInfo) -> Result<Self, Failure> {
         let spec = |pool| RequestSpec {
             pool,
-            kind: terms.kind.traits(),
-            prompt_tokens: size.prompt_tokens,
-            output_tokens: size.output_tokens,
-            prefix: size.prefix,
-            adapter: size.adapter,
-            deadline: terms.deadline,
+            kind: params.kind.traits(),
+            prompt_tokens: content.prompt_tokens,
+            output_tokens: content.output_tokens,
+            prefix: content.prefix,
+            adapter: content.adapter,
+            deadline: params.deadline,
         };
         let record = node.records.open(RequestRecord {
-            request: terms.request.clone(),
-            kind: terms.kind_name.clone(),
-            team: terms.team.clone(),
+            request: params.request.clone(),
+            kind: params.kind_name.clone(),
+            team: params.team.clone(),
             pool: pool.to_owned(),
-            prompt_tokens: size.prompt_tokens,
-            deadline_ms: terms.deadline.since(terms.arrived).as_millis(),
+            prompt_tokens: content.prompt_tokens,
+            deadline_ms: params.deadline.since(params.arrived).as_millis(),
             took_ms: None,
             outcome: None,
             refusal: None,
             attempts: Vec::new(),
             seen: Vec::new(),
         });
-        match node.desk.submit(pool, &terms.team, spec, terms.arrived) {
-            Ok(ticket) => Ok(Self { node: Arc::clone(node), terms, ticket, record, held: None }),
+        match node.dispatcher.submit(pool, &params.team, spec, params.arrived) {
+            Ok(ticket) => Ok(Self { node: Arc::clone(node), params, ticket, record, claim: None }),
             Err((reason, at)) => {
                 let mut record = lock(&record);
                 record.outcome = Some(Outcome::NotRun);
                 record.refusal = Some(reason);
-                let retry_ms = at.since(terms.arrived).as_millis();
-                note_over(node, &terms, Outcome::NotRun, reason_word(reason));
+                let retry_ms = at.since(params.arrived).as_millis();
+                log_finished(node, &params, Outcome::NotRun, reason_name(reason));
                 Err(Failure::refused(Outcome::NotRun, reason, retry_ms))
             }
         }
@@ -118,46 +118,46 @@
     /// The request's identifier.
     #[must_use]
     pub fn id(&self) -> &str {
-        &self.terms.request
+        &self.params.request
     }
 
     /// Wait for the first or next attempt, and hold the claim before the first.
     ///
     /// # Errors
     /// Why there is none; the request is over.
-    pub async fn next_dispatch(&mut self, content: u64) -> Result<Dispatch, Step> {
+    pub async fn next_dispatch(&mut self, content_hash: u64) -> Result<Dispatch, NoAttempt> {
         loop {
             match self.ticket.next().await {
                 Some(Command::Send(dispatch)) => {
-                    self.note_attempt(&dispatch);
-                    self.hold_claim(content).await?;
+                    self.record_attempt(&dispatch);
+                    self.acquire_claim(content_hash).await?;
                     return Ok(dispatch);
                 }
-                Some(Command::Refuse { outcome, reason, retry_after_ms, seen }) => {
+                Some(Command::Refuse { outcome, reason, retry_after_ms, candidates }) => {
                     let mut record = lock(&self.record);
                     record.refusal = Some(reason);
-                    record.seen = seen;
+                    record.seen = candidates;
                     drop(record);
-                    return Err(Step::Failed(Failure::refused(outcome, reason, retry_after_ms)));
+                    return Err(NoAttempt::Failed(Failure::refused(outcome, reason, retry_after_ms)));
                 }
                 Some(Command::Stop(_)) => {}
-                None => return Err(Step::Failed(Failure::ended(Outcome::Unknown, "the daemon is over"))),
+                None => return Err(NoAttempt::Failed(Failure::ended(Outcome::Unknown, "the daemon is over"))),
             }
         }
     }
 
-    async fn hold_claim(&mut self, content: u64) -> Result<(), Step> {
-        let Some(key) = self.terms.key.as_ref().filter(|_| self.held.is_none()) else {
+    async fn acquire_claim(&mut self, content_hash: u64) -> Result<(), NoAttempt> {
+        let Some(key) = self.params.key.as_ref().filter(|_| self.claim.is_none()) else {
             return Ok(());
         };
-        match claims::claim(&self.node, key, &self.terms.request, content).await {
-            Ok(held) => {
-                self.held = Some(held);
+        match claims::acquire(&self.node, key, &self.params.request, content_hash).await {
+            Ok(claim) => {
+                self.claim = Some(claim);
                 Ok(())
             }
-            Err(NotHeld::Second(Duplicate::Recorded(recorded))) => Err(Step::Recorded(recorded)),
-            Err(NotHeld::Second(second)) => Err(Step::Failed(Failure::second(&second))),
-            Err(NotHeld::Unavailable) => Err(Step::Failed(Failure::new(
+            Err(ClaimError::Duplicate(Duplicate::Recorded(recorded))) => Err(NoAttempt::Recorded(recorded)),
+            Err(ClaimError::Duplicate(duplicate)) => Err(NoAttempt::Failed(Failure::duplicate(&duplicate))),
+            Err(ClaimError::Unavailable) => Err(NoAttempt::Failed(Failure::new(
                 Outcome::NotRun,
                 "claims_unavailable",
                 "the key-value service is out of reach, so at most one run cannot be promised",
@@ -166,21 +166,21 @@
     }
 
     /// Report how an attempt ended; returns what follows from it.
-    pub fn attempt_ended(&mut self, ended: &Ended) -> AfterAttempt {
+    pub fn attempt_ended(&mut self, ended: &AttemptResult) -> AfterAttempt {
         let now = self.node.now();
-        let word = word_of(&ended.end);
-        self.node.metrics.attempt(&word);
+        let end_name = serialized_name(&ended.end);
+        self.node.metrics.attempt(&end_name);
         if let Some(attempt) = lock(&self.record).attempts.last_mut() {
             attempt.end = Some(ended.end);
             if ended.end != AttemptEnd::Whole {
-                emit!(info, ATTEMPT_FAILED, request = self.terms.request, endpoint = attempt.endpoint, end = word);
+                emit!(info, ATTEMPT_FAILED, request = self.params.request, endpoint = attempt.endpoint, end = end_name);
             }
         }
-        match self.node.desk.attempt_ended(self.ticket.key, ended.end, ended.at, now) {
-            Next::Retry => AfterAttempt::TryAgain,
+        match self.node.dispatcher.attempt_ended(self.ticket.key, ended.end, ended.site, now) {
+            Next::Retry => AfterAttempt::Retry,
             Next::Finished(Outcome::Whole) => AfterAttempt::Answered,
             Next::Finished(outcome) => {
-                let mut failure = Failure::ended(outcome, &ended.words);
+                let mut failure = Failure::ended(outcome, &ended.detail);
                 if ended.end == AttemptEnd::Rejected {
                     failure.status = Some(400);
                     failure.reason = "endpoint_rejected";
@@ -194,34 +194,34 @@
     /// Where arriving tokens are noted.
     #[must_use]
     pub fn progress(&self) -> Progress {
-        Progress::new(&self.node, &self.record, self.ticket.key, self.terms.arrived, &self.terms.kind_name)
+        Progress::new(&self.node, &self.record, self.ticket.key, self.params.arrived, &self.params.kind_name)
     }
 
     /// The request is over: settle its claim, its record and its metrics.
-    pub async fn over(&mut self, result: Result<&RecordedResult, &Failure>) {
+    pub async fn finish(&mut self, result: Result<&RecordedResult, &Failure>) {
         let outcome = result.map_or_else(|f| f.outcome, |r| r.outcome);
         let reason = result.map_or_else(|f| f.reason, |_| "");
-        if let Some(held) = self.held.take() {
+        if let Some(claim) = self.claim.take() {
             match result {
-                Ok(recorded) => claims::record(&self.node, held, recorded.clone()).await,
-                Err(failure) if failure.outcome == Outcome::NotRun => claims::release(&self.node, held).await,
-                Err(failure) => claims::record(&self.node, held, recorded_failure(failure)).await,
+                Ok(recorded) => claims::record(&self.node, claim, recorded.clone()).await,
+                Err(failure) if failure.outcome == Outcome::NotRun => claims::release(&self.node, claim).await,
+                Err(failure) => claims::record(&self.node, claim, recorded_failure(failure)).await,
             }
         }
-        self.close(outcome, reason);
+        self.record_outcome(outcome, reason);
     }
 
-    fn close(&self, outcome: Outcome, reason: &str) {
-        let took = self.node.now().since(self.terms.arrived);
+    fn record_outcome(&self, outcome: Outcome, reason: &str) {
+        let took = self.node.now().since(self.params.arrived);
         let mut record = lock(&self.record);
         record.took_ms = Some(took.as_millis());
         record.outcome = Some(outcome);
         drop(record);
-        note_over(&self.node, &self.terms, outcome, reason);
+        log_finished(&self.node, &self.params, outcome, reason);
     }
 
-    fn note_attempt(&self, dispatch: &Dispatch) {
-        let sent = self.node.now().since(self.terms.arrived);
+    fn record_attempt(&self, dispatch: &Dispatch) {
+        let sent = self.node.now().since(self.params.arrived);
         lock(&self.record).attempts.push(AttemptRecord {
             attempt: dispatch.attempt,
             sent_ms: sent.as_millis(),
@@ -237,11 +237,11 @@
     }
 }
 
-impl Drop for Exchange {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.node.desk.withdraw(self.ticket.key, self.node.now());
+        self.node.dispatcher.cancel(self.ticket.key, self.node.now());
         if lock(&self.record).outcome.is_none() {
-            self.close(Outcome::Unknown, "caller_gone");
+            self.record_outcome(Outcome::Unknown, "caller_gone");
         }
     }
 }
@@ -250,7 +250,7 @@
 #[derive(Debug)]
 pub enum AfterAttempt {
     /// The request is tried again.
-    TryAgain,
+    Retry,
     /// It has its whole answer.
     Answered,
     /// It is over without one.
@@ -259,7 +259,7 @@
 
 /// Why a request does not go on to an attempt.
 #[derive(Debug)]
-pub enum Step {
+pub enum NoAttempt {
     /// It failed.
     Failed(Failure),
     /// Its key has a recorded result.
@@ -275,22 +275,22 @@
     }
 }
 
-fn reason_word(reason: Refusal) -> &'static str {
+fn reason_name(reason: Refusal) -> &'static str {
     Failure::refused(Outcome::NotRun, reason, 0).reason
 }
 
-fn word_of<T: serde::Serialize>(value: &T) -> String {
+fn serialized_name<T: serde::Serialize>(value: &T) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
 
-fn note_over(node: &Node, terms: &Terms, outcome: Outcome, reason: &str) {
-    let outcome = word_of(&outcome);
-    node.metrics.request(&terms.kind_name, &outcome, reason);
+fn log_finished(node: &Node, params: &RequestParams, outcome: Outcome, reason: &str) {
+    let outcome = serialized_name(&outcome);
+    node.metrics.request(&params.kind_name, &outcome, reason);
     if reason.is_empty() {
-        emit!(debug, REQUEST_OVER, request = terms.request, kind = terms.kind_name, outcome);
+        emit!(debug, REQUEST_OVER, request = params.request, kind = params.kind_name, outcome);
     } else {
-        emit!(debug, REQUEST_REFUSED, request = terms.request, kind = terms.kind_name, outcome, reason);
+        emit!(debug, REQUEST_REFUSED, request = params.request, kind = params.kind_name, outcome, reason);
     }
 }
 
@@ -302,38 +302,38 @@
     /// The caller's body.
     pub body: serde_json::Map<String, Value>,
     /// Hash of the body.
-    pub content: u64,
+    pub content_hash: u64,
 }
 
 /// Run a completion, with the pieces of its answer to `out`.
-pub async fn complete(mut exchange: Exchange, completion: Completion, clients: Clients, out: mpsc::Sender<Piece>) {
-    let mut assembly = Assembly::new(exchange.terms.request.clone(), 0);
+pub async fn complete(mut active: ActiveRequest, completion: Completion, clients: Clients, out: mpsc::Sender<Piece>) {
+    let mut assembly = Assembly::new(active.params.request.clone(), 0);
     let result = loop {
         let next = tokio::select! {
-            next = exchange.next_dispatch(completion.content) => next,
+            next = active.next_dispatch(completion.content_hash) => next,
             () = out.closed() => return,
         };
         let dispatch = match next {
             Ok(dispatch) => dispatch,
-            Err(Step::Failed(failure)) => break Err(failure),
-            Err(Step::Recorded(recorded)) => break Err(already_answered(&recorded)),
+            Err(NoAttempt::Failed(failure)) => break Err(failure),
+            Err(NoAttempt::Recorded(recorded)) => break Err(already_answered(&recorded)),
         };
-        let progress = exchange.progress();
-        let ask = EngineAsk {
+        let progress = active.progress();
+        let call = EngineCall {
             path: completion.path,
             body: &completion.body,
-            request: &exchange.terms.request,
-            priority: exchange.terms.kind.priority,
-            repeatable: exchange.terms.kind.repeatable,
+            request: &active.params.request,
+            priority: active.params.kind.priority,
+            repeatable: active.params.kind.repeatable,
             progress: &progress,
         };
-        let node = Arc::clone(&exchange.node);
-        let ended = generate(&node, &clients, &ask, &dispatch, &mut assembly, &mut exchange.ticket, &out).await;
+        let node = Arc::clone(&active.node);
+        let ended = generate(&node, &clients, &call, &dispatch, &mut assembly, &mut active.ticket, &out).await;
         if out.is_closed() && ended.end == AttemptEnd::Cancelled {
             return;
         }
-        match exchange.attempt_ended(&ended) {
-            AfterAttempt::TryAgain => {}
+        match active.attempt_ended(&ended) {
+            AfterAttempt::Retry => {}
             AfterAttempt::Answered => break Ok(()),
             AfterAttempt::Failed(failure) => break Err(failure),
         }
@@ -344,7 +344,7 @@
         content_type: "application/json".to_owned(),
         body: None,
     };
-    exchange.over(result.clone().map(recorded).as_ref()).await;
+    active.finish(result.clone().map(recorded).as_ref()).await;
     if let Err(failure) = result {
         let _ = out.send(Piece::Failed(failure)).await;
     }
@@ -368,7 +368,7 @@
     arrived + Span::millis(ms)
 }
 
-impl Exchange {
+impl ActiveRequest {
     /// The commands that may stop a running attempt.
     pub const fn ticket(&mut self) -> &mut Ticket {
         &mut self.ticket
--- a/crates/daemon/src/dispatch/failure.rs
+++ b/crates/daemon/src/dispatch/failure.rs
@@ -43,19 +43,19 @@
         Self { retry_after_ms: Some(retry_after_ms), ..Self::new(outcome, word, message) }
     }
 
-    pub(super) fn ended(outcome: Outcome, words: &str) -> Self {
+    pub(super) fn ended(outcome: Outcome, detail: &str) -> Self {
         let message = match outcome {
             Outcome::Whole => "the answer was whole",
             Outcome::NotRun => "no endpoint ran it",
             Outcome::Ran => "an endpoint ran it, and the answer is not whole",
             Outcome::Unknown => "whether an endpoint ran it cannot be known",
         };
-        Self::new(outcome, "endpoint_failed", format!("{message}{}{words}", if words.is_empty() { "" } else { ": " }))
+        Self::new(outcome, "endpoint_failed", format!("{message}{}{detail}", if detail.is_empty() { "" } else { ": " }))
     }
 
     /// What a second request with the same key is told, when nothing is recorded.
-    pub(super) fn second(second: &Duplicate) -> Self {
-        match second {
+    pub(super) fn duplicate(duplicate: &Duplicate) -> Self {
+        match duplicate {
             Duplicate::InProgress => Self {
                 status: Some(409),
                 ..Self::new(Outcome::Unknown, "in_progress", "the request with this key is still running")
--- a/crates/daemon/src/dispatch/progress.rs
+++ b/crates/daemon/src/dispatch/progress.rs
@@ -27,9 +27,9 @@
     }
 
     /// Note tokens that arrived just now.
-    pub fn note(&self, tokens: u32) {
+    pub fn record_tokens(&self, tokens: u32) {
         let now = self.node.now();
-        self.node.desk.progress(self.key, tokens, now);
+        self.node.dispatcher.progress(self.key, tokens, now);
         let mut record = lock(&self.record);
         let Some(attempt) = record.attempts.last_mut() else { return };
         attempt.tokens += tokens;
--- a/crates/daemon/src/dispatch/records.rs
+++ b/crates/daemon/src/dispatch/records.rs
@@ -8,7 +8,7 @@
 use dahliaseam_wire::operator::RequestRecord;
 
 /// Requests that are remembered.
-const KEPT: usize = 4_096;
+const MAX_RECORDS: usize = 4_096;
 
 /// A record that is still being written.
 pub type OpenRecord = Arc<Mutex<RequestRecord>>;
@@ -33,7 +33,7 @@
         let mut ring = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         ring.by_id.insert(id.clone(), Arc::clone(&open));
         ring.order.push_back(id);
-        if ring.order.len() > KEPT
+        if ring.order.len() > MAX_RECORDS
             && let Some(oldest) = ring.order.pop_front()
         {
             ring.by_id.remove(&oldest);
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -32,28 +32,28 @@
 };
 
 /// Bytes of an endpoint's error that are read.
-const MAX_ERROR: usize = 4 << 10;
+const MAX_ERROR_BYTES: usize = 4 << 10;
 
 /// The clients that reach endpoints.
 #[derive(Clone, Debug)]
 pub struct Clients {
     /// For requests that may be repeated.
-    pub kept: HttpClient,
+    pub reused: HttpClient,
     /// For those that may not: a fresh connection cannot close under the write.
     pub fresh: HttpClient,
 }
 
 impl Default for Clients {
     fn default() -> Self {
-        Self { kept: HttpClient::new(Reuse::Keep), fresh: HttpClient::new(Reuse::Fresh) }
+        Self { reused: HttpClient::new(Reuse::Keep), fresh: HttpClient::new(Reuse::Fresh) }
     }
 }
 
 impl Clients {
     /// The client for a kind.
     #[must_use]
-    pub const fn of(&self, repeatable: bool) -> &HttpClient {
-        if repeatable { &self.kept } else { &self.fresh }
+    pub const fn for_kind(&self, repeatable: bool) -> &HttpClient {
+        if repeatable { &self.reused } else { &self.fresh }
     }
 }
 
@@ -70,18 +70,18 @@
 
 /// How an attempt ended, and at which of its engines.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// How.
     pub end: AttemptEnd,
     /// Where.
-    pub at: Site,
+    pub site: Site,
     /// The endpoint's own words, when it rejected the request.
-    pub words: String,
+    pub detail: String,
 }
 
-impl Ended {
-    fn new(end: AttemptEnd, at: Site) -> Self {
-        Self { end, at, words: String::new() }
+impl AttemptResult {
+    fn new(end: AttemptEnd, site: Site) -> Self {
+        Self { end, site, detail: String::new() }
     }
 
     fn serving(end: AttemptEnd) -> Self {
@@ -91,7 +91,7 @@
 
 /// What an engine is asked, besides the dispatch.
 #[derive(Debug)]
-pub struct EngineAsk<'a> {
+pub struct EngineCall<'a> {
     /// The request's path.
     pub path: &'static str,
     /// The caller's body.
@@ -110,52 +110,52 @@
 pub async fn generate(
     node: &Arc<Node>,
     clients: &Clients,
-    ask: &EngineAsk<'_>,
+    call: &EngineCall<'_>,
     dispatch: &Dispatch,
     assembly: &mut Assembly,
     ticket: &mut Ticket,
     out: &mpsc::Sender<Piece>,
-) -> Ended {
+) -> AttemptResult {
     let span = info_span!(
         "attempt",
         attempt = dispatch.attempt,
         endpoint = dispatch.endpoint.name,
         prefill = dispatch.prefill.as_ref().map(|t| t.name.as_str()),
     );
-    let work = generate_inner(node, clients, ask, dispatch, assembly, out).instrument(span);
+    let work = generate_inner(node, clients, call, dispatch, assembly, out).instrument(span);
     tokio::select! {
         ended = work => ended,
-        end = ticket.stopped() => Ended::serving(end),
-        () = out.closed() => Ended::serving(AttemptEnd::Cancelled),
+        end = ticket.stopped() => AttemptResult::serving(end),
+        () = out.closed() => AttemptResult::serving(AttemptEnd::Cancelled),
     }
 }
 
 async fn generate_inner(
     node: &Arc<Node>,
     clients: &Clients,
-    ask: &EngineAsk<'_>,
+    call: &EngineCall<'_>,
     dispatch: &Dispatch,
     assembly: &mut Assembly,
     out: &mpsc::Sender<Piece>,
-) -> Ended {
+) -> AttemptResult {
     let mut head = Ask {
-        request: ask.request.to_owned(),
+        request: call.request.to_owned(),
         attempt: dispatch.attempt,
-        priority: ask.priority,
+        priority: call.priority,
         resume_at: assembly.delivered(),
         export: false,
         import: None,
     };
-    let client = clients.of(ask.repeatable);
+    let client = clients.for_kind(call.repeatable);
     if let Some(prefill) = &dispatch.prefill {
-        match export(client, ask, &head, prefill).await {
+        match run_prefill(client, call, &head, prefill).await {
             Ok(import) => head.import = Some(import),
-            Err(end) => return Ended::new(end, Site::Prefill),
+            Err(end) => return AttemptResult::new(end, Site::Prefill),
         }
     }
     assembly.resume(dispatch.attempt);
     let prompt_ran = head.import.is_some();
-    let resp = match open(client, ask, &head, &dispatch.endpoint).await {
+    let resp = match start_call(client, call, &head, &dispatch.endpoint).await {
         Ok(resp) => resp,
         Err(mut ended) => {
             // The prompt was processed elsewhere, so "not run" would not be true.
@@ -165,19 +165,24 @@
             return ended;
         }
     };
-    Ended::serving(receive(node, ask, assembly, resp, out).await)
+    AttemptResult::serving(receive(node, call, assembly, resp, out).await)
 }
 
 /// Have `target` process the prompt, and learn where its KV cache is.
-async fn export(client: &HttpClient, ask: &EngineAsk<'_>, head: &Ask, target: &Target) -> Result<Import, AttemptEnd> {
+async fn run_prefill(
+    client: &HttpClient,
+    call: &EngineCall<'_>,
+    head: &Ask,
+    target: &Target,
+) -> Result<Import, AttemptEnd> {
     let head = Ask { export: true, ..head.clone() };
-    let resp = open(client, ask, &head, target).await.map_err(|ended| ended.end)?;
+    let resp = start_call(client, call, &head, target).await.map_err(|ended| ended.end)?;
     let mut events = BodyDataStream::new(resp.into_body()).eventsource();
     while let Some(event) = events.next().await {
         let event = event.map_err(|_| AttemptEnd::Broken)?;
-        let Some((mark, _, _)) = read_frame(&event.data) else { continue };
-        let ours = mark.id.request == head.request && mark.id.attempt == head.attempt;
-        if let Some(handle) = mark.handle.filter(|_| ours && mark.end) {
+        let Some((mark, _, _)) = parse_frame(&event.data) else { continue };
+        let is_own = mark.id.request == head.request && mark.id.attempt == head.attempt;
+        if let Some(handle) = mark.handle.filter(|_| is_own && mark.end) {
             return Ok(Import { from: target.address.to_string(), handle });
         }
     }
@@ -185,37 +190,37 @@
 }
 
 /// Send a request to an engine and judge the head of its answer.
-async fn open(
+async fn start_call(
     client: &HttpClient,
-    ask: &EngineAsk<'_>,
+    call: &EngineCall<'_>,
     head: &Ask,
     target: &Target,
-) -> Result<Response<Incoming>, Ended> {
-    let mut body = ask.body.clone();
+) -> Result<Response<Incoming>, AttemptResult> {
+    let mut body = call.body.clone();
     body.insert("stream".to_owned(), Value::Bool(true));
     body.insert(EXTENSION.to_owned(), serde_json::to_value(head).unwrap_or_default());
     let body = Bytes::from(Value::Object(body).to_string());
-    let req = Request::post(format!("http://{}{}", target.address, ask.path))
+    let req = Request::post(format!("http://{}{}", target.address, call.path))
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body));
     let Ok(mut req) = req else {
-        return Err(Ended::serving(AttemptEnd::NotSent));
+        return Err(AttemptResult::serving(AttemptEnd::NotSent));
     };
     telemetry::inject(&tracing::Span::current(), req.headers_mut());
-    let resp = client.send(req).await.map_err(|e| Ended::serving(end_of(&e)))?;
-    judge(resp).await
+    let resp = client.send(req).await.map_err(|e| AttemptResult::serving(attempt_end(&e)))?;
+    check_response(resp).await
 }
 
 /// How an attempt ends when its call gave no answer.
 #[must_use]
-pub const fn end_of(error: &CallError) -> AttemptEnd {
+pub const fn attempt_end(error: &CallError) -> AttemptEnd {
     match error {
         CallError::NotSent(_) => AttemptEnd::NotSent,
         CallError::Lost(_) | CallError::Refused(..) => AttemptEnd::Lost,
     }
 }
 
-async fn judge(resp: Response<Incoming>) -> Result<Response<Incoming>, Ended> {
+async fn check_response(resp: Response<Incoming>) -> Result<Response<Incoming>, AttemptResult> {
     let status = resp.status();
     if status.is_success() {
         return Ok(resp);
@@ -227,21 +232,21 @@
     } else {
         AttemptEnd::Lost
     };
-    let body = Limited::new(resp.into_body(), MAX_ERROR).collect().await;
-    let words = body.map(|b| String::from_utf8_lossy(&b.to_bytes()).into_owned()).unwrap_or_default();
-    Err(Ended { end, at: Site::Serving, words })
+    let body = Limited::new(resp.into_body(), MAX_ERROR_BYTES).collect().await;
+    let detail = body.map(|b| String::from_utf8_lossy(&b.to_bytes()).into_owned()).unwrap_or_default();
+    Err(AttemptResult { end, site: Site::Serving, detail })
 }
 
 /// Whether an endpoint vouches that nothing ran.
 #[must_use]
 pub fn is_not_run(resp: &Response<Incoming>) -> bool {
-    let refuses = matches!(resp.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::FAILED_DEPENDENCY);
-    refuses && resp.headers().contains_key(NOT_RUN)
+    let status_fits = matches!(resp.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::FAILED_DEPENDENCY);
+    status_fits && resp.headers().contains_key(NOT_RUN)
 }
 
 async fn receive(
     node: &Arc<Node>,
-    ask: &EngineAsk<'_>,
+    call: &EngineCall<'_>,
     assembly: &mut Assembly,
     resp: Response<Incoming>,
     out: &mpsc::Sender<Piece>,
@@ -249,24 +254,24 @@
     let mut events = BodyDataStream::new(resp.into_body()).eventsource();
     while let Some(event) = events.next().await {
         let Ok(event) = event else { return AttemptEnd::Broken };
-        let Some((mark, text, finish)) = read_frame(&event.data) else { continue };
+        let Some((mark, text, finish)) = parse_frame(&event.data) else { continue };
         if mark.end {
             if assembly.is_whole(&mark.id) {
                 let _ = out.send(Piece::End(finish)).await;
                 return AttemptEnd::Whole;
             }
             if assembly.accept(&mark.id, 0) == Verdict::Foreign {
-                drop_frame(node, ask.request, "foreign");
+                drop_frame(node, call.request, "foreign");
                 continue;
             }
             return AttemptEnd::Broken;
         }
         match deliver(assembly, &mark, text, out).await {
-            Ok(Verdict::Deliver) => ask.progress.note(mark.tokens),
-            Ok(Verdict::Foreign) => drop_frame(node, ask.request, "foreign"),
-            Ok(Verdict::Duplicate) => drop_frame(node, ask.request, "duplicate"),
+            Ok(Verdict::Deliver) => call.progress.record_tokens(mark.tokens),
+            Ok(Verdict::Foreign) => drop_frame(node, call.request, "foreign"),
+            Ok(Verdict::Duplicate) => drop_frame(node, call.request, "duplicate"),
             Ok(Verdict::Gap) => return AttemptEnd::Broken,
-            Err(Closed) => return AttemptEnd::Cancelled,
+            Err(CallerGone) => return AttemptEnd::Cancelled,
         }
     }
     AttemptEnd::Broken
@@ -274,7 +279,7 @@
 
 /// The caller takes no more pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Closed;
+pub struct CallerGone;
 
 /// Pass a frame's text on if it is the next of its answer.
 ///
@@ -285,13 +290,13 @@
     mark: &Mark,
     text: String,
     out: &mpsc::Sender<Piece>,
-) -> Result<Verdict, Closed> {
+) -> Result<Verdict, CallerGone> {
     // It counts as delivered together with its being passed on: the attempt may be stopped at any wait, and the next one
     // goes on after what counts.
-    let room = out.reserve().await.map_err(|_| Closed)?;
+    let permit = out.reserve().await.map_err(|_| CallerGone)?;
     let verdict = assembly.accept(&mark.id, mark.tokens);
     if verdict == Verdict::Deliver {
-        room.send(Piece::Text(text, mark.tokens));
+        permit.send(Piece::Text(text, mark.tokens));
     }
     Ok(verdict)
 }
@@ -302,7 +307,7 @@
 }
 
 /// A frame's mark, text and finish reason.
-fn read_frame(data: &str) -> Option<(Mark, String, String)> {
+fn parse_frame(data: &str) -> Option<(Mark, String, String)> {
     let value: Value = serde_json::from_str(data).ok()?;
     let mark = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
     let choice = value.get("choices").and_then(|c| c.get(0))?;
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -17,7 +17,7 @@
 use crate::{emit, node::Node};
 
 #[derive(Debug, Default)]
-struct State {
+struct Inner {
     marks: BTreeMap<String, Marks>,
     closed_vms: HashSet<String>,
     cordoned: HashSet<String>,
@@ -25,17 +25,17 @@
 
 /// What is known of endpoints that get no new work.
 #[derive(Debug, Default)]
-pub struct Duties {
-    state: Mutex<State>,
+pub struct Availability {
+    inner: Mutex<Inner>,
 }
 
-impl Duties {
-    fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+impl Availability {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Take in marks, unless newer ones of the shard are in force; returns whether they are now.
-    pub fn mark(&self, marks: Marks) -> bool {
+    pub fn apply_marks(&self, marks: Marks) -> bool {
         let mut state = self.lock();
         let rank = |m: &Marks| (m.epoch, m.sequence);
         if let Some(present) = state.marks.get(&marks.shard)
@@ -82,13 +82,13 @@
     }
 
     /// Forget what endpoints said that this daemon no longer asks.
-    pub fn forget_cordoned(&self, still_asked: impl Fn(&str) -> bool) {
-        self.lock().cordoned.retain(|name| still_asked(name));
+    pub fn retain_cordoned(&self, is_polled: impl Fn(&str) -> bool) {
+        self.lock().cordoned.retain(|name| is_polled(name));
     }
 
     /// Why an endpoint gets no new work.
     #[must_use]
-    pub fn closed_why(&self, name: &str, spec: &EndpointSpec) -> Option<&'static str> {
+    pub fn closed_reason(&self, name: &str, spec: &EndpointSpec) -> Option<&'static str> {
         let state = self.lock();
         let marked = |m: &Marks| m.leaving.iter().any(|e| e == name);
         if spec.drained {
@@ -113,36 +113,36 @@
 pub fn apply(node: &Node) {
     let doc = node.document();
     let now = node.now();
-    let roles = node.duties.roles();
+    let roles = node.availability.roles();
     for (name, endpoint) in &doc.endpoints {
-        let why = node.duties.closed_why(name, &endpoint.spec);
-        let duty = if why.is_some() { AdminState::Draining } else { AdminState::Serving };
-        if node.desk.set_duty(name, duty, now) {
+        let why = node.availability.closed_reason(name, &endpoint.spec);
+        let state = if why.is_some() { AdminState::Draining } else { AdminState::Serving };
+        if node.dispatcher.set_admin_state(name, state, now) {
             emit!(info, ENDPOINT_DUTY, endpoint = name, open = why.is_none(), why = why.unwrap_or_default());
         }
         if let Some(role) = roles.get(name) {
-            node.desk.set_role(name, *role);
+            node.dispatcher.set_role(name, *role);
         }
     }
 }
 
 /// Follow the platform's list until the daemon is over.
-pub async fn follow_list(node: Arc<Node>) {
-    let every = Duration::from_millis(node.settings.timing.list_ms);
-    while !node.stop.over.is_cancelled() {
+pub async fn watch_vm_list(node: Arc<Node>) {
+    let interval = Duration::from_millis(node.settings.timing.list_ms);
+    while !node.stop.finished.is_cancelled() {
         let asked = node.now();
         match node.vm_list.vms().await {
-            Ok(list) => take_list(&node, &list, asked),
+            Ok(list) => apply_vm_list(&node, &list, asked),
             Err(e) => emit!(debug, LIST_LOST, why = %e),
         }
         tokio::select! {
-            () = tokio::time::sleep(every) => {}
-            () = node.stop.over.cancelled() => {}
+            () = tokio::time::sleep(interval) => {}
+            () = node.stop.finished.cancelled() => {}
         }
     }
 }
 
-fn take_list(node: &Arc<Node>, list: &[ListedVm], asked: Time) {
+fn apply_vm_list(node: &Arc<Node>, list: &[ListedVm], asked: Time) {
     let me = list.iter().find(|vm| vm.part == VmPart::Entry && vm.vm == node.settings.vm);
     let Some(me) = me else {
         emit!(warn, LIST_REFUSED, vms = list.len());
@@ -158,14 +158,14 @@
         .map(|vm| Contact { vm: vm.vm.clone(), hall: vm.hall.clone(), address: vm.address.clone() })
         .collect();
     node.members().set_listed(&entries);
-    node.duties.set_closed_vms(closed(node, list));
+    node.availability.set_closed_vms(closed_vms(node, list));
     node.freshness().confirm_list(asked);
-    node.board.note_list(list, asked);
+    node.control.apply_vm_list(list, asked);
     apply(node);
 }
 
 /// VMs of configured endpoints that are leaving or not listed.
-fn closed(node: &Node, list: &[ListedVm]) -> HashSet<String> {
+fn closed_vms(node: &Node, list: &[ListedVm]) -> HashSet<String> {
     let staying: HashSet<_> = list.iter().filter(|vm| !vm.leaving).map(|vm| vm.vm.as_str()).collect();
     let doc = node.document();
     let vms = doc.endpoints.values().map(|e| &e.spec.vm);
--- a/crates/daemon/src/endpoint/observe.rs
+++ b/crates/daemon/src/endpoint/observe.rs
@@ -21,30 +21,30 @@
 /// Daemons that ask one engine.
 const OBSERVERS: usize = 2;
 /// Time for one call.
-const CALL: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Rounds between two looks at cache events.
-const CACHE_ROUNDS: u64 = 4;
+const ROUNDS_PER_CACHE_POLL: u64 = 4;
 
 /// Ask engines until the daemon is over.
 pub async fn run(node: Arc<Node>) {
-    let every = Duration::from_millis(node.settings.timing.observe_ms);
+    let interval = Duration::from_millis(node.settings.timing.observe_ms);
     let client = HttpClient::new(Reuse::Keep);
-    let mut seen = HashMap::new();
+    let mut last_events = HashMap::new();
     for round in 0_u64.. {
-        let mine = assigned(&node);
-        node.duties.forget_cordoned(|name| mine.iter().any(|(n, _)| n == name));
-        join_all(mine.iter().map(|(name, spec)| ask(&node, &client, name, spec))).await;
-        if round.is_multiple_of(CACHE_ROUNDS) {
-            for (name, spec) in &mine {
-                let after = seen.entry(name.clone()).or_insert(0);
-                cache_events(&node, &client, name, spec, after).await;
+        let assigned_engines = assigned(&node);
+        node.availability.retain_cordoned(|name| assigned_engines.iter().any(|(n, _)| n == name));
+        join_all(assigned_engines.iter().map(|(name, spec)| poll_status(&node, &client, name, spec))).await;
+        if round.is_multiple_of(ROUNDS_PER_CACHE_POLL) {
+            for (name, spec) in &assigned_engines {
+                let last_event = last_events.entry(name.clone()).or_insert(0);
+                poll_cache_events(&node, &client, name, spec, last_event).await;
             }
-            seen.retain(|name, _| mine.iter().any(|(n, _)| n == name));
+            last_events.retain(|name, _| assigned_engines.iter().any(|(n, _)| n == name));
         }
         duties::apply(&node);
         tokio::select! {
-            () = tokio::time::sleep(every) => {}
-            () = node.stop.over.cancelled() => return,
+            () = tokio::time::sleep(interval) => {}
+            () = node.stop.finished.cancelled() => return,
         }
     }
 }
@@ -71,26 +71,26 @@
         .collect()
 }
 
-async fn ask(node: &Node, client: &HttpClient, name: &str, spec: &EndpointSpec) {
+async fn poll_status(node: &Node, client: &HttpClient, name: &str, spec: &EndpointSpec) {
     let asked = node.now();
     let url = format!("http://{}{STATUS_PATH}", spec.address);
-    if let Ok(report) = client.get::<StatusReport>(&url, CALL).await {
-        take(node, name, &report, asked);
+    if let Ok(report) = client.get::<StatusReport>(&url, CALL_TIMEOUT).await {
+        apply_status(node, name, &report, asked);
     }
 }
 
 /// Take in what an engine said when asked at `asked`.
-pub fn take(node: &Node, name: &str, report: &StatusReport, asked: Time) {
-    node.desk.observe(name, report.load, asked - Span::millis(report.load_age_ms));
-    node.desk.set_role(name, report.status.role);
-    node.duties.set_cordoned(name, report.status.cordoned || report.status.changing);
+pub fn apply_status(node: &Node, name: &str, report: &StatusReport, asked: Time) {
+    node.dispatcher.observe(name, report.load, asked - Span::millis(report.load_age_ms));
+    node.dispatcher.set_role(name, report.status.role);
+    node.availability.set_cordoned(name, report.status.cordoned || report.status.changing);
 }
 
-async fn cache_events(node: &Node, client: &HttpClient, name: &str, spec: &EndpointSpec, after: &mut u64) {
-    let url = format!("http://{}{CACHE_PATH}?after={after}", spec.address);
-    let Ok(events) = client.get::<Vec<CacheEvent>>(&url, CALL).await else { return };
+async fn poll_cache_events(node: &Node, client: &HttpClient, name: &str, spec: &EndpointSpec, last_event: &mut u64) {
+    let url = format!("http://{}{CACHE_PATH}?after={last_event}", spec.address);
+    let Ok(events) = client.get::<Vec<CacheEvent>>(&url, CALL_TIMEOUT).await else { return };
     for event in events {
-        *after = (*after).max(event.number);
-        node.desk.cache_event(name, event.prefix, event.cached, node.now());
+        *last_event = (*last_event).max(event.number);
+        node.dispatcher.cache_event(name, event.prefix, event.cached, node.now());
     }
 }
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -20,7 +20,7 @@
         autoscaler, blamed, freshness_probe, leadership, listener, metrics::GatewayMetrics, orders, pages, peers,
         quota, snapshot_transfer, state::Gateway, store_watch, suspension, usage,
     },
-    listener::{Terms, serve_with},
+    listener::{ConnectionLimits, serve_with},
 };
 
 /// Time after the stop signal during which new connections may still arrive: the load balancer checks every second and
@@ -118,9 +118,12 @@
 
 async fn serve_pages(gw: Arc<Gateway>, listener: TcpListener, router: Router) {
     let stop = gw.stop.finished.clone();
-    let terms =
-        || Terms { connections: MAX_PAGE_CONNECTIONS, head_time: PAGE_IDLE_TIMEOUT, head_bytes: MAX_PAGE_HEAD_BYTES };
-    let answer = crate::listener::router_answer(router);
+    let terms = || ConnectionLimits {
+        connections: MAX_PAGE_CONNECTIONS,
+        head_timeout: PAGE_IDLE_TIMEOUT,
+        max_head_bytes: MAX_PAGE_HEAD_BYTES,
+    };
+    let answer = crate::listener::router_handler(router);
     serve_with(listener, answer, terms, gw.stop.closing.clone(), stop).await;
 }
 
--- a/crates/daemon/src/gateway/listener.rs
+++ b/crates/daemon/src/gateway/listener.rs
@@ -8,7 +8,7 @@
 use crate::{
     clock::duration,
     gateway::{request, state::Gateway},
-    listener::{Terms, serve_with},
+    listener::{ConnectionLimits, serve_with},
 };
 
 /// Idle timeout of a connection before a configuration is known.
@@ -31,13 +31,13 @@
     serve_with(listener, answer, terms, gw.stop.begun.clone(), gw.stop.closing.clone()).await;
 }
 
-fn terms(gw: &Gateway) -> Terms {
+fn terms(gw: &Gateway) -> ConnectionLimits {
     let limits = gw.table().map(|table| table.limits);
     // One timer covers both the wait for a request and its head, so the longer limit applies.
     let head_time = limits.map_or(DEFAULT_HEAD_TIMEOUT, |limits| limits.idle_time.max(limits.head_time));
-    Terms {
+    ConnectionLimits {
         connections: gw.settings.caller_connections(),
-        head_time: duration(head_time),
-        head_bytes: limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes) + HEAD_MARGIN_BYTES,
+        head_timeout: duration(head_time),
+        max_head_bytes: limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes) + HEAD_MARGIN_BYTES,
     }
 }
--- a/crates/daemon/src/health.rs
+++ b/crates/daemon/src/health.rs
@@ -40,6 +40,6 @@
 
 async fn metrics(State(node): State<Arc<Node>>) -> Response {
     let live = node.members().live_count();
-    node.metrics.state(node.document().generation, node.desk.counts().0, live);
+    node.metrics.state(node.document().generation, node.dispatcher.counts().0, live);
     ([(CONTENT_TYPE, PROMETHEUS)], node.metrics.text()).into_response()
 }
--- a/crates/daemon/src/listener.rs
+++ b/crates/daemon/src/listener.rs
@@ -25,25 +25,25 @@
 
 /// Time for the first request of connections that were taken last. Callers send it as soon as
 /// they are connected; the way takes a few milliseconds.
-const LAST_READ: Duration = Duration::from_millis(30);
+const FINAL_READ_TIME: Duration = Duration::from_millis(30);
 
 /// What a listener allows.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ConnectionLimits {
     /// Connections at once at most.
     pub connections: usize,
     /// Time in which a head must have come, or for which an idle connection is kept.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Bytes of a head at most.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
 }
 
-impl From<Limits> for Terms {
+impl From<Limits> for ConnectionLimits {
     fn from(limits: Limits) -> Self {
         Self {
             connections: limits.connections,
-            head_time: Duration::from_millis(limits.header_ms),
-            head_bytes: limits.header_bytes,
+            head_timeout: Duration::from_millis(limits.header_ms),
+            max_head_bytes: limits.header_bytes,
         }
     }
 }
@@ -56,11 +56,11 @@
     begun: CancellationToken,
     closing: CancellationToken,
 ) {
-    serve_with(listener, router_answer(router), move || Terms::from(limits), begun, closing).await;
+    serve_with(listener, router_handler(router), move || ConnectionLimits::from(limits), begun, closing).await;
 }
 
 /// A router's way to answer, for [`serve_with`].
-pub fn router_answer(
+pub fn router_handler(
     router: Router,
 ) -> impl Fn(Request<Incoming>) -> BoxFuture<'static, Response<Body>> + Clone + Send + 'static {
     move |req| {
@@ -75,8 +75,8 @@
 /// connection, so that when the listener closes few are left on which a caller may be writing.
 pub async fn serve_with<F, A, B>(
     listener: TcpListener,
-    answer: F,
-    terms: impl Fn() -> Terms,
+    handler: F,
+    limits: impl Fn() -> ConnectionLimits,
     begun: CancellationToken,
     closing: CancellationToken,
 ) where
@@ -86,29 +86,29 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let places = Arc::new(Semaphore::new(terms().connections));
-    let server = Server { answer, terms, begun, places, graceful: GracefulShutdown::new() };
+    let permits = Arc::new(Semaphore::new(limits().connections));
+    let server = Server { handler, limits, begun, permits, graceful: GracefulShutdown::new() };
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = closing.cancelled() => break,
         };
         match accepted {
-            Ok((stream, _)) => server.take(stream),
+            Ok((stream, _)) => server.spawn_connection(stream),
             Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
-    for stream in waiting(listener) {
-        server.take(stream);
+    for stream in accept_pending(listener) {
+        server.spawn_connection(stream);
     }
     // Connections on which nothing was read yet are closed at once by the next step.
-    tokio::time::sleep(LAST_READ).await;
+    tokio::time::sleep(FINAL_READ_TIME).await;
     server.graceful.shutdown().await;
 }
 
 /// Connections that came about and were not taken before the listener closes. Their callers may
 /// have sent requests already.
-fn waiting(listener: TcpListener) -> Vec<TcpStream> {
+fn accept_pending(listener: TcpListener) -> Vec<TcpStream> {
     let listener = match listener.into_std() {
         Ok(listener) => listener,
         Err(e) => {
@@ -127,33 +127,33 @@
 
 /// What each connection is served by.
 struct Server<F, T> {
-    answer: F,
-    terms: T,
+    handler: F,
+    limits: T,
     begun: CancellationToken,
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     graceful: GracefulShutdown,
 }
 
 impl<F, T> Server<F, T> {
     /// Serve a connection, if there is a place for it.
-    fn take<A, B>(&self, stream: TcpStream)
+    fn spawn_connection<A, B>(&self, stream: TcpStream)
     where
         F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
         A: Future<Output = Response<B>> + Send + 'static,
         B: hyper::body::Body + Send + 'static,
         B::Data: Send,
         B::Error: Into<Box<dyn Error + Send + Sync>>,
-        T: Fn() -> Terms,
+        T: Fn() -> ConnectionLimits,
     {
-        let terms = (self.terms)();
-        let Ok(place) = Arc::clone(&self.places).try_acquire_owned() else {
-            emit!(warn, CONNECTION_REFUSED, limit = terms.connections);
+        let limits = (self.limits)();
+        let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
+            emit!(warn, CONNECTION_REFUSED, limit = limits.connections);
             return;
         };
         let _ = stream.set_nodelay(true);
-        let (answer, begun) = (self.answer.clone(), self.begun.clone());
+        let (handler, begun) = (self.handler.clone(), self.begun.clone());
         let service = service_fn(move |req: Request<Incoming>| {
-            let (answering, begun) = (answer(req), begun.clone());
+            let (answering, begun) = (handler(req), begun.clone());
             async move {
                 let mut resp = answering.await;
                 if begun.is_cancelled() {
@@ -164,13 +164,13 @@
         });
         let conn = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(terms.head_time)
-            .max_buf_size(terms.head_bytes)
+            .header_read_timeout(limits.head_timeout)
+            .max_buf_size(limits.max_head_bytes)
             .serve_connection(TokioIo::new(stream), service);
         let conn = self.graceful.watch(conn);
         tokio::spawn(async move {
             let _ = conn.await;
-            drop(place);
+            drop(permit);
         });
     }
 }
--- a/crates/daemon/src/membership/identity.rs
+++ b/crates/daemon/src/membership/identity.rs
@@ -8,14 +8,14 @@
 #[derive(Debug)]
 pub struct Identity {
     me: Incarnation,
-    next: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl Identity {
     /// The identity of one run of a daemon.
     #[must_use]
     pub const fn new(me: Incarnation) -> Self {
-        Self { me, next: AtomicU64::new(1) }
+        Self { me, next_number: AtomicU64::new(1) }
     }
 
     /// This run.
@@ -26,9 +26,9 @@
 
     /// A fresh identifier: VM, start and number.
     #[must_use]
-    pub fn fresh(&self) -> String {
-        let n = self.next.fetch_add(1, Ordering::Relaxed);
-        format!("{}.{:x}.{n}", self.me.vm, self.me.start)
+    pub fn new_id(&self) -> String {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        format!("{}.{:x}.{number}", self.me.vm, self.me.start)
     }
 }
 
--- a/crates/daemon/src/membership/peer_server.rs
+++ b/crates/daemon/src/membership/peer_server.rs
@@ -24,12 +24,12 @@
 /// Connections of other daemons at once.
 const MAX_CONNECTIONS: u32 = 4_096;
 
-struct Calls {
+struct PeerHandler {
     node: Arc<Node>,
 }
 
 #[async_trait]
-impl PeerServer for Calls {
+impl PeerServer for PeerHandler {
     async fn probe(&self, probe: Probe) -> RpcResult<Answer> {
         Ok(peers::answer_probe(&self.node, probe))
     }
@@ -57,28 +57,28 @@
 
     async fn marks(&self, marks: Marks) -> RpcResult<MarksAnswer> {
         let (shard, epoch, leaving) = (marks.shard.clone(), marks.epoch, marks.leaving.clone());
-        let taken = self.node.duties.mark(marks);
+        let taken = self.node.availability.apply_marks(marks);
         if taken {
             duties::apply(&self.node);
         } else {
             emit!(warn, MARKS_REFUSED, shard, epoch);
         }
         let in_flight = leaving.into_iter().map(|name| {
-            let (protected, others) = self.node.desk.in_flight(&name);
+            let (protected, others) = self.node.dispatcher.in_flight(&name);
             (name, protected, others)
         });
         Ok(MarksAnswer { taken, in_flight: in_flight.collect() })
     }
 
     async fn all_marks(&self) -> RpcResult<Vec<Marks>> {
-        Ok(self.node.duties.marks())
+        Ok(self.node.availability.marks())
     }
 
     async fn demand(&self) -> RpcResult<DemandReport> {
         let now = self.node.now();
         let doc = self.node.document();
         let pools = doc.pools.keys().filter_map(|pool| {
-            let (short, long) = self.node.desk.demand(pool, now)?;
+            let (short, long) = self.node.dispatcher.demand(pool, now)?;
             Some(PoolDemand { pool: pool.clone(), short, long })
         });
         Ok(DemandReport { pools: pools.collect() })
@@ -89,7 +89,7 @@
     }
 
     async fn status(&self) -> RpcResult<VmStatus> {
-        Ok(operator::status::of(&self.node))
+        Ok(operator::status::vm_status(&self.node))
     }
 }
 
@@ -99,38 +99,38 @@
 /// Why the address cannot be bound.
 pub async fn start(node: Arc<Node>) -> Result<ServerHandle, StartError> {
     let address = node.settings.peer_address.clone();
-    let guard = tower::ServiceBuilder::new().layer(GuardLayer { node: Arc::clone(&node) });
+    let auth = tower::ServiceBuilder::new().layer(AuthLayer { node: Arc::clone(&node) });
     let config = jsonrpsee::server::ServerConfig::builder().max_connections(MAX_CONNECTIONS).build();
     let server = Server::builder()
         .set_config(config)
-        .set_http_middleware(guard)
+        .set_http_middleware(auth)
         .build(&address)
         .await
         .map_err(|e| StartError::Bind("peer_address", address, e))?;
-    Ok(server.start(Calls { node }.into_rpc()))
+    Ok(server.start(PeerHandler { node }.into_rpc()))
 }
 
 /// Lets only calls with the secret through.
 #[derive(Clone)]
-struct GuardLayer {
+struct AuthLayer {
     node: Arc<Node>,
 }
 
-impl<S> Layer<S> for GuardLayer {
-    type Service = Guard<S>;
+impl<S> Layer<S> for AuthLayer {
+    type Service = AuthService<S>;
 
-    fn layer(&self, inner: S) -> Guard<S> {
-        Guard { inner, node: Arc::clone(&self.node) }
+    fn layer(&self, inner: S) -> AuthService<S> {
+        AuthService { inner, node: Arc::clone(&self.node) }
     }
 }
 
 #[derive(Clone)]
-struct Guard<S> {
+struct AuthService<S> {
     inner: S,
     node: Arc<Node>,
 }
 
-impl<S, B> Service<HttpRequest<B>> for Guard<S>
+impl<S, B> Service<HttpRequest<B>> for AuthService<S>
 where
     S: Service<HttpRequest<B>, Response = HttpResponse>,
     S::Future: Send + 'static,
@@ -145,9 +145,9 @@
     }
 
     fn call(&mut self, req: HttpRequest<B>) -> Self::Future {
-        let wanted = self.node.settings.peer_secret.bearer();
-        let shown = req.headers().get(AUTHORIZATION).map(http::HeaderValue::as_bytes);
-        if shown == Some(wanted.as_bytes()) {
+        let expected = self.node.settings.peer_secret.bearer();
+        let presented = req.headers().get(AUTHORIZATION).map(http::HeaderValue::as_bytes);
+        if presented == Some(expected.as_bytes()) {
             return Box::pin(self.inner.call(req));
         }
         self.node.metrics.refused_call("peer");
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -15,9 +15,9 @@
 
 use crate::{
     clock::Clock,
-    control::board::Board,
-    dispatch::{claims::Claims, desk::Desk, records::Records},
-    endpoint::duties::Duties,
+    control::board::ControlState,
+    dispatch::{claims::Claims, desk::SharedDispatcher, records::Records},
+    endpoint::duties::Availability,
     membership::{identity::Identity, peers::PeerClients},
     metrics::Metrics,
 };
@@ -36,7 +36,7 @@
     /// The platform's list of VMs.
     pub vm_list: Arc<dyn VmList>,
     /// The dispatcher with its waiters.
-    pub desk: Desk,
+    pub dispatcher: SharedDispatcher,
     /// The other daemons.
     pub members: Mutex<Members>,
     /// Connections to them.
@@ -46,7 +46,7 @@
     /// How sure this daemon is of its copies.
     pub freshness: Mutex<Freshness>,
     /// Which endpoints get work.
-    pub duties: Duties,
+    pub availability: Availability,
     /// Claims of keyed requests.
     pub claims: Claims,
     /// The latest requests.
@@ -54,7 +54,7 @@
     /// What is counted.
     pub metrics: Metrics,
     /// What control is doing.
-    pub board: Board,
+    pub control: ControlState,
     /// How far a planned stop is.
     pub stop: Stop,
 }
@@ -67,7 +67,7 @@
     /// No more work is taken.
     pub closing: CancellationToken,
     /// Background tasks are to end.
-    pub over: CancellationToken,
+    pub finished: CancellationToken,
     /// The requests under way.
     pub requests: TaskTracker,
 }
@@ -115,13 +115,13 @@
 
     /// Whether new work may be taken at all.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.document().generation > 0 && self.standing() != Standing::CutOff
     }
 
     /// Whether the balancer should send work here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.takes_work() && !self.stop.begun.is_cancelled()
+        self.accepts_work() && !self.stop.begun.is_cancelled()
     }
 }
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -29,14 +29,14 @@
         .route("/v1/apply", post(resources::apply))
         .route("/v1/{kind}", get(resources::list))
         .route("/v1/{kind}/{name}", get(resources::get).put(resources::put).delete(resources::delete))
-        .layer(middleware::from_fn_with_state(Arc::clone(&node), guard))
+        .layer(middleware::from_fn_with_state(Arc::clone(&node), authenticate))
         .with_state(node)
 }
 
-async fn guard(State(node): State<Arc<Node>>, req: Request, next: Next) -> Response {
-    let wanted = node.settings.operator_token.bearer();
-    let shown = req.headers().get(AUTHORIZATION).map(http::HeaderValue::as_bytes);
-    if shown == Some(wanted.as_bytes()) {
+async fn authenticate(State(node): State<Arc<Node>>, req: Request, next: Next) -> Response {
+    let expected = node.settings.operator_token.bearer();
+    let presented = req.headers().get(AUTHORIZATION).map(http::HeaderValue::as_bytes);
+    if presented == Some(expected.as_bytes()) {
         return next.run(req).await;
     }
     node.metrics.refused_call("operator");
@@ -59,7 +59,7 @@
         client.status().await.ok()
     });
     let answers = join_all(asked).await;
-    let mut report = StatusReport { vms: vec![status::of(&node)], silent: Vec::new() };
+    let mut report = StatusReport { vms: vec![status::vm_status(&node)], silent: Vec::new() };
     for (contact, answer) in others.iter().zip(answers) {
         match answer {
             Some(vm) => report.vms.push(vm),
@@ -74,7 +74,8 @@
     let Some(vm) = vm_of(&id) else {
         return error(StatusCode::BAD_REQUEST, "invalid", "a request's identifier is VM.START.NUMBER");
     };
-    let record = if vm == node.settings.vm { Ok(node.records.get(&id)) } else { ask_other(&node, vm, &id).await };
+    let record =
+        if vm == node.settings.vm { Ok(node.records.get(&id)) } else { explain_from_peer(&node, vm, &id).await };
     match record {
         Ok(Some(record)) => Json(record).into_response(),
         Ok(None) => error(StatusCode::NOT_FOUND, "not_found", "the VM does not remember this request"),
@@ -82,7 +83,7 @@
     }
 }
 
-async fn ask_other(node: &Arc<Node>, vm: &str, id: &str) -> Result<Option<RequestRecord>, String> {
+async fn explain_from_peer(node: &Arc<Node>, vm: &str, id: &str) -> Result<Option<RequestRecord>, String> {
     let address = node.members().by_vm(vm).map(|m| m.contact.address.clone());
     let client = address.and_then(|address| node.peers.get(node, &address));
     let client = client.ok_or_else(|| format!("there is no VM {vm}"))?;
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -20,12 +20,12 @@
 
 use super::{error, status};
 use crate::{
-    configuration::configure::{self, NotAccepted},
+    configuration::configure::{self, ChangeError},
     node::Node,
 };
 
 /// Time between two looks of a watch at the statuses.
-const WATCH_LOOK: Duration = Duration::from_millis(250);
+const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Deserialize)]
 pub(super) struct ListQuery {
@@ -38,7 +38,7 @@
     resource_version: Option<u64>,
 }
 
-fn kind_of(name: &str) -> Result<ResourceKind, Box<Response>> {
+fn parse_kind(name: &str) -> Result<ResourceKind, Box<Response>> {
     let known = || ResourceKind::ALL.iter().map(|k| k.plural()).collect::<Vec<_>>().join(", ");
     ResourceKind::named(name).ok_or_else(|| {
         Box::new(error(StatusCode::NOT_FOUND, "not_found", format!("there are {}, not {name:?}", known())))
@@ -52,11 +52,11 @@
         name: name.to_owned(),
         resource_version,
         spec,
-        status: status::of_resource(node, doc, kind, name),
+        status: status::resource_status(node, doc, kind, name),
     })
 }
 
-fn all(node: &Node, doc: &Document, kind: ResourceKind) -> Vec<Resource> {
+fn all_resources(node: &Node, doc: &Document, kind: ResourceKind) -> Vec<Resource> {
     doc.names(kind).iter().filter_map(|(name, _)| resource(node, doc, kind, name)).collect()
 }
 
@@ -65,7 +65,7 @@
     Path(kind): Path<String>,
     Query(query): Query<ListQuery>,
 ) -> Response {
-    let kind = match kind_of(&kind) {
+    let kind = match parse_kind(&kind) {
         Ok(kind) => kind,
         Err(resp) => return *resp,
     };
@@ -73,11 +73,11 @@
         return watch(node, kind);
     }
     let doc = node.document();
-    Json(ResourceList { generation: doc.generation, items: all(&node, &doc, kind) }).into_response()
+    Json(ResourceList { generation: doc.generation, items: all_resources(&node, &doc, kind) }).into_response()
 }
 
 pub(super) async fn get(State(node): State<Arc<Node>>, Path((kind, name)): Path<(String, String)>) -> Response {
-    let kind = match kind_of(&kind) {
+    let kind = match parse_kind(&kind) {
         Ok(kind) => kind,
         Err(resp) => return *resp,
     };
@@ -93,16 +93,16 @@
     Path((kind, name)): Path<(String, String)>,
     body: Bytes,
 ) -> Response {
-    let kind = match kind_of(&kind) {
+    let kind = match parse_kind(&kind) {
         Ok(kind) => kind,
         Err(resp) => return *resp,
     };
     let body: PutBody = match from_json(&body) {
         Ok(body) => body,
-        Err(e) => return unreadable(&node, e),
+        Err(e) => return invalid_body(&node, e),
     };
     let change = Change { kind, name, based_on: body.resource_version, spec: Some(body.spec) };
-    answer(configure::change(&node, &[change]).await)
+    change_response(configure::change(&node, &[change]).await)
 }
 
 pub(super) async fn delete(
@@ -110,34 +110,34 @@
     Path((kind, name)): Path<(String, String)>,
     Query(query): Query<DeleteQuery>,
 ) -> Response {
-    let kind = match kind_of(&kind) {
+    let kind = match parse_kind(&kind) {
         Ok(kind) => kind,
         Err(resp) => return *resp,
     };
     let change = Change { kind, name, based_on: query.resource_version, spec: None };
-    answer(configure::change(&node, &[change]).await)
+    change_response(configure::change(&node, &[change]).await)
 }
 
 pub(super) async fn apply(State(node): State<Arc<Node>>, body: Bytes) -> Response {
     let body: ApplyBody = match from_json(&body) {
         Ok(body) => body,
-        Err(e) => return unreadable(&node, e),
+        Err(e) => return invalid_body(&node, e),
     };
     let changes: Vec<_> = body
         .resources
         .into_iter()
         .map(|r| Change { kind: r.kind, name: r.name, based_on: r.resource_version, spec: Some(r.spec) })
         .collect();
-    answer(configure::change(&node, &changes).await)
+    change_response(configure::change(&node, &changes).await)
 }
 
-fn unreadable(node: &Node, e: ReadError) -> Response {
+fn invalid_body(node: &Node, e: ReadError) -> Response {
     node.metrics.refused_call("operator");
     let ReadError::Invalid(path, expected) = e;
-    invalid(vec![Problem { path, expected }])
+    invalid_change(vec![Problem { path, expected }])
 }
 
-fn invalid(problems: Vec<Problem>) -> Response {
+fn invalid_change(problems: Vec<Problem>) -> Response {
     let body = ApiError {
         code: "invalid".to_owned(),
         message: "the change is not valid; nothing was changed".to_owned(),
@@ -157,51 +157,52 @@
     (StatusCode::CONFLICT, Json(body)).into_response()
 }
 
-fn answer(result: Result<u64, NotAccepted>) -> Response {
+fn change_response(result: Result<u64, ChangeError>) -> Response {
     match result {
         Ok(generation) => Json(Accepted { generation }).into_response(),
-        Err(NotAccepted::Refused(Refused::Conflict { present })) => conflict(present),
-        Err(NotAccepted::Refused(Refused::NotFound)) => {
+        Err(ChangeError::Refused(Refused::Conflict { present })) => conflict(present),
+        Err(ChangeError::Refused(Refused::NotFound)) => {
             error(StatusCode::NOT_FOUND, "not_found", "there is no such resource")
         }
-        Err(NotAccepted::Refused(Refused::Invalid(problems))) => invalid(problems),
-        Err(NotAccepted::Unavailable(why)) => error(StatusCode::SERVICE_UNAVAILABLE, "unavailable", why),
-        Err(NotAccepted::Unknown(why)) => error(StatusCode::GATEWAY_TIMEOUT, "unknown", why),
+        Err(ChangeError::Refused(Refused::Invalid(problems))) => invalid_change(problems),
+        Err(ChangeError::Unavailable(why)) => error(StatusCode::SERVICE_UNAVAILABLE, "unavailable", why),
+        Err(ChangeError::Unknown(why)) => error(StatusCode::GATEWAY_TIMEOUT, "unknown", why),
     }
 }
 
 /// The resources as a watch last told of them.
-struct Watch {
+struct ResourceWatch {
     node: Arc<Node>,
     kind: ResourceKind,
-    told: BTreeMap<String, Resource>,
+    sent: BTreeMap<String, Resource>,
 }
 
 fn watch(node: Arc<Node>, kind: ResourceKind) -> Response {
-    let state = Watch { node, kind, told: BTreeMap::new() };
+    let state = ResourceWatch { node, kind, sent: BTreeMap::new() };
     let lines = stream::unfold(state, |mut state| async move {
         loop {
             if state.node.stop.closing.is_cancelled() {
                 return None;
             }
-            let lines = state.news();
+            let lines = state.changed_lines();
             if !lines.is_empty() {
                 return Some((Ok::<_, Infallible>(Bytes::from(lines)), state));
             }
-            tokio::time::sleep(WATCH_LOOK).await;
+            tokio::time::sleep(WATCH_INTERVAL).await;
         }
     });
     ([("content-type", "application/x-ndjson")], Body::from_stream(lines)).into_response()
 }
 
-impl Watch {
+impl ResourceWatch {
     /// A line for each resource that changed since the last look.
-    fn news(&mut self) -> String {
+    fn changed_lines(&mut self) -> String {
         let doc = self.node.document();
-        let now: BTreeMap<_, _> = all(&self.node, &doc, self.kind).into_iter().map(|r| (r.name.clone(), r)).collect();
-        let changed = now.values().filter(|r| self.told.get(&r.name).is_none_or(|told| differs(told, r)));
+        let now: BTreeMap<_, _> =
+            all_resources(&self.node, &doc, self.kind).into_iter().map(|r| (r.name.clone(), r)).collect();
+        let changed = now.values().filter(|r| self.sent.get(&r.name).is_none_or(|sent| has_changed(sent, r)));
         let mut events: Vec<_> = changed.map(|r| WatchEvent::Put { resource: r.clone() }).collect();
-        let gone = self.told.keys().filter(|name| !now.contains_key(*name));
+        let gone = self.sent.keys().filter(|name| !now.contains_key(*name));
         events.extend(gone.map(|name| WatchEvent::Delete {
             kind: self.kind,
             name: name.clone(),
@@ -209,8 +210,8 @@
         }));
         for event in &events {
             match event {
-                WatchEvent::Put { resource } => self.told.insert(resource.name.clone(), resource.clone()),
-                WatchEvent::Delete { name, .. } => self.told.remove(name),
+                WatchEvent::Put { resource } => self.sent.insert(resource.name.clone(), resource.clone()),
+                WatchEvent::Delete { name, .. } => self.sent.remove(name),
             };
         }
         events.iter().filter_map(|e| serde_json::to_string(e).ok()).map(|line| line + "\n").collect()
@@ -218,15 +219,15 @@
 }
 
 /// Fields of a status that change all the time and are no news by themselves.
-const RESTLESS: [&str; 5] = ["load", "load_age_ms", "in_flight", "window", "demand_here"];
+const VOLATILE_FIELDS: [&str; 5] = ["load", "load_age_ms", "in_flight", "window", "demand_here"];
 
-fn differs(told: &Resource, now: &Resource) -> bool {
-    let settled = |r: &Resource| {
+fn has_changed(sent: &Resource, now: &Resource) -> bool {
+    let stable_status = |r: &Resource| {
         let mut status = r.status.clone();
         if let Some(fields) = status.as_object_mut() {
-            fields.retain(|name, _| !RESTLESS.contains(&name.as_str()));
+            fields.retain(|name, _| !VOLATILE_FIELDS.contains(&name.as_str()));
         }
         status
     };
-    told.resource_version != now.resource_version || settled(told) != settled(now)
+    sent.resource_version != now.resource_version || stable_status(sent) != stable_status(now)
 }
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -11,9 +11,9 @@
 
 /// The state of this daemon.
 #[must_use]
-pub fn of(node: &Node) -> VmStatus {
+pub fn vm_status(node: &Node) -> VmStatus {
     let now = node.now();
-    let (held, waiting) = node.desk.counts();
+    let (held, waiting) = node.dispatcher.counts();
     let confirmed = node.freshness().config_at();
     let members = node.members();
     let mut others: Vec<_> = members
@@ -33,17 +33,17 @@
         hall: node.settings.hall.clone(),
         start,
         ready: node.is_ready(),
-        standing: standing(node).to_owned(),
+        standing: standing_text(node).to_owned(),
         generation: node.document().generation,
         confirmed_ms: confirmed.map_or(u64::MAX, |at| now.since(at).as_millis()),
-        shards: node.board.shards(),
+        shards: node.control.shards(),
         held,
         waiting,
         members: others,
     }
 }
 
-fn standing(node: &Node) -> &'static str {
+fn standing_text(node: &Node) -> &'static str {
     if node.stop.begun.is_cancelled() {
         return "stopping";
     }
@@ -56,21 +56,21 @@
 
 /// What is seen of one resource, from this daemon.
 #[must_use]
-pub fn of_resource(node: &Node, doc: &Document, kind: ResourceKind, name: &str) -> Value {
+pub fn resource_status(node: &Node, doc: &Document, kind: ResourceKind, name: &str) -> Value {
     match kind {
-        ResourceKind::Endpoint => endpoint(node, doc, name),
-        ResourceKind::Pool => pool(node, doc, name),
-        ResourceKind::Role => changes(node, doc, name),
+        ResourceKind::Endpoint => endpoint_status(node, doc, name),
+        ResourceKind::Pool => pool_status(node, doc, name),
+        ResourceKind::Role => role_status(node, doc, name),
         _ => json!({ "generation_in_force": doc.generation }),
     }
 }
 
-fn endpoint(node: &Node, doc: &Document, name: &str) -> Value {
+fn endpoint_status(node: &Node, doc: &Document, name: &str) -> Value {
     let now = node.now();
     let Some(spec) = doc.endpoints.get(name).map(|e| &e.spec) else { return Value::Null };
-    let Some(view) = node.desk.endpoints(now).remove(name) else { return Value::Null };
-    let closed = node.duties.closed_why(name, spec).or(view.ejected.then_some("ejected after faults"));
-    let change = node.board.change_of(name).map(|change| format!("changing {change}"));
+    let Some(view) = node.dispatcher.endpoints(now).remove(name) else { return Value::Null };
+    let closed = node.availability.closed_reason(name, spec).or(view.ejected.then_some("ejected after faults"));
+    let change = node.control.change_in_progress(name).map(|change| format!("changing {change}"));
     let status = EndpointStatus {
         role: view.role,
         open: view.open,
@@ -80,17 +80,17 @@
         in_flight: view.in_flight,
         window: view.window,
         fencing: spec.fencing,
-        waits_for: node.board.wait_of(name),
+        waits_for: node.control.wait_reason(name),
     };
     serde_json::to_value(status).unwrap_or_default()
 }
 
-fn pool(node: &Node, doc: &Document, name: &str) -> Value {
+fn pool_status(node: &Node, doc: &Document, name: &str) -> Value {
     let now = node.now();
-    let views = node.desk.endpoints(now);
+    let views = node.dispatcher.endpoints(now);
     let mine = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == name);
     let open = mine.clone().filter(|(n, _)| views.get(*n).is_some_and(|v| v.open)).count();
-    let demand = node.desk.demand(name, now);
+    let demand = node.dispatcher.demand(name, now);
     json!({
         "endpoints": mine.count(),
         "open": open,
@@ -98,9 +98,9 @@
     })
 }
 
-fn changes(node: &Node, doc: &Document, name: &str) -> Value {
+fn role_status(node: &Node, doc: &Document, name: &str) -> Value {
     let mine = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == name);
-    let changing: Vec<_> = mine.filter_map(|(n, _)| Some(json!({ n: node.board.change_of(n)? }))).collect();
-    let holder = node.board.shards().into_iter().any(|(shard, _)| shard == name);
+    let changing: Vec<_> = mine.filter_map(|(n, _)| Some(json!({ n: node.control.change_in_progress(n)? }))).collect();
+    let holder = node.control.shards().into_iter().any(|(shard, _)| shard == name);
     json!({ "held_here": holder, "changing": changing })
 }
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -64,9 +64,9 @@
     Ok(builder.with_batch_exporter(exporter).build())
 }
 
-struct Headers<'a>(&'a mut http::HeaderMap);
+struct HeaderInjector<'a>(&'a mut http::HeaderMap);
 
-impl Injector for Headers<'_> {
+impl Injector for HeaderInjector<'_> {
     fn set(&mut self, key: &str, value: String) {
         let name = http::HeaderName::from_bytes(key.as_bytes());
         if let (Ok(name), Ok(value)) = (name, http::HeaderValue::from_str(&value)) {
@@ -75,9 +75,9 @@
     }
 }
 
-struct Received<'a>(&'a http::HeaderMap);
+struct HeaderExtractor<'a>(&'a http::HeaderMap);
 
-impl opentelemetry::propagation::Extractor for Received<'_> {
+impl opentelemetry::propagation::Extractor for HeaderExtractor<'_> {
     fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).and_then(|v| v.to_str().ok())
     }
@@ -90,12 +90,12 @@
 /// Put the span's trace context on a request.
 pub fn inject(span: &Span, headers: &mut http::HeaderMap) {
     let cx = span.context();
-    global::get_text_map_propagator(|p| p.inject_context(&cx, &mut Headers(headers)));
+    global::get_text_map_propagator(|p| p.inject_context(&cx, &mut HeaderInjector(headers)));
 }
 
 /// Make the span a child of the context that a request carries.
-pub fn adopt(span: &Span, headers: &http::HeaderMap) {
-    let cx = global::get_text_map_propagator(|p| p.extract(&Received(headers)));
+pub fn continue_trace(span: &Span, headers: &http::HeaderMap) {
+    let cx = global::get_text_map_propagator(|p| p.extract(&HeaderExtractor(headers)));
     // Fails only when no subscriber listens, and then there is no trace to join.
     let _ = span.set_parent(cx);
 }
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -30,11 +30,11 @@
 use serde_json::json;
 use stand_ins::{kv::Kv, serve::free_address, vms::VmList};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A peer that names a generation and hands no configuration over.
-struct Peer {
+struct PeerStandIn {
     contact: Contact,
     generation: Arc<AtomicU64>,
     probes: Arc<AtomicU64>,
@@ -45,7 +45,7 @@
 }
 
 #[async_trait]
-impl PeerServer for Peer {
+impl PeerServer for PeerStandIn {
     async fn probe(&self, _: Probe) -> RpcResult<Answer> {
         self.probes.fetch_add(1, Ordering::SeqCst);
         let own = Update { contact: self.contact.clone(), start: 1, refutation: 0, health: Health::Alive };
@@ -84,7 +84,7 @@
     }
 }
 
-async fn put(address: &str, path: &str, method: &str, body: &serde_json::Value) {
+async fn send(address: &str, path: &str, method: &str, body: &serde_json::Value) {
     let client = dahliaseam_border::http::HttpClient::new(dahliaseam_border::http::Reuse::Fresh);
     let req = http::Request::builder()
         .method(method)
@@ -92,27 +92,27 @@
         .header("content-type", "application/json")
         .body(http_body_util::Full::from(bytes::Bytes::from(body.to_string())))
         .expect("the parts are valid");
-    let (status, _) = client.fetch(req, PATIENCE).await.expect("the stand-in answers");
+    let (status, _) = client.fetch(req, TIMEOUT).await.expect("the stand-in answers");
     assert!(status.is_success());
 }
 
-async fn wait(what: &str, holds: impl AsyncFn() -> bool) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
+    let until = tokio::time::Instant::now() + TIMEOUT;
     while !holds().await {
         assert!(tokio::time::Instant::now() < until, "not in time: {what}");
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 #[tokio::test]
-async fn a_majority_does_not_count_while_a_newer_configuration_is_missing() {
+async fn a_daemon_stays_cut_off_until_it_has_a_known_newer_configuration() {
     let kv = Kv::start("127.0.0.1:0").await.expect("a free port");
     let vms = VmList::start("127.0.0.1:0").await.expect("a free port");
     let (kv_address, list) = (kv.server().address().to_string(), vms.server().address().to_string());
     let (peer_address, other) = (free_address(), free_address());
     let contact = Contact { vm: "entry-2".into(), hall: "h".into(), address: other.clone() };
     let (generation, probes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let peer = Peer { contact, generation: Arc::clone(&generation), probes: Arc::clone(&probes) };
+    let peer = PeerStandIn { contact, generation: Arc::clone(&generation), probes: Arc::clone(&probes) };
     let server = Server::builder().build(&other).await.expect("a free port").start(peer.into_rpc());
 
     let settings: Settings = serde_json::from_value(json!({
@@ -129,21 +129,22 @@
         { "vm": "entry-1", "hall": "h", "address": peer_address, "part": "entry" },
         { "vm": "entry-2", "hall": "h", "address": other, "part": "entry" },
     ]);
-    put(&list, "/vms", "PUT", &entries).await;
+    send(&list, "/vms", "PUT", &entries).await;
     let node = Arc::clone(daemon.node());
     let team = Change { kind: ResourceKind::Team, name: "t".into(), based_on: None, spec: Some(json!({ "rate": 1 })) };
-    wait("the change is accepted", async || configure::change(&node, std::slice::from_ref(&team)).await.is_ok()).await;
+    wait_until("the change is accepted", async || configure::change(&node, std::slice::from_ref(&team)).await.is_ok())
+        .await;
 
     // The platform is gone; the peer has no newer configuration: go on.
-    put(&kv_address, "/fault", "POST", &json!({ "down": true })).await;
-    put(&list, "/vms", "PUT", &serde_json::Value::Null).await;
-    wait("it goes on by its majority", async || node.standing() == Standing::GoOn).await;
+    send(&kv_address, "/fault", "POST", &json!({ "down": true })).await;
+    send(&list, "/vms", "PUT", &serde_json::Value::Null).await;
+    wait_until("it goes on by its majority", async || node.standing() == Standing::GoOn).await;
 
     // The peer names a newer one that it does not hand over.
     generation.store(99, Ordering::SeqCst);
-    wait("it is cut off", async || node.standing() == Standing::CutOff).await;
+    wait_until("it is cut off", async || node.standing() == Standing::CutOff).await;
     let before = probes.load(Ordering::SeqCst);
-    wait("it is probed further", async || probes.load(Ordering::SeqCst) > before + 5).await;
+    wait_until("it is probed further", async || probes.load(Ordering::SeqCst) > before + 5).await;
     assert_eq!(node.standing(), Standing::CutOff, "answers alone do not make it ready");
     let _ = server.stop();
     daemon.abort();
--- a/crates/daemon/tests/delivery.rs
+++ b/crates/daemon/tests/delivery.rs
@@ -4,7 +4,7 @@
 
 use dahliaseam_core::frame::{Assembly, FrameId, Verdict};
 use dahliaseam_wire::engine::Mark;
-use dahliaseamd::endpoint::attempt::{Closed, Piece, deliver};
+use dahliaseamd::endpoint::attempt::{CallerGone, Piece, deliver};
 use tokio::sync::mpsc;
 
 const REQUEST: &str = "r-1";
@@ -23,7 +23,7 @@
 /// stopped while it waited for that, and the next one went on after it. With a pause of 2 ms at that place each of
 /// four runs lost words so.
 #[tokio::test]
-async fn a_piece_that_was_not_passed_on_is_asked_for_again() {
+async fn a_piece_whose_delivery_was_cancelled_does_not_count_as_delivered() {
     let (tx, mut rx) = mpsc::channel(1);
     let mut assembly = assembly();
     assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Ok(Verdict::Deliver));
@@ -42,16 +42,16 @@
 }
 
 #[tokio::test]
-async fn nothing_counts_as_delivered_to_a_caller_that_left() {
+async fn nothing_counts_as_delivered_after_the_caller_disconnected() {
     let (tx, rx) = mpsc::channel(1);
     drop(rx);
     let mut assembly = assembly();
-    assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Err(Closed));
+    assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Err(CallerGone));
     assert_eq!(assembly.delivered(), 0);
 }
 
 #[tokio::test]
-async fn what_is_not_the_next_piece_takes_no_room() {
+async fn a_piece_out_of_order_is_not_queued() {
     let (tx, mut rx) = mpsc::channel(1);
     let mut assembly = assembly();
     assert_eq!(deliver(&mut assembly, &mark(1), "second ".to_owned(), &tx).await, Ok(Verdict::Gap));
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -4,7 +4,7 @@
 
 use dahliaseamd::event::ALL;
 
-const HEAD: &str = "\
+const HEADER: &str = "\
 # Events
 
 Each line of the daemon's log that says something happened carries `code` and `event`. A number
@@ -17,7 +17,7 @@
 
 #[test]
 fn the_catalogue_lists_exactly_the_events_in_the_code() {
-    let mut table = String::from(HEAD);
+    let mut table = String::from(HEADER);
     for event in ALL {
         writeln!(table, "| {} | {} | {} |", event.code, event.name, event.meaning).expect("a string grows");
     }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -24,9 +24,9 @@
     net::TcpStream,
 };
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-struct One {
+struct Deployment {
     daemon: Controller,
     address: String,
     engine: EngineStandIn,
@@ -39,7 +39,7 @@
 }
 
 /// One daemon and one engine, in this process.
-async fn start() -> One {
+async fn start() -> Deployment {
     let kv = Kv::start("127.0.0.1:0").await.expect("a free port");
     let vms = VmList::start("127.0.0.1:0").await.expect("a free port");
     let engine = EngineStandIn::start(EngineSetup {
@@ -79,12 +79,12 @@
             json!({ "priority": 3, "weight": 1, "deadline_ms": 20_000, "repeatable": true }),
         ),
     ];
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let until = tokio::time::Instant::now() + TIMEOUT;
     while configure::change(daemon.node(), &changes).await.is_err() {
         assert!(tokio::time::Instant::now() < until, "the resources are not accepted in time");
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    One { daemon, address, engine, _kv: kv, _vms: vms }
+    Deployment { daemon, address, engine, _kv: kv, _vms: vms }
 }
 
 async fn set_list(vms: &VmList, peer: &str) {
@@ -98,15 +98,15 @@
         "PUT /vms HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
         body.len()
     );
-    assert!(exchange(&url, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
+    assert!(send_raw(&url, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
 }
 
 /// Send raw bytes and read until the other side closes.
-async fn exchange(address: &str, bytes: &[u8]) -> String {
+async fn send_raw(address: &str, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
     let _ = stream.write_all(bytes).await;
     let mut buf = Vec::new();
-    let _ = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut buf)).await;
+    let _ = tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut buf)).await;
     String::from_utf8_lossy(&buf).into_owned()
 }
 
@@ -115,8 +115,8 @@
     format!("POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}content-length: {length}\r\n\r\n{body}")
 }
 
-async fn good(one: &One) {
-    let caller = Caller::new(History::in_memory("caller"), PATIENCE);
+async fn assert_serves(deployment: &Deployment) {
+    let caller = Caller::new(History::in_memory("caller"), TIMEOUT);
     let call = Call {
         kind: "chat".into(),
         target: "m".into(),
@@ -125,13 +125,13 @@
         stream: true,
         ..Call::default()
     };
-    let got = caller.send(&one.address, &call).await;
+    let got = caller.send(&deployment.address, &call).await;
     assert_eq!((got.outcome.as_str(), got.exact), ("whole", true), "{got:?}");
 }
 
 #[tokio::test]
-async fn each_wrong_request_gets_its_own_answer() {
-    let one = start().await;
+async fn each_invalid_request_gets_a_specific_error() {
+    let deployment = start().await;
     let kind = "x-dahliaseam-kind: chat\r\n";
     let ask = r#"{"model":"m","prompt":"hello"}"#;
     let large = "x".repeat(20_000);
@@ -153,54 +153,54 @@
         (post("/v1/completions", kind, &large), 413, "body_large"),
     ];
     for (bytes, status, reason) in cases {
-        let answer = exchange(&one.address, bytes.as_bytes()).await;
+        let answer = send_raw(&deployment.address, bytes.as_bytes()).await;
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{reason}: {answer}");
         assert!(answer.contains(&format!("\"reason\":\"{reason}\"")), "{reason}: {answer}");
         assert!(answer.contains("\"outcome\":\"not_run\""), "{reason}: {answer}");
     }
-    good(&one).await;
-    one.daemon.stop().await;
+    assert_serves(&deployment).await;
+    deployment.daemon.stop().await;
 }
 
 #[tokio::test]
-async fn slow_and_oversized_connections_end() {
-    let one = start().await;
+async fn slow_and_oversized_requests_are_ended() {
+    let deployment = start().await;
     let slow_body = "POST /v1/completions HTTP/1.1\r\nhost: x\r\nx-dahliaseam-kind: chat\r\ncontent-length: 9\r\n\r\n{";
-    let answer = exchange(&one.address, slow_body.as_bytes()).await;
+    let answer = send_raw(&deployment.address, slow_body.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     let slow_head = "POST /v1/completions HTTP/1.1\r\nhost:";
-    let answer = exchange(&one.address, slow_head.as_bytes()).await;
+    let answer = send_raw(&deployment.address, slow_head.as_bytes()).await;
     assert!(!answer.contains("200"), "{answer}");
     let large_head = format!("GET / HTTP/1.1\r\nhost: x\r\nx: {}\r\n\r\n", "y".repeat(40_000));
-    let answer = exchange(&one.address, large_head.as_bytes()).await;
+    let answer = send_raw(&deployment.address, large_head.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-    let answer = exchange(&one.address, b"\x16\x03\x01 not http\r\n\r\n").await;
+    let answer = send_raw(&deployment.address, b"\x16\x03\x01 not http\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
-    good(&one).await;
-    one.daemon.stop().await;
+    assert_serves(&deployment).await;
+    deployment.daemon.stop().await;
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_its_attempt() {
-    let one = start().await;
+async fn a_caller_disconnect_cancels_its_attempt() {
+    let deployment = start().await;
     let body = r#"{"model":"m","prompt":"long","max_tokens":1000,"stream":true}"#;
     let bytes = post("/v1/completions", "x-dahliaseam-kind: chat\r\n", body);
-    let mut stream = TcpStream::connect(&one.address).await.expect("it listens");
+    let mut stream = TcpStream::connect(&deployment.address).await.expect("it listens");
     stream.write_all(bytes.as_bytes()).await.expect("it is open");
     let mut buf = [0; 64];
     let read = stream.read(&mut buf).await.expect("the stream begins");
     assert!(read > 0);
     drop(stream);
-    let status = format!("http://{}/control/status", one.engine.server().address());
+    let status = format!("http://{}/control/status", deployment.engine.server().address());
     let client = dahliaseam_border::http::HttpClient::new(dahliaseam_border::http::Reuse::Fresh);
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let until = tokio::time::Instant::now() + TIMEOUT;
     loop {
-        let report: Value = client.get(&status, PATIENCE).await.expect("the engine answers");
-        if report["status"]["running"] == 0 && one.daemon.node().desk.counts().0 == 0 {
+        let report: Value = client.get(&status, TIMEOUT).await.expect("the engine answers");
+        if report["status"]["running"] == 0 && deployment.daemon.node().dispatcher.counts().0 == 0 {
             break;
         }
         assert!(tokio::time::Instant::now() < until, "the attempt still runs: {report}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    one.daemon.stop().await;
+    deployment.daemon.stop().await;
 }
--- a/crates/daemon/tests/listener.rs
+++ b/crates/daemon/tests/listener.rs
@@ -7,22 +7,22 @@
 };
 
 use axum::body::Body;
-use dahliaseamd::listener::{Terms, serve_with};
+use dahliaseamd::listener::{ConnectionLimits, serve_with};
 use http::Response;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n";
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn terms() -> Terms {
-    Terms { connections: 100, head_time: Duration::from_secs(1), head_bytes: 16 << 10 }
+fn terms() -> ConnectionLimits {
+    ConnectionLimits { connections: 100, head_timeout: Duration::from_secs(1), max_head_bytes: 16 << 10 }
 }
 
 /// Callers whose connections came about before the listener closed are answered, even if nobody
 /// had taken them yet.
 #[tokio::test]
-async fn connections_that_wait_when_the_listener_closes_are_served() {
+async fn connections_pending_when_the_listener_closes_are_served() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
     // Nothing is taken until this test awaits.
@@ -34,13 +34,13 @@
     closing.cancel();
     let answer = |_| async { Response::new(Body::from("done")) };
     let serving = serve_with(listener, answer, terms, closing.clone(), closing);
-    tokio::time::timeout(PATIENCE, serving).await.expect("it ends");
+    tokio::time::timeout(TIMEOUT, serving).await.expect("it ends");
     let answered = callers.iter_mut().filter_map(|caller| read(caller).ok()).filter(|text| text.contains("done"));
     assert_eq!(answered.count(), callers.len());
 }
 
 fn read(caller: &mut CallerStream) -> std::io::Result<String> {
-    caller.set_read_timeout(Some(PATIENCE))?;
+    caller.set_read_timeout(Some(TIMEOUT))?;
     let mut text = String::new();
     caller.read_to_string(&mut text)?;
     Ok(text)
