--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -193,12 +193,12 @@
 
 /// The kind of the `n`th request.
 fn pick(mix: &[(&'static str, u64)], n: u64) -> &'static str {
-    let mut at = n * 7 % 10;
+    let mut slot = n * 7 % 10;
     for (kind, share) in mix {
-        if at < *share {
+        if slot < *share {
             return kind;
         }
-        at -= share;
+        slot -= share;
     }
     mix[0].0
 }
--- a/crates/daemon/src/caller/completion.rs
+++ b/crates/daemon/src/caller/completion.rs
@@ -124,26 +124,30 @@
     let (parts, raw) = req.into_parts();
     let params = terms::read(&state.node, &doc, id, &parts.headers)?;
     let raw = body::read(raw, &state.node.settings.limits).await?;
-    let wanted = parse_request(&raw, api, params.kind.output_tokens)?;
-    let (pool, adapter) = resolve(&doc, &wanted.model)?;
+    let completion_req = parse_request(&raw, api, params.kind.output_tokens)?;
+    let (pool, adapter) = resolve(&doc, &completion_req.model)?;
     let content = ContentInfo {
-        prompt_tokens: (wanted.prompt.len() / BYTES_PER_TOKEN + 1) as u32,
-        output_tokens: wanted.output_tokens,
-        prefix: hash::prefix(wanted.prompt.as_bytes()),
+        prompt_tokens: (completion_req.prompt.len() / BYTES_PER_TOKEN + 1) as u32,
+        output_tokens: completion_req.output_tokens,
+        prefix: hash::prefix(completion_req.prompt.as_bytes()),
         adapter,
     };
     let meta = ResponseMeta {
         id: id.to_owned(),
-        model: wanted.model,
+        model: completion_req.model,
         created: wall_millis() / 1_000,
         prompt_tokens: content.prompt_tokens,
     };
     let active = ActiveRequest::submit(&state.node, params, &pool, content)?;
-    let completion = Completion { path: api.path(), content_hash: hash::bytes(&raw), body: wanted.body };
+    let completion = Completion { path: api.path(), content_hash: hash::bytes(&raw), body: completion_req.body };
     let (tx, rx) = mpsc::channel(PIECE_BUFFER);
     let work = complete(active, completion, state.clients.clone(), tx);
     state.node.stop.requests.spawn(work.in_current_span());
-    if wanted.stream { streamed_response(api, meta, rx).await } else { collected_response(api, &meta, rx).await }
+    if completion_req.stream {
+        streamed_response(api, meta, rx).await
+    } else {
+        collected_response(api, &meta, rx).await
+    }
 }
 
 /// The pool that carries a model, and the adapter's identifier if an adapter was asked for.
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -122,12 +122,12 @@
 
 /// Read the document from the service and put it in force.
 async fn read(node: &Arc<Node>) -> Result<Option<Entry>, CallError> {
-    let asked = node.now();
+    let requested_at = node.now();
     node.metrics.kv_call("config_read");
     let entry = node.kv.read(&key(node)).await?;
     match &entry {
-        Some(entry) => apply_entry(node, entry, asked),
-        None => node.freshness().confirm_config(asked),
+        Some(entry) => apply_entry(node, entry, requested_at),
+        None => node.freshness().confirm_config(requested_at),
     }
     Ok(entry)
 }
--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -80,13 +80,13 @@
     }
 
     /// Take in the platform's list as asked for at `asked`.
-    pub fn apply_vm_list(&self, list: &[ListedVm], asked: Time) {
+    pub fn apply_vm_list(&self, list: &[ListedVm], requested_at: Time) {
         let mut inner = self.lock();
         inner.listed = list.iter().map(|vm| vm.vm.clone()).collect();
         let Inner { listed, unlisted_since, .. } = &mut *inner;
         unlisted_since.retain(|vm, _| !listed.contains(vm));
         for since in unlisted_since.values_mut() {
-            *since = (*since).min(asked);
+            *since = (*since).min(requested_at);
         }
     }
 
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -119,8 +119,8 @@
     /// others now and then.
     async fn query_engines(&mut self, node: &Node, doc: &Document) -> Engines {
         let now = node.now();
-        let mine = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == self.pool);
-        let asked = mine.map(|(name, endpoint)| async {
+        let pool_endpoints = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == self.pool);
+        let calls = pool_endpoints.map(|(name, endpoint)| async {
             let (spec, known) = (&endpoint.spec, self.statuses.get(name));
             let known = known.filter(|(at, status)| {
                 now.since(*at) < IDLE_STATUS_INTERVAL && self.is_as_desired(doc, name, spec, status)
@@ -131,10 +131,10 @@
             };
             (name.clone(), (spec.clone(), status))
         });
-        let looked: Vec<_> = join_all(asked).await;
+        let results: Vec<_> = join_all(calls).await;
         self.statuses =
-            looked.iter().filter_map(|(name, (_, statuses))| Some((name.clone(), statuses.clone()?))).collect();
-        looked.into_iter().map(|(name, (spec, statuses))| (name, (spec, statuses.map(|(_, status)| status)))).collect()
+            results.iter().filter_map(|(name, (_, status))| Some((name.clone(), status.clone()?))).collect();
+        results.into_iter().map(|(name, (spec, status))| (name, (spec, status.map(|(_, status)| status)))).collect()
     }
 
     /// Whether an engine is as it is wanted, as far as was seen.
@@ -154,17 +154,17 @@
         }
         self.next_demand_at = now + DEMAND_INTERVAL;
         let (live, addresses) = sample(node, DEMAND_SAMPLE_SIZE - 1);
-        let asked = addresses.iter().map(|address| async {
+        let calls = addresses.iter().map(|address| async {
             let client = node.peers.get(node, address)?;
             node.metrics.peer_call("demand");
             let report = client.demand().await.ok()?;
             report.pools.into_iter().find(|p| p.pool == self.pool).map(|p| (p.short, p.long))
         });
-        let mut statuses: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
-        statuses.extend(node.dispatcher.demand(&self.pool, now));
-        let scale = live as f64 / statuses.len().max(1) as f64;
+        let mut demands: Vec<_> = join_all(calls).await.into_iter().flatten().collect();
+        demands.extend(node.dispatcher.demand(&self.pool, now));
+        let scale = live as f64 / demands.len().max(1) as f64;
         let sum = |pick: fn(&(Demand, Demand)) -> Demand| {
-            let sum = statuses.iter().map(pick).fold(Demand::default(), Demand::plus);
+            let sum = demands.iter().map(pick).fold(Demand::default(), Demand::plus);
             Demand { prefill: sum.prefill * scale, decode: sum.decode * scale }
         };
         self.demand = AverageDemand { short: sum(|d| d.0), long: sum(|d| d.1) };
@@ -223,12 +223,12 @@
         node.availability.apply_marks(marks.clone());
         duties::apply(node);
         let (_, addresses) = sample(node, MARK_FANOUT);
-        let sent_marks = addresses.iter().map(|address| async {
+        let calls = addresses.iter().map(|address| async {
             let client = node.peers.get(node, address)?;
             node.metrics.peer_call("marks");
             client.marks(marks.clone()).await.ok()
         });
-        join_all(sent_marks).await;
+        join_all(calls).await;
         self.sent_marks = Some(marks);
     }
 
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -33,7 +33,7 @@
     key: String,
     record: Option<(EngineRecord, i64)>,
     /// Whether the stored record may name this process; holds on while that is not known.
-    may_be_custodian: bool,
+    may_be_own: bool,
     /// After an order without an answer, nothing is sent before its bytes are surely gone.
     no_send_until: Time,
 }
@@ -55,14 +55,14 @@
             name: name.to_owned(),
             key: format!("{}engines/{name}", node.settings.keyspace),
             record: None,
-            may_be_custodian: false,
+            may_be_own: false,
             no_send_until: Time::default(),
         }
     }
 
     /// Whether the stored record may name this process.
     pub(super) const fn may_be_custodian(&self) -> bool {
-        self.may_be_custodian
+        self.may_be_own
     }
 
     /// Whether an order may be open, or the record is not at hand.
@@ -127,7 +127,7 @@
             return;
         }
         let Some((record, _)) = self.record.clone() else { return };
-        if !self.may_be_custodian {
+        if !self.may_be_own {
             return;
         }
         let record = match &record.intent {
@@ -160,7 +160,7 @@
         };
         let custodian = self.record.as_ref().map(|(record, _)| record.custodian.as_ref());
         if let Some(custodian) = custodian {
-            self.may_be_custodian = custodian == Some(node.identity.me());
+            self.may_be_own = custodian == Some(node.identity.me());
         }
         self.record.is_some()
     }
@@ -171,11 +171,11 @@
         let swap =
             Swap { key: self.key.clone(), expect: revision, value: serde_json::to_string(&next).ok(), lease: None };
         let is_custodian = next.custodian.as_ref() == Some(node.identity.me());
-        self.may_be_custodian |= is_custodian;
+        self.may_be_own |= is_custodian;
         node.metrics.kv_call("record_write");
         if let Ok([Swapped::Done(revision)]) = node.kv.swap_each(vec![swap]).await.as_deref() {
             self.record = Some((next, *revision));
-            self.may_be_custodian = is_custodian;
+            self.may_be_own = is_custodian;
             return true;
         }
         false
--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -120,13 +120,13 @@
             Swap { key: self.holder_key.clone(), expect: 0, value: Some(token.clone()), lease: Some(lease) },
         ];
         node.metrics.kv_call("stand");
-        let won = match node.kv.swap_all(swaps).await {
-            Ok(won) => won,
+        let acquired = match node.kv.swap_all(swaps).await {
+            Ok(acquired) => acquired,
             Err(e) if e.surely_no_effect() => false,
             // The answer is lost: this process's own token tells whether it took effect.
             Err(_) => node.kv.read(&self.holder_key).await?.is_some_and(|e| e.value == token),
         };
-        if !won {
+        if !acquired {
             let _ = node.kv.revoke(lease).await;
             return Ok(());
         }
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -170,17 +170,17 @@
 fn check_existing(
     node: &Node,
     entry: &Entry,
-    mine: &Claim,
+    own: &Claim,
     held: impl Fn(i64) -> HeldClaim,
 ) -> Result<HeldClaim, ClaimError> {
-    let Ok(present) = serde_json::from_str::<Claim>(&entry.value) else {
+    let Ok(existing) = serde_json::from_str::<Claim>(&entry.value) else {
         return Err(ClaimError::Duplicate(Duplicate::Unknown));
     };
-    if present.request == mine.request {
+    if existing.request == own.request {
         return Ok(held(entry.revision));
     }
-    let over = node.members().is_terminated(&present.owner);
-    Err(ClaimError::Duplicate(check_duplicate(&present, mine.content, over)))
+    let owner_terminated = node.members().is_terminated(&existing.owner);
+    Err(ClaimError::Duplicate(check_duplicate(&existing, own.content, owner_terminated)))
 }
 
 async fn settle_lost_answer(
@@ -254,9 +254,9 @@
             tokio::time::sleep(SETTLE_RETRY_DELAY).await;
             let Ok(read) = node.kv.read(&key).await else { continue };
             let Some(entry) = read else { return };
-            let present = serde_json::from_str::<Claim>(&entry.value);
-            let mine = present.is_ok_and(|p| p.request == claim.request && p.result.is_none());
-            if !mine || matches!(swap(&node, &key, entry.revision, desired.as_ref()).await, Ok(Swapped::Done(_))) {
+            let existing = serde_json::from_str::<Claim>(&entry.value);
+            let is_own = existing.is_ok_and(|p| p.request == claim.request && p.result.is_none());
+            if !is_own || matches!(swap(&node, &key, entry.revision, desired.as_ref()).await, Ok(Swapped::Done(_))) {
                 return;
             }
         }
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -240,10 +240,10 @@
     pub fn set_admin_state(&self, name: &str, state: AdminState, now: Time) -> bool {
         let mut inner = self.lock();
         let Some(key) = inner.endpoints.get(name).copied() else { return false };
-        let before = inner.dispatcher.endpoint(key).map(|row| row.admin_state);
+        let previous = inner.dispatcher.endpoint(key).map(|row| row.admin_state);
         let actions = inner.dispatcher.set_admin_state(key, state);
         inner.execute(actions, now);
-        before != Some(state)
+        previous != Some(state)
     }
 
     /// Note an endpoint's role.
@@ -339,8 +339,8 @@
         let if_obsolete = |(name, key): (&String, &EndpointKey)| {
             let new = doc.endpoints.get(name).map(|e| &e.spec);
             let unchanged = new.is_some_and(|new| {
-                let endpoint_info = &self.endpoint_info[*key].spec;
-                (&new.pool, &new.address) == (&endpoint_info.pool, &endpoint_info.address)
+                let current = &self.endpoint_info[*key].spec;
+                (&new.pool, &new.address) == (&current.pool, &current.address)
             });
             (!unchanged).then(|| (name.clone(), *key))
         };
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -130,9 +130,9 @@
 pub async fn watch_vm_list(node: Arc<Node>) {
     let interval = Duration::from_millis(node.settings.timing.list_ms);
     while !node.stop.finished.is_cancelled() {
-        let asked = node.now();
+        let requested_at = node.now();
         match node.vm_list.vms().await {
-            Ok(list) => apply_vm_list(&node, &list, asked),
+            Ok(list) => apply_vm_list(&node, &list, requested_at),
             Err(e) => emit!(debug, LIST_LOST, why = %e),
         }
         tokio::select! {
@@ -142,7 +142,7 @@
     }
 }
 
-fn apply_vm_list(node: &Arc<Node>, list: &[ListedVm], asked: Time) {
+fn apply_vm_list(node: &Arc<Node>, list: &[ListedVm], requested_at: Time) {
     let me = list.iter().find(|vm| vm.part == VmPart::Entry && vm.vm == node.settings.vm);
     let Some(me) = me else {
         emit!(warn, LIST_REFUSED, vms = list.len());
@@ -159,8 +159,8 @@
         .collect();
     node.members().set_listed(&entries);
     node.availability.set_closed_vms(closed_vms(node, list));
-    node.freshness().confirm_list(asked);
-    node.control.apply_vm_list(list, asked);
+    node.freshness().confirm_list(requested_at);
+    node.control.apply_vm_list(list, requested_at);
     apply(node);
 }
 
--- a/crates/daemon/src/endpoint/observe.rs
+++ b/crates/daemon/src/endpoint/observe.rs
@@ -72,16 +72,16 @@
 }
 
 async fn poll_status(node: &Node, client: &HttpClient, name: &str, spec: &EndpointSpec) {
-    let asked = node.now();
+    let requested_at = node.now();
     let url = format!("http://{}{STATUS_PATH}", spec.address);
     if let Ok(report) = client.get::<StatusReport>(&url, CALL_TIMEOUT).await {
-        apply_status(node, name, &report, asked);
+        apply_status(node, name, &report, requested_at);
     }
 }
 
 /// Take in what an engine said when asked at `asked`.
-pub fn apply_status(node: &Node, name: &str, report: &StatusReport, asked: Time) {
-    node.dispatcher.observe(name, report.load, asked - Span::millis(report.load_age_ms));
+pub fn apply_status(node: &Node, name: &str, report: &StatusReport, requested_at: Time) {
+    node.dispatcher.observe(name, report.load, requested_at - Span::millis(report.load_age_ms));
     node.dispatcher.set_role(name, report.status.role);
     node.availability.set_cordoned(name, report.status.cordoned || report.status.changing);
 }
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -119,8 +119,8 @@
     let target = node.members().get(key).map(|m| m.contact.clone());
     let Some(target) = target else { return };
     let helpers = node.members().indirect_probers(key);
-    let asked = helpers.into_iter().map(|helper| probe_indirectly(&node, helper, &target));
-    let found = join_all(asked).await.into_iter().flatten().next();
+    let calls = helpers.into_iter().map(|helper| probe_indirectly(&node, helper, &target));
+    let found = join_all(calls).await.into_iter().flatten().next();
     let now = node.now();
     match found {
         Some((start, refutation)) => node.members().record_answer(key, start, refutation, now),
@@ -141,12 +141,12 @@
         return false;
     };
     let Some(client) = node.peers.get(node, &address) else { return false };
-    let asked = node.now();
+    let requested_at = node.now();
     node.metrics.peer_call("probe");
     let Ok(answer) = client.probe(make_probe(node, key)).await else {
         return false;
     };
-    apply_answer(node, key, &address, answer, asked).await;
+    apply_answer(node, key, &address, answer, requested_at).await;
     true
 }
 
@@ -172,7 +172,7 @@
     }
 }
 
-async fn apply_answer(node: &Arc<Node>, key: MemberKey, address: &str, answer: Answer, asked: Time) {
+async fn apply_answer(node: &Arc<Node>, key: MemberKey, address: &str, answer: Answer, requested_at: Time) {
     let now = node.now();
     let reachability = {
         let mut members = node.members();
@@ -185,18 +185,18 @@
     // A daemon that knows of a newer configuration than its own has not caught up: neither may
     // its copy count as confirmed, nor may it go on by its majority.
     if node.document().generation >= answer.digest.generation {
-        node.freshness().set_reachable(reachability.0, reachability.1, asked);
-        if let Some(at) = time_before(asked, answer.digest.confirmed_ms) {
+        node.freshness().set_reachable(reachability.0, reachability.1, requested_at);
+        if let Some(at) = time_before(requested_at, answer.digest.confirmed_ms) {
             node.freshness().confirm_config(at);
         }
     }
-    apply_closed_vms(node, &answer, asked);
+    apply_closed_vms(node, &answer, requested_at);
 }
 
 /// Trust the peer's view of the list where it is the newer one.
-fn apply_closed_vms(node: &Node, answer: &Answer, asked: Time) {
-    let Some(at) = time_before(asked, answer.digest.list_ms) else { return };
-    if node.freshness().list_at().is_none_or(|mine| at > mine) {
+fn apply_closed_vms(node: &Node, answer: &Answer, requested_at: Time) {
+    let Some(at) = time_before(requested_at, answer.digest.list_ms) else { return };
+    if node.freshness().list_at().is_none_or(|own| at > own) {
         node.availability.set_closed_vms(answer.closed_vms.iter().cloned());
         node.freshness().confirm_list(at);
         duties::apply(node);
@@ -257,14 +257,14 @@
 
 fn load_reports(node: &Node) -> Vec<LoadNews> {
     let now = node.now();
-    let mut fresh: Vec<_> = node
+    let mut recent: Vec<_> = node
         .dispatcher
         .endpoints(now)
         .into_iter()
         .filter(|(_, view)| view.load_at > Time::default() && now.since(view.load_at) < MAX_LOAD_AGE)
         .collect();
-    fresh.sort_by_key(|(_, view)| std::cmp::Reverse(view.load_at));
-    let news = fresh.into_iter().take(MAX_LOAD_REPORTS).map(|(name, view)| LoadNews {
+    recent.sort_by_key(|(_, view)| std::cmp::Reverse(view.load_at));
+    let reports = recent.into_iter().take(MAX_LOAD_REPORTS).map(|(name, view)| LoadNews {
         endpoint: dahliaseam_core::hash::bytes(name.as_bytes()),
         age_ms: now.since(view.load_at).as_millis(),
         queued_prefill: view.load.queued_prefill,
@@ -272,18 +272,18 @@
         waiting: view.load.waiting,
         own_prefill: view.own_prefill as u32,
     });
-    news.collect()
+    reports.collect()
 }
 
 fn apply_load_reports(node: &Node, loads: &[LoadNews], now: Time) {
-    for news in loads {
+    for report in loads {
         let load = LoadReport {
-            queued_prefill: news.queued_prefill,
-            running: news.running,
-            waiting: news.waiting,
+            queued_prefill: report.queued_prefill,
+            running: report.running,
+            waiting: report.waiting,
             kv_used: 0.0,
         };
-        let at = now - Span::millis(news.age_ms);
-        node.dispatcher.observe_by_hash(news.endpoint, load, at, f64::from(news.own_prefill));
+        let at = now - Span::millis(report.age_ms);
+        node.dispatcher.observe_by_hash(report.endpoint, load, at, f64::from(report.own_prefill));
     }
 }
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -54,11 +54,11 @@
         let members = node.members();
         members.others().filter(|(_, m)| m.listed).map(|(_, m)| m.contact.clone()).collect()
     };
-    let asked = others.iter().map(|contact| async {
+    let calls = others.iter().map(|contact| async {
         let client = node.peers.get(&node, &contact.address)?;
         client.status().await.ok()
     });
-    let answers = join_all(asked).await;
+    let answers = join_all(calls).await;
     let mut report = StatusReport { vms: vec![status::vm_status(&node)], silent: Vec::new() };
     for (contact, answer) in others.iter().zip(answers) {
         match answer {
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -88,19 +88,20 @@
 fn pool_status(node: &Node, doc: &Document, name: &str) -> Value {
     let now = node.now();
     let views = node.dispatcher.endpoints(now);
-    let mine = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == name);
-    let open = mine.clone().filter(|(n, _)| views.get(*n).is_some_and(|v| v.open)).count();
+    let pool_endpoints = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == name);
+    let open = pool_endpoints.clone().filter(|(n, _)| views.get(*n).is_some_and(|v| v.open)).count();
     let demand = node.dispatcher.demand(name, now);
     json!({
-        "endpoints": mine.count(),
+        "endpoints": pool_endpoints.count(),
         "open": open,
         "demand_here": demand.map(|(short, long)| json!({ "short": short, "long": long })),
     })
 }
 
 fn role_status(node: &Node, doc: &Document, name: &str) -> Value {
-    let mine = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == name);
-    let changing: Vec<_> = mine.filter_map(|(n, _)| Some(json!({ n: node.control.change_in_progress(n)? }))).collect();
-    let holder = node.control.shards().into_iter().any(|(shard, _)| shard == name);
-    json!({ "held_here": holder, "changing": changing })
+    let pool_endpoints = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == name);
+    let changing: Vec<_> =
+        pool_endpoints.filter_map(|(n, _)| Some(json!({ n: node.control.change_in_progress(n)? }))).collect();
+    let is_holder = node.control.shards().into_iter().any(|(shard, _)| shard == name);
+    json!({ "held_here": is_holder, "changing": changing })
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -133,12 +133,12 @@
 async fn each_invalid_request_gets_a_specific_error() {
     let deployment = start().await;
     let kind = "x-dahliaseam-kind: chat\r\n";
-    let ask = r#"{"model":"m","prompt":"hello"}"#;
-    let large = "x".repeat(20_000);
+    let body = r#"{"model":"m","prompt":"hello"}"#;
+    let oversized = "x".repeat(20_000);
     let cases = [
-        (post("/nowhere", kind, ask), 404, "unknown_path"),
-        (post("/v1/completions", "", ask), 400, "kind_missing"),
-        (post("/v1/completions", "x-dahliaseam-kind: nothing\r\n", ask), 400, "kind_unknown"),
+        (post("/nowhere", kind, body), 404, "unknown_path"),
+        (post("/v1/completions", "", body), 400, "kind_missing"),
+        (post("/v1/completions", "x-dahliaseam-kind: nothing\r\n", body), 400, "kind_unknown"),
         (post("/v1/completions", kind, "{"), 400, "body_invalid"),
         (post("/v1/completions", kind, "[]"), 400, "body_invalid"),
         (post("/v1/completions", kind, r#"{"prompt":"x"}"#), 400, "body_invalid"),
@@ -147,10 +147,10 @@
         (post("/v1/completions", kind, r#"{"model":"m","prompt":"x","stream":"yes"}"#), 400, "body_invalid"),
         (post("/v1/chat/completions", kind, r#"{"model":"m","messages":[]}"#), 400, "body_invalid"),
         (post("/v1/completions", kind, r#"{"model":"other","prompt":"x"}"#), 404, "model_unknown"),
-        (post("/services/p/x", kind, ask), 404, "pool_unknown"),
-        (post("/v1/completions", &format!("{kind}x-dahliaseam-deadline-ms: soon\r\n"), ask), 400, "deadline_invalid"),
-        (post("/v1/completions", &format!("{kind}x-dahliaseam-deadline-ms: 1\r\n"), ask), 503, "too_late"),
-        (post("/v1/completions", kind, &large), 413, "body_large"),
+        (post("/services/p/x", kind, body), 404, "pool_unknown"),
+        (post("/v1/completions", &format!("{kind}x-dahliaseam-deadline-ms: soon\r\n"), body), 400, "deadline_invalid"),
+        (post("/v1/completions", &format!("{kind}x-dahliaseam-deadline-ms: 1\r\n"), body), 503, "too_late"),
+        (post("/v1/completions", kind, &oversized), 413, "body_large"),
     ];
     for (bytes, status, reason) in cases {
         let answer = send_raw(&deployment.address, bytes.as_bytes()).await;
--- a/crates/daemon/tests/listener.rs
+++ b/crates/daemon/tests/listener.rs
@@ -32,8 +32,8 @@
     }
     let closing = CancellationToken::new();
     closing.cancel();
-    let answer = |_| async { Response::new(Body::from("done")) };
-    let serving = serve_with(listener, answer, terms, closing.clone(), closing);
+    let handler = |_| async { Response::new(Body::from("done")) };
+    let serving = serve_with(listener, handler, terms, closing.clone(), closing);
     tokio::time::timeout(TIMEOUT, serving).await.expect("it ends");
     let answered = callers.iter_mut().filter_map(|caller| read(caller).ok()).filter(|text| text.contains("done"));
     assert_eq!(answered.count(), callers.len());
