--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -1,6 +1,6 @@
-//! A whole deployment in one process: three daemons, engines of each role, plain services and the
-//! platform, all stand-ins on loopback. Callers of every kind send requests through a shift of the
-//! mix; then one request is explained, and the daemons stop as planned.
+//! A whole deployment in one process: three daemons, engines of each role, plain services and the platform, all as
+//! stand-ins on loopback. Callers send requests of every kind while the mix of kinds changes; then one request is
+//! explained, and the daemons stop gracefully.
 
 use std::{
     collections::BTreeMap,
@@ -32,15 +32,15 @@
 
 type BoxError = Box<dyn Error + Send + Sync>;
 
-/// Daemons of the deployment.
+/// Number of daemons.
 const DAEMONS: usize = 3;
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: u64 = 24;
-/// Length of each of the two phases.
+/// Duration of each of the two phases.
 const PHASE_DURATION: Duration = Duration::from_secs(8);
-/// Time between two requests of a caller.
+/// Pause between two requests of a caller.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
-/// Time a caller waits for an answer.
+/// Time for which a caller waits for a response.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(15);
 const ENGINES: [(&str, Role); 4] =
     [("engine-1", Role::Mixed), ("engine-2", Role::Mixed), ("engine-3", Role::Prefill), ("engine-4", Role::Decode)];
@@ -51,7 +51,7 @@
     ("catalogue", [("stock-ping", 2), ("order-confirm", 1), ("chat-reply", 1), ("catalogue-query", 6)]),
 ];
 
-/// The stand-ins, which serve as long as this lives.
+/// The stand-ins, which serve until this is dropped.
 struct StandIns {
     kv: Kv,
     vms: VmList,
@@ -64,7 +64,7 @@
     let stand_ins = start_stand_ins().await?;
     let daemons = start_daemons(&stand_ins).await?;
     configure(&daemons, &stand_ins).await?;
-    println!("three daemons, four engines and two plain services serve on loopback\n");
+    println!("three daemons, four engines and two plain services are running on loopback\n");
 
     let addresses: Vec<_> = daemons.iter().map(|d| d.node().settings.caller_address.clone()).collect();
     let mut example = None;
@@ -78,7 +78,7 @@
     }
     let started = Instant::now();
     join_all(daemons.into_iter().map(Controller::stop)).await;
-    println!("\nall daemons stopped as planned in {:.1} s", started.elapsed().as_secs_f64());
+    println!("\nall daemons stopped gracefully in {:.1} s", started.elapsed().as_secs_f64());
     Ok(())
 }
 
@@ -125,7 +125,7 @@
     Ok(daemons)
 }
 
-/// Declare Fjordkjede's resources with these endpoints.
+/// Creates Fjordkjede's resources, with these stand-ins as endpoints.
 async fn configure(daemons: &[Controller], stand_ins: &StandIns) -> Result<(), BoxError> {
     let file: Value = serde_json::from_str(include_str!("../../../deploy/fjordkjede/resources.json"))?;
     let mut resources = file["resources"].as_array().cloned().unwrap_or_default();
@@ -154,7 +154,7 @@
     let until = Instant::now() + Duration::from_secs(20);
     while let Err(why) = configure::change(daemons[0].node(), &changes).await {
         if Instant::now() > until {
-            return Err(format!("not accepted: {why:?}").into());
+            return Err(format!("the resources were not accepted: {why:?}").into());
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -243,13 +243,16 @@
 fn explain(daemons: &[Controller], request: &str) {
     let record = daemons.iter().find_map(|d| d.node().records.get(request));
     let Some(record) = record else { return };
-    println!("\nwhy request {request} went where it went:");
+    println!("\nrouting of request {request}:");
     for attempt in record.attempts {
-        let via = attempt.prefill.map(|p| format!(", its prompt at {p}")).unwrap_or_default();
+        let via = attempt.prefill.map(|p| format!(", prefill at {p}")).unwrap_or_default();
         println!("  attempt {}: {}{via}; {:?}", attempt.attempt, attempt.endpoint, attempt.reason);
         for c in attempt.candidates {
-            let skipped = c.skipped.map(|s| format!("; passed over: {s:?}")).unwrap_or_default();
-            println!("    {}: first token in {:.0} ms, whole in {:.0} ms{skipped}", c.endpoint, c.first_ms, c.whole_ms);
+            let skipped = c.skipped.map(|s| format!("; skipped: {s:?}")).unwrap_or_default();
+            println!(
+                "    {}: first token in {:.0} ms, complete in {:.0} ms{skipped}",
+                c.endpoint, c.first_ms, c.whole_ms
+            );
         }
     }
 }
--- a/crates/daemon/src/bin/dahliaseamd/main.rs
+++ b/crates/daemon/src/bin/dahliaseamd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's process: settings, logs, signals.
+//! The daemon's process: settings, logs and signals.
 
 mod app;
 mod routes;
@@ -28,7 +28,7 @@
 fn run(app: &app::App) -> Result<(), StartError> {
     if app.check {
         Settings::load(&app.settings)?;
-        println!("{}: the settings are good", app.settings.display());
+        println!("{}: the settings are valid", app.settings.display());
         return Ok(());
     }
     let runtime = tokio::runtime::Runtime::new().map_err(|e| StartError::Telemetry(e.to_string()))?;
--- a/crates/daemon/src/bin/dahliaseamd/routes.rs
+++ b/crates/daemon/src/bin/dahliaseamd/routes.rs
@@ -18,20 +18,20 @@
 
 use crate::app::App;
 
-/// Time between two looks whether the settings file was written without a signal.
+/// Interval between checks whether the settings file was written without a signal.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Run the daemon until it is told to stop.
+/// Runs the daemon until it is told to stop.
 ///
 /// # Errors
-/// Why it does not start.
+/// Why the daemon cannot start.
 pub(crate) fn run(app: &App) -> Result<(), StartError> {
     if app.check {
         GatewaySettings::load(&app.settings)?;
-        println!("{}: the settings are good", app.settings.display());
+        println!("{}: the settings are valid", app.settings.display());
         return Ok(());
     }
-    // A VM has a part of one core, so more threads would only wake each other.
+    // A VM has less than one core, so more threads would only wake each other.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -40,7 +40,7 @@
 }
 
 async fn serve(app: &App) -> Result<(), StartError> {
-    // First of all, since a signal that is not caught ends the process.
+    // Before anything else, since a signal that is not caught ends the process.
     let listen = |kind| signal(kind).map_err(|e| StartError::Telemetry(e.to_string()));
     let mut term = listen(SignalKind::terminate())?;
     let mut hangup = listen(SignalKind::hangup())?;
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// What tells whether a file was written again; nothing while it is not there.
+/// Modification time and size of a file, to detect that it was written again; none while it does not exist.
 #[derive(Debug, PartialEq, Eq)]
 struct FileVersion(Option<(SystemTime, u64)>);
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Read the settings again. A file that cannot be used changes nothing.
+/// Reads the settings again. A file that cannot be used changes nothing.
 fn reload(app: &App, daemon: &GatewayController) {
     match GatewaySettings::load(&app.settings) {
         Ok(settings) => daemon.reload(settings),
--- a/crates/daemon/src/caller/body.rs
+++ b/crates/daemon/src/caller/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body, within its limits of size and time.
+//! Reads a caller's body within its limits of size and time.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::dispatch::failure::Failure;
 
-/// Read the whole body.
+/// Reads the whole body.
 ///
 /// # Errors
-/// The refusal when it is too large, too slow or broken.
+/// The refusal if the body is too large, too slow or broken.
 pub(crate) async fn read(body: Body, limits: &Limits) -> Result<Bytes, Failure> {
     let whole = Limited::new(body, limits.body_bytes).collect();
     let read = tokio::time::timeout(Duration::from_millis(limits.body_ms), whole).await;
--- a/crates/daemon/src/caller/completion.rs
+++ b/crates/daemon/src/caller/completion.rs
@@ -1,4 +1,4 @@
-//! Chat and text completions, streamed and not.
+//! Chat and text completions, streamed or not.
 
 use std::convert::Infallible;
 
@@ -27,14 +27,14 @@
     telemetry,
 };
 
-/// Pieces that wait for a slow caller; then its engine's stream waits too.
+/// Number of pieces buffered for a slow caller; when they are full, the engine's stream waits.
 const PIECE_BUFFER: usize = 64;
-/// Bytes of a prompt that count as one token.
+/// Number of bytes of a prompt that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Largest answer that a caller may ask for, in tokens.
+/// Maximum response length that a caller may ask for, in tokens.
 const MAX_TOKENS: u64 = 1 << 20;
 
-/// Which of the two APIs is spoken.
+/// API through which the request came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Api {
     Text,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A chunk of a stream.
+    /// Builds one chunk of a stream.
     fn chunk(self, meta: &ResponseMeta, text: &str, finish: Option<&str>) -> Value {
         let (object, mut choice) = match self {
             Self::Text => ("text_completion", json!({ "text": text })),
@@ -63,7 +63,7 @@
         })
     }
 
-    /// A whole answer.
+    /// Builds a response that is not streamed.
     fn full_response(self, meta: &ResponseMeta, text: &str, tokens: u32, finish: &str) -> Value {
         let (object, mut choice) = match self {
             Self::Text => ("text_completion", json!({ "text": text })),
@@ -83,7 +83,7 @@
     }
 }
 
-/// What every part of an answer repeats.
+/// Fields repeated in every part of a response.
 #[derive(Clone, Debug)]
 struct ResponseMeta {
     id: String,
@@ -92,7 +92,7 @@
     prompt_tokens: u32,
 }
 
-/// What a caller's body asks for.
+/// Parsed body of a request.
 #[derive(Debug)]
 struct CompletionRequest {
     model: String,
@@ -150,7 +150,7 @@
     }
 }
 
-/// The pool that carries a model, and the adapter's identifier if an adapter was asked for.
+/// The pool that serves a model, and the adapter's identifier if an adapter was requested.
 fn resolve(doc: &Document, asked: &str) -> Result<(String, u64), Failure> {
     let adapter = doc.adapters.get(asked);
     let model = adapter.map_or(asked, |a| a.spec.model.as_str());
@@ -223,7 +223,7 @@
     Err(daemon_stopped())
 }
 
-/// The status waits for the first piece, so that a refusal has its own.
+/// Waits for the first piece before it sends the status, so that a refusal has its own status.
 async fn streamed_response(api: Api, meta: ResponseMeta, mut rx: mpsc::Receiver<Piece>) -> Result<Response, Failure> {
     let first = match rx.recv().await {
         Some(Piece::Failed(failure)) => return Err(failure),
@@ -231,7 +231,7 @@
         None => return Err(daemon_stopped()),
     };
     let mut headers: HeaderMap = refusal::outcome_headers(&meta.id, Outcome::Whole);
-    // How a stream ends is told in it.
+    // The outcome is not known yet; the end of the stream reports it.
     headers.remove(OUTCOME);
     headers.insert(CONTENT_TYPE, http::HeaderValue::from_static("text/event-stream"));
     let rest = stream::unfold(rx, |mut rx| async move { rx.recv().await.map(|piece| (piece, rx)) });
--- a/crates/daemon/src/caller/mod.rs
+++ b/crates/daemon/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! What callers reach: completions and plain services over HTTP.
+//! The API for callers: completions and plain services over HTTP.
 
 mod body;
 mod completion;
@@ -18,14 +18,14 @@
 
 use crate::{dispatch::failure::Failure, endpoint::attempt::Clients, node::Node};
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerState {
     node: Arc<Node>,
     clients: Clients,
 }
 
-/// The callers' routes.
+/// Routes for callers.
 pub fn router(node: Arc<Node>) -> Router {
     let state = CallerState { node, clients: Clients::default() };
     Router::new()
@@ -44,7 +44,7 @@
 }
 
 impl CallerState {
-    /// Refuse new work while this daemon may not take any.
+    /// Refuses new work while this daemon must not accept any.
     fn check_accepts_work(&self) -> Result<(), Failure> {
         if self.node.accepts_work() {
             return Ok(());
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: method, path, headers and body pass through.
+//! Calls to plain services: method, path, headers and body are passed through.
 
 use axum::{
     extract::{Path, Request, State},
@@ -31,10 +31,10 @@
     telemetry,
 };
 
-/// Bytes of an answer at most.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1).
+/// Headers that apply to one connection and are not passed on (RFC 9110, section 7.6.1).
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TE,
@@ -46,7 +46,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// A call as the service gets it.
+/// A call as sent to the service.
 #[derive(Debug)]
 struct Call {
     method: Method,
@@ -125,8 +125,8 @@
             Err(NoAttempt::Failed(failure)) => break Err(failure),
             Err(NoAttempt::Recorded(recorded)) => break recorded_response(recorded),
         };
-        // Once sent, a call that may not be repeated is seen through, so that its outcome is
-        // recorded even when the caller has gone.
+        // A call that must not be repeated is completed once it has been sent, so that its outcome is recorded even if
+        // the caller has disconnected.
         let run_to_completion = !active.params.kind.repeatable;
         let (ended, answer) = tokio::select! {
             done = attempt(&mut active, &call, &clients, &dispatch) => done,
@@ -210,7 +210,7 @@
     }
 }
 
-/// The recorded answer, for a second request with the same key.
+/// The recorded response, for another request with the same key.
 fn recorded_response(recorded: RecordedResult) -> CallResult {
     let (Outcome::Whole, Some(body)) = (recorded.outcome, recorded.body) else {
         return Err(Failure {
--- a/crates/daemon/src/caller/refusal.rs
+++ b/crates/daemon/src/caller/refusal.rs
@@ -1,4 +1,4 @@
-//! How a request without a whole answer is answered.
+//! Responses to requests that have no complete response from an endpoint.
 
 use axum::{
     Json,
@@ -12,7 +12,7 @@
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// The HTTP status of a failure.
+/// HTTP status of a failure.
 #[must_use]
 pub fn status(failure: &Failure) -> u16 {
     let default_status = match (failure.outcome, failure.reason) {
@@ -24,7 +24,7 @@
     failure.status.unwrap_or(default_status.as_u16())
 }
 
-/// The body of a failure.
+/// Response body of a failure.
 #[must_use]
 pub fn body(request: &str, failure: &Failure) -> ErrorBody {
     ErrorBody {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The whole response of a failure.
+/// HTTP response of a failure.
 #[must_use]
 pub fn response(request: &str, failure: &Failure) -> Response {
     let mut headers = outcome_headers(request, failure.outcome);
@@ -49,7 +49,7 @@
     (status, headers, Json(body(request, failure))).into_response()
 }
 
-/// The headers that every answer has.
+/// Headers that every response has.
 #[must_use]
 pub fn outcome_headers(request: &str, outcome: Outcome) -> HeaderMap {
     let mut headers = HeaderMap::new();
--- a/crates/daemon/src/caller/terms.rs
+++ b/crates/daemon/src/caller/terms.rs
@@ -1,4 +1,4 @@
-//! The terms of a request, from its headers and the configuration.
+//! Reads the parameters of a request from its headers and the configuration.
 
 use dahliaseam_wire::{
     caller::{DEADLINE, IDEMPOTENCY_KEY, KIND, TEAM},
@@ -14,13 +14,13 @@
     node::Node,
 };
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Read the terms of a request that has just arrived under `id`.
+/// Reads the parameters of a request that has just arrived under `id`.
 ///
 /// # Errors
-/// The refusal when a header is wrong.
+/// The refusal if a header is invalid.
 pub(crate) fn read(node: &Node, doc: &Document, id: &str, headers: &HeaderMap) -> Result<RequestParams, Failure> {
     let kind_name = header_text(headers, KIND)?.or(node.settings.default_kind.as_deref()).ok_or_else(|| {
         Failure::bad_request(400, "kind_missing", format!("name the request's kind in the header {KIND}"))
@@ -54,7 +54,7 @@
     value.to_str().map(Some).map_err(invalid)
 }
 
-/// A repeatable kind needs no claim, so its key is left alone.
+/// A repeatable kind needs no claim, so its key is ignored.
 fn read_key(headers: &HeaderMap, team: &str, repeatable: bool) -> Result<Option<String>, Failure> {
     let Some(key) = header_text(headers, IDEMPOTENCY_KEY)?.filter(|_| !repeatable) else {
         return Ok(None);
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,17 +1,17 @@
-//! The clock that the daemon reads.
+//! Clocks of the daemon.
 
 use std::{fmt::Debug, time::Duration};
 
 use dahliaseam_core::time::{Span, Time};
 use rustix::time::{ClockId, clock_gettime};
 
-/// A source of the time.
+/// A source of time.
 pub trait Clock: Debug + Send + Sync {
-    /// The time now.
+    /// The current time.
     fn now(&self) -> Time;
 }
 
-/// The machine's clock that runs on through a suspend.
+/// The machine's boot-time clock, which continues through a suspend.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
@@ -25,14 +25,14 @@
     }
 }
 
-/// Milliseconds since 1970, for deadlines that another machine is to judge.
+/// Milliseconds since the Unix epoch, for deadlines that are checked on another machine.
 #[must_use]
 pub fn wall_millis() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// A span as the runtime's timers take it.
+/// Converts a span to the type of the runtime's timers.
 #[must_use]
 pub const fn duration(span: Span) -> Duration {
     Duration::from_micros(span.0)
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -1,8 +1,8 @@
 //! The configuration in force, and changes to it.
 //!
-//! A few daemons of each hall watch the document; the others hear of a newer generation by
-//! gossip and fetch it from the peer that named it. One that hears nothing for a while reads the
-//! service itself. Only a higher generation is ever applied.
+//! A few daemons of each hall watch the document; the others learn of a newer generation by gossip and fetch it from
+//! the peer that reported it. A daemon that has had no confirmation for a while reads the service itself. Only a higher
+//! generation is ever applied.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,26 +20,26 @@
 
 use crate::{emit, endpoint::duties, node::Node};
 
-/// Watchers in each hall.
+/// Number of watchers in each hall.
 const WATCHERS_PER_HALL: usize = 2;
-/// Time between two looks at whether there is anything to do.
+/// Interval between checks whether this daemon has to watch or read the document.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Age of an unconfirmed copy at which the service is read directly.
+/// Age of the last confirmation from which the service is read directly.
 const MAX_UNCONFIRMED_AGE: Span = Span::millis(1_500);
-/// Tries at one change, when others change other resources meanwhile.
+/// Maximum number of attempts at one change, in case others change other resources at the same time.
 const MAX_CHANGE_ATTEMPTS: u32 = 8;
-/// Tries to settle a change whose answer was lost.
+/// Maximum number of attempts to settle a change whose answer was lost.
 const MAX_SETTLE_ATTEMPTS: u32 = 5;
-/// Time between them.
+/// Delay between these attempts.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The document's key.
+/// Key of the document.
 #[must_use]
 pub fn key(node: &Node) -> String {
     format!("{}config", node.settings.keyspace)
 }
 
-/// Put a document in force if it is newer; returns whether it is.
+/// Puts a document in force if it is newer; returns whether it is.
 pub fn apply_document(node: &Node, doc: Document) -> bool {
     let generation = doc.generation;
     let newer = node.config.send_if_modified(|current| {
@@ -58,7 +58,7 @@
     newer
 }
 
-/// Keep the configuration until the daemon is over.
+/// Keeps the configuration up to date until the daemon stops.
 pub async fn run(node: Arc<Node>) {
     let mut reachable = true;
     while !node.stop.finished.is_cancelled() {
@@ -102,7 +102,7 @@
 async fn watch(node: &Arc<Node>) -> Result<(), CallError> {
     node.metrics.kv_call("watch");
     let mut events = node.kv.watch(&key(node)).await?;
-    // A change between a read and a watch would be missed, so the read comes second.
+    // Read after the watch has started, since a change between a read and a later watch would be missed.
     read(node).await?;
     while is_watcher(node) {
         let next = tokio::select! {
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Read the document from the service and put it in force.
+/// Reads the document from the service and puts it in force.
 async fn read(node: &Arc<Node>) -> Result<Option<Entry>, CallError> {
     let requested_at = node.now();
     node.metrics.kv_call("config_read");
@@ -149,18 +149,18 @@
 /// Why a change was not accepted.
 #[derive(Clone, Debug)]
 pub enum ChangeError {
-    /// It does not apply.
+    /// The change cannot be applied.
     Refused(Refused),
-    /// It did not take effect: the service or the other daemons are out of reach.
+    /// The change did not take effect: the service or the other daemons are unreachable.
     Unavailable(String),
-    /// Whether it took effect cannot be known now.
+    /// Whether the change took effect is not known.
     Unknown(String),
 }
 
-/// Make changes as one; returns the generation they made.
+/// Makes all changes or none; returns the new generation.
 ///
 /// # Errors
-/// Why they were not accepted.
+/// Why the changes were not accepted.
 pub async fn change(node: &Arc<Node>, changes: &[Change]) -> Result<u64, ChangeError> {
     if !node.has_majority() {
         let why = "this VM reaches no more than half of the entry VMs; ask another".to_owned();
@@ -196,7 +196,7 @@
     Err(ChangeError::Unavailable("too many others change the configuration".to_owned()))
 }
 
-/// Settle a write whose answer was lost, by looking for its own token.
+/// Settles a write whose answer was lost, by looking for its token in the document.
 async fn settle(node: &Arc<Node>, token: &str) -> Result<u64, ChangeError> {
     for _ in 0..MAX_SETTLE_ATTEMPTS {
         tokio::time::sleep(SETTLE_RETRY_DELAY).await;
@@ -208,6 +208,6 @@
             return Ok(generation);
         }
     }
-    // An unseen write may still be on its way, so its absence proves nothing.
+    // A write that is not visible yet may still be in flight, so its absence proves nothing.
     Err(ChangeError::Unknown("the answer was lost; read the resource to see what holds".to_owned()))
 }
--- a/crates/daemon/src/configuration/mod.rs
+++ b/crates/daemon/src/configuration/mod.rs
@@ -1,3 +1,3 @@
-//! The configuration in force, and how a change of it is accepted ([`configure`]).
+//! The configuration in force, and how changes to it are accepted ([`configure`]).
 
 pub mod configure;
--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -1,4 +1,4 @@
-//! What control shows of itself, and what it has noticed of other processes.
+//! State of control that operators can see, and what it knows of other processes.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,7 +14,7 @@
 
 use crate::node::Node;
 
-/// Added to the time for which a dead process's bytes may still arrive.
+/// Safety margin added to the time for which bytes from a terminated process may still arrive.
 const ARRIVAL_MARGIN: Span = Span::millis(1_000);
 
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     changing: BTreeMap<String, String>,
 }
 
-/// The board.
+/// State of control in this daemon.
 #[derive(Debug, Default)]
 pub struct ControlState {
     inner: Mutex<Inner>,
@@ -38,7 +38,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The shards that this daemon holds, with the fencing numbers.
+    /// The shards held by this daemon, with their fencing numbers.
     #[must_use]
     pub fn shards(&self) -> Vec<(String, u64)> {
         self.lock().shards.iter().map(|(name, epoch)| (name.clone(), *epoch)).collect()
@@ -52,13 +52,13 @@
         self.lock().shards.remove(shard);
     }
 
-    /// What control of an endpoint waits for.
+    /// What control of an endpoint waits for, if anything.
     #[must_use]
     pub fn wait_reason(&self, endpoint: &str) -> Option<WaitReason> {
         self.lock().wait_reasons.get(endpoint).copied()
     }
 
-    /// Note what control waits for; returns whether that is new.
+    /// Sets what control of an endpoint waits for; returns whether that is a change.
     pub(super) fn set_wait_reason(&self, endpoint: &str, wait: Option<WaitReason>) -> bool {
         let mut inner = self.lock();
         match wait {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The change under way at an endpoint, in words.
+    /// Description of the change in progress at an endpoint.
     #[must_use]
     pub fn change_in_progress(&self, endpoint: &str) -> Option<String> {
         self.lock().changing.get(endpoint).cloned()
@@ -79,7 +79,7 @@
         inner.changing.extend(changing);
     }
 
-    /// Take in the platform's list as asked for at `asked`.
+    /// Applies the platform's VM list, which was requested at `requested_at`.
     pub fn apply_vm_list(&self, list: &[ListedVm], requested_at: Time) {
         let mut inner = self.lock();
         inner.listed = list.iter().map(|vm| vm.vm.clone()).collect();
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether `process` is known to be over, and long enough for its last bytes to be gone.
+    /// Whether `process` is known to have terminated so long ago that none of its bytes can still arrive.
     pub(super) fn is_terminated(&self, node: &Node, process: &Incarnation) -> bool {
         let now = node.now();
         let max_delivery_time = Span(USER_TIMEOUT.as_micros() as u64 + ARRIVAL_MARGIN.0);
@@ -101,8 +101,8 @@
         };
         let mut inner = self.lock();
         let listed = inner.listed.contains(&process.vm);
-        // A VM that this daemon never heard of counts as gone once the list has had time to
-        // show it: all VMs may have been replaced since.
+        // A VM that this daemon has never heard of counts as gone if it stays unlisted for longer than the list may
+        // lag: all VMs may have been replaced in the meantime.
         let gone = unknown && !listed && !inner.listed.is_empty() && {
             let since = *inner.unlisted_since.entry(process.vm.clone()).or_insert(now);
             now.since(since) > list_lag
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -1,8 +1,8 @@
-//! The changes that a shard's holder carries out, one order at a time for each engine.
+//! Changes carried out by a shard's holder, one order at a time per engine.
 //!
-//! A role change goes: mark the engine, so that daemons send it no new work; cordon it, so that
-//! it refuses what a cut-off daemon still sends; wait until it reports that nothing runs; change
-//! the role; open it again. Nothing that a person waits for is cut.
+//! Steps of a role change: mark the engine, so that daemons send it no new work; cordon it, so that it refuses work
+//! from a daemon that is cut off; wait until it reports that nothing runs; change the role; uncordon it. No request
+//! that a person waits for is interrupted.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -27,28 +27,28 @@
 };
 use crate::{emit, endpoint::duties, node::Node};
 
-/// Daemons asked for their demand; the sum is scaled up to all.
+/// Number of daemons asked for their demand; the sum is scaled up to all live daemons.
 const DEMAND_SAMPLE_SIZE: usize = 16;
-/// Time between two looks at the demand.
+/// Interval between updates of the demand.
 const DEMAND_INTERVAL: Span = Span::millis(2_000);
-/// Time between two looks at an engine with nothing to do.
+/// Interval between status requests to an engine with nothing to do.
 const IDLE_STATUS_INTERVAL: Span = Span::millis(2_000);
-/// Daemons told of new marks directly; the others hear by gossip.
+/// Number of daemons that are sent new marks directly; the others get them by gossip.
 const MARK_FANOUT: usize = 16;
-/// Time between two tries to release records without the lease.
+/// Interval between attempts to release records without the lease.
 const RELEASE_INTERVAL: Span = Span::millis(500);
-/// Loads that may be ordered at once.
+/// Number of loads that may be ordered at once.
 const LOAD_BURST: f64 = 2.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// The state of one shard's changes.
+/// State of the changes in one shard.
 #[derive(Debug)]
 pub(super) struct Changes {
     pool: String,
     client: HttpClient,
     custodians: BTreeMap<String, Custodian>,
     targets: BTreeMap<String, Role>,
-    /// What engines said of themselves, and when.
+    /// Last status of each engine, and when it was requested.
     statuses: BTreeMap<String, (Time, EngineStatus)>,
     planner: Planner,
     demand: AverageDemand,
@@ -56,11 +56,11 @@
     next_release_at: Time,
     load_bucket: TokenBucket,
     marks: Option<Marks>,
-    /// Marks that were sent out; sent again when they or the fencing number change.
+    /// Marks last sent; sent again when they or the fencing number change.
     sent_marks: Option<Marks>,
 }
 
-/// The engines of the shard with what they say.
+/// The engines of the shard with their status, if they answered.
 type Engines = BTreeMap<String, (EndpointSpec, Option<EngineStatus>)>;
 
 impl Changes {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// One round while the shard's lease is held.
+    /// Runs one round while the shard's lease is held.
     pub(super) async fn run_round(&mut self, node: &Arc<Node>, shard: &Shard) {
         let doc = node.document();
         let engines = self.query_engines(node, &doc).await;
@@ -94,7 +94,7 @@
         self.publish_changing(node, &engines);
     }
 
-    /// Without the lease: let go of what this process still has custody of.
+    /// Without the lease: releases the engines that are still in this process's custody.
     pub(super) async fn step_down(&mut self, node: &Node) {
         self.targets.clear();
         self.sent_marks = None;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Release every engine's record that may name this process; returns whether none is left.
+    /// Releases every engine record that may name this process; returns whether none is left.
     pub(super) async fn release_all(&mut self, node: &Node) -> bool {
         let doc = node.document();
         for (name, custodian) in &mut self.custodians {
@@ -115,8 +115,7 @@
         !self.custodians.values().any(Custodian::may_be_custodian)
     }
 
-    /// What each engine says of itself: those with something to do are asked in each round, the
-    /// others now and then.
+    /// Status of each engine. Engines with something to do are asked in every round, the others at a longer interval.
     async fn query_engines(&mut self, node: &Node, doc: &Document) -> Engines {
         let now = node.now();
         let pool_endpoints = doc.endpoints.iter().filter(|(_, e)| e.spec.pool == self.pool);
@@ -137,7 +136,7 @@
         results.into_iter().map(|(name, (spec, status))| (name, (spec, status.map(|(_, status)| status)))).collect()
     }
 
-    /// Whether an engine is as it is wanted, as far as was seen.
+    /// Whether an engine is in its desired state, according to its last status.
     fn is_as_desired(&self, doc: &Document, name: &str, spec: &EndpointSpec, status: &EngineStatus) -> bool {
         !self.targets.contains_key(name)
             && !self.custodians.get(name).is_some_and(Custodian::may_have_open_order)
@@ -188,7 +187,7 @@
             .filter(|(name, (spec, _))| !role_spec.fixed.contains_key(*name) && !spec.drained)
             .filter_map(|(name, (_, status))| Some((name, status.as_ref()?)))
             .collect();
-        // An engine that is changing counts in the role that it will have.
+        // An engine whose role is changing counts in its new role.
         let role_of = |name: &str, status: &EngineStatus| self.targets.get(name).copied().unwrap_or(status.role);
         let mut counts = RoleCounts::default();
         for (name, status) in &flexible {
@@ -271,7 +270,7 @@
         }
     }
 
-    /// The next order that an engine should get.
+    /// The next order that an engine should get, if any.
     fn next_order(
         &mut self,
         node: &Node,
@@ -306,19 +305,19 @@
     }
 }
 
-/// What an engine is to have loaded: its own list, and its pool's models in their version.
+/// What an engine should have loaded: its own list, and the configured versions of its pool's models.
 fn desired_loads<'a>(doc: &'a Document, spec: &'a EndpointSpec) -> impl Iterator<Item = String> + 'a {
     let models = doc.pools.get(&spec.pool).map(|p| p.spec.models.as_slice()).unwrap_or_default();
     let versions = models.iter().filter_map(|m| doc.models.get(m)).map(|m| m.spec.version.clone());
     spec.load.iter().cloned().chain(versions)
 }
 
-/// The number of live daemons, and the addresses of a few others drawn at random.
+/// The number of live daemons, and the addresses of up to `count` others drawn at random.
 fn sample(node: &Node, count: usize) -> (usize, Vec<String>) {
     let mut members = node.members();
     let live = members.live_count();
     let mut keys = Vec::new();
-    // A few draws more than needed, since the same one may be drawn twice.
+    // Draws more often than needed, since the same daemon may be drawn twice.
     for _ in 0..count * 2 {
         let drawn = members.random_live();
         keys.extend(drawn.filter(|key| keys.len() < count && !keys.contains(key)));
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -1,4 +1,4 @@
-//! One engine's record, its steps, and the orders that go out.
+//! One engine's custody record, its steps, and the orders sent to the engine.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 use super::shard::Shard;
 use crate::{clock::wall_millis, emit, node::Node};
 
-/// Time for one call to an engine.
+/// Timeout of a call to an engine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which an order stays good.
+/// Validity of an order, in milliseconds.
 const ORDER_VALIDITY_MS: u64 = 2_000;
-/// Steps in one round at most.
+/// Maximum number of steps in one round.
 const MAX_STEPS_PER_ROUND: usize = 4;
 
 /// What this daemon knows of one engine's record.
@@ -32,20 +32,20 @@
     name: String,
     key: String,
     record: Option<(EngineRecord, i64)>,
-    /// Whether the stored record may name this process; holds on while that is not known.
+    /// Whether the stored record may name this process; stays set while that is unknown.
     may_be_own: bool,
-    /// After an order without an answer, nothing is sent before its bytes are surely gone.
+    /// Set after an order without an answer: nothing is sent until none of its bytes can still arrive.
     no_send_until: Time,
 }
 
-/// What a round led to.
+/// Result of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DriveResult {
-    /// The engine is as wanted.
+    /// The engine is in the desired state.
     Done,
-    /// More is to be done in the next round.
+    /// More remains to be done in the next round.
     Incomplete,
-    /// Nothing can be done now.
+    /// Nothing can be done now, for this reason.
     Waiting(WaitReason),
 }
 
@@ -65,12 +65,12 @@
         self.may_be_own
     }
 
-    /// Whether an order may be open, or the record is not at hand.
+    /// Whether an order may be outstanding; also true while the record is not loaded.
     pub(super) fn may_have_open_order(&self) -> bool {
         self.record.as_ref().is_none_or(|(record, _)| record.intent.is_some())
     }
 
-    /// Take the engine as far towards `wanted` as this round allows.
+    /// Brings the engine as close to `wanted` as this round allows.
     pub(super) async fn drive(
         &mut self,
         node: &Node,
@@ -97,7 +97,7 @@
             match custody::next_step(record, &view) {
                 Step::Done => return DriveResult::Done,
                 Step::Wait(wait) => {
-                    // Its release would show in the stored record only.
+                    // A release by the former custodian shows only in the stored record, so read it again next time.
                     if wait == WaitReason::FormerCustodian {
                         self.record = None;
                     }
@@ -120,7 +120,7 @@
         DriveResult::Incomplete
     }
 
-    /// Give the record up, once its intent is settled.
+    /// Releases the record once its intent is settled.
     pub(super) async fn release(&mut self, node: &Node, client: &HttpClient, spec: &EndpointSpec) {
         self.record = None;
         if !self.load_record(node).await {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Whether an order that was intended can no longer take effect, or has.
+    /// Whether an intended order has taken effect or no longer can.
     async fn is_settled(&self, node: &Node, client: &HttpClient, spec: &EndpointSpec, intent: &Order) -> bool {
         let Some(status) = query_status(client, spec).await else { return false };
         let taken = (status.epoch, status.sequence) == (intent.epoch, intent.sequence);
@@ -165,7 +165,8 @@
         self.record.is_some()
     }
 
-    /// Write the record if it is unchanged; else, or when that is unknown, read it again.
+    /// Writes the record if it is unchanged in the store. If it has changed, or that is unknown, it is read again next
+    /// time.
     async fn write_record(&mut self, node: &Node, next: EngineRecord) -> bool {
         let Some((_, revision)) = self.record.take() else { return false };
         let swap =
@@ -182,7 +183,7 @@
     }
 
     async fn send_order(&mut self, node: &Node, client: &HttpClient, shard: &Shard, spec: &EndpointSpec, order: Order) {
-        // The last check before the effect: a pause may lie behind any await above.
+        // Last check before the order is sent: this process may have been paused at any await above.
         if shard.authority(node.now()).is_none_or(|a| a.epoch() != order.epoch) {
             return;
         }
@@ -202,7 +203,7 @@
     }
 }
 
-/// Ask an engine for its status.
+/// Requests an engine's status.
 pub(super) async fn query_status(client: &HttpClient, spec: &EndpointSpec) -> Option<EngineStatus> {
     let url = format!("http://{}{STATUS_PATH}", spec.address);
     client.get::<StatusReport>(&url, CALL_TIMEOUT).await.ok().map(|report| report.status)
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! Orders to engines, for the shards whose lease this daemon holds.
+//! Sends orders to engines, for the shards whose lease this daemon holds.
 //!
-//! A shard is a pool of engines. A few daemons, found by rendezvous hash, stand for its lease;
-//! the holder runs the planner and carries changes out. Each engine's record in the key-value
-//! service goes through [`dahliaseam_core::custody::next_step`], one step at a time.
+//! A shard is a pool of engines. A few daemons, chosen by rendezvous hashing, compete for its lease; the holder runs
+//! the planner and carries out changes. Each engine's record in the key-value service is handled by
+//! [`dahliaseam_core::custody::next_step`], one step at a time.
 
 pub mod board;
 mod changes;
@@ -18,22 +18,22 @@
 use changes::Changes;
 use shard::Shard;
 
-/// Daemons that stand for one shard's lease.
+/// Number of daemons that compete for one shard's lease.
 const CANDIDATE_COUNT: usize = 3;
 
-/// Tries to release records at a planned stop.
+/// Maximum number of attempts to release records at a graceful stop.
 const MAX_RELEASE_ATTEMPTS: u32 = 25;
-/// Time between them.
+/// Delay between these attempts.
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// One shard as this daemon handles it.
+/// One shard, whether or not this daemon holds it.
 #[derive(Debug)]
 struct ManagedShard {
     shard: Shard,
     changes: Changes,
 }
 
-/// Run control until the daemon is over, then hand over what it holds.
+/// Runs control until the daemon stops, then hands over what it holds.
 pub async fn run(node: Arc<Node>) {
     let interval = Duration::from_millis(node.settings.timing.control_ms);
     let mut shards: HashMap<String, ManagedShard> = HashMap::new();
@@ -55,8 +55,8 @@
     }
 }
 
-/// Release all records, then the lease. What cannot be released in time passes on once the
-/// other daemons know that this process is over.
+/// Releases all records, then the lease. A record that cannot be released in time passes to another daemon once that
+/// daemon knows that this process has terminated.
 async fn hand_over(node: &Node, managed: &mut ManagedShard) {
     for _ in 0..MAX_RELEASE_ATTEMPTS {
         if managed.changes.release_all(node).await {
--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -11,9 +11,9 @@
 
 use crate::{emit, node::Node};
 
-/// Time between two looks for a free lease.
+/// Interval between attempts to acquire a free lease.
 const ACQUIRE_INTERVAL: Span = Span::millis(1_000);
-/// A lease is renewed this many times before it would end.
+/// Number of times that a lease is renewed within its duration.
 const RENEWALS_PER_TTL: u64 = 3;
 const MILLIS_PER_SECOND: u64 = 1_000;
 
@@ -45,12 +45,12 @@
         &self.name
     }
 
-    /// The authority, if it holds at `now`.
+    /// The authority, if it is valid at `now`.
     pub(super) fn authority(&self, now: Time) -> Option<Authority> {
         self.held.map(|(_, authority)| authority).filter(|a| a.holds(now))
     }
 
-    /// Renew the lease when due, or try to win it.
+    /// Renews the lease when due, or tries to acquire it.
     pub(super) async fn maintain(&mut self, node: &Node, candidate: bool) {
         let now = node.now();
         if self.held.is_some() && self.authority(now).is_none() {
@@ -62,12 +62,12 @@
             }
         } else if candidate && self.next_acquire_at.is_past(now) {
             self.next_acquire_at = now + ACQUIRE_INTERVAL;
-            // Failing to win is usual: another holds it, or the service is down.
+            // Failing is normal: another daemon holds the lease, or the service is unreachable.
             let _ = self.try_acquire(node).await;
         }
     }
 
-    /// Give the lease up, so that another need not wait for its end.
+    /// Revokes the lease, so that another daemon need not wait until it expires.
     pub(super) async fn hand_over(&mut self, node: &Node) {
         if let Some((lease, _)) = self.held {
             self.lose(node, "handed over");
@@ -92,7 +92,7 @@
                 }
             }
             Ok(false) => self.lose(node, "the lease is gone"),
-            // No answer: the deadline bounds what this daemon still believes.
+            // Without an answer, the deadline of the authority limits how long this daemon still relies on it.
             Err(_) => self.renew_at = node.now() + Span(ttl.0 / RENEWALS_PER_TTL / RENEWALS_PER_TTL),
         }
     }
@@ -123,7 +123,7 @@
         let acquired = match node.kv.swap_all(swaps).await {
             Ok(acquired) => acquired,
             Err(e) if e.surely_no_effect() => false,
-            // The answer is lost: this process's own token tells whether it took effect.
+            // The answer was lost; the holder's token shows whether the write took effect.
             Err(_) => node.kv.read(&self.holder_key).await?.is_some_and(|e| e.value == token),
         };
         if !acquired {
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a daemon. It only orchestrates.
+//! Starts and stops a daemon.
 
 use std::{
     sync::{Arc, Mutex},
@@ -50,14 +50,14 @@
     operator,
 };
 
-/// Time between two ticks of the dispatcher while it holds requests.
+/// Interval between ticks of the dispatcher while it holds requests.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Time between two ticks while it holds none.
+/// Interval between ticks while it holds none.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two looks at the standing.
+/// Interval between checks of the standing.
 const STANDING_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a daemon meets outside, so that tests can put fakes there.
+/// External dependencies of a daemon, which tests can replace with fakes.
 #[derive(Debug)]
 pub struct Outside {
     /// The clock.
@@ -69,7 +69,7 @@
 }
 
 impl Outside {
-    /// The real ones that the settings name.
+    /// The real dependencies, with the addresses from the settings.
     #[must_use]
     pub fn real(settings: &Settings) -> Self {
         Self {
@@ -91,10 +91,10 @@
 }
 
 impl Controller {
-    /// Start a daemon.
+    /// Starts a daemon.
     ///
     /// # Errors
-    /// Why it does not start.
+    /// Why the daemon cannot start.
     pub async fn start(settings: Settings, outside: Outside) -> Result<Self, StartError> {
         settings.check()?;
         let caller_listener = bind("caller_address", &settings.caller_address).await?;
@@ -113,25 +113,25 @@
         Ok(Self { node, caller, operator, peer, background })
     }
 
-    /// What the daemon's parts share.
+    /// State shared by the daemon's parts.
     #[must_use]
     pub const fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// Wait until the platform lists this VM as leaving.
+    /// Waits until the platform lists this VM as leaving.
     pub async fn leave_requested(&self) {
         self.node.stop.begun.cancelled().await;
     }
 
-    /// Stop as planned: no request is cut.
+    /// Stops gracefully, without interrupting any request.
     pub async fn stop(self) {
         let stop = &self.node.stop;
         stop.begun.cancel();
         emit!(info, STOPPING, why = "asked to stop");
         tokio::time::sleep(Duration::from_millis(self.node.settings.timing.stop_grace_ms)).await;
         stop.closing.cancel();
-        // Open connections finish what they are doing, then close.
+        // Open connections finish their current requests, then close.
         let _ = self.caller.await;
         stop.requests.close();
         stop.requests.wait().await;
@@ -146,7 +146,7 @@
         emit!(info, STOPPED);
     }
 
-    /// End at once, as a kill would. For tests of failures within one process.
+    /// Stops immediately, as if killed. For tests of failures within one process.
     pub fn abort(self) {
         self.node.stop.finished.cancel();
         self.node.stop.closing.cancel();
@@ -162,7 +162,7 @@
 
 fn new_node(settings: Settings, outside: Outside) -> Result<Node, StartError> {
     let now = outside.clock.now();
-    // The wall clock orders the runs of a VM that is replaced under its name.
+    // The wall clock orders the runs of a VM that is replaced under the same name.
     let start = wall_millis();
     let me = Incarnation { vm: settings.vm.clone(), start };
     let contact =
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -1,8 +1,8 @@
-//! Claims of keyed requests that may not be repeated, in the key-value service.
+//! Claims for keyed requests that must not be repeated, stored in the key-value service.
 //!
-//! Claims that arrive within a short time go into one call. A claim whose answer is lost is
-//! settled by reading it back; if that fails too, the request is refused as not run, which is
-//! true since nothing was sent, and the record is removed in the background.
+//! Claims that arrive within a short time are batched into one call. If the answer to a claim is lost, the record is
+//! read back; if that fails too, the request is refused as not run, which is correct because nothing was sent, and the
+//! record is removed in the background.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -21,26 +21,27 @@
 
 use crate::{emit, node::Node};
 
-/// Claims in one call at most.
+/// Maximum number of claims in one call.
 const MAX_BATCH: usize = 64;
-/// Time for which a batch is collected.
+/// Time for which claims are collected into a batch.
 const BATCH_DELAY: Duration = Duration::from_millis(2);
-/// Time after which a claim is given up.
+/// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which claims are refused at once after the service did not answer.
+/// Time for which claims are refused immediately after the service failed to answer.
 const UNAVAILABLE_TIME: Span = Span::millis(500);
-/// Time between tries to settle a record in the background.
+/// Delay between attempts to settle a record in the background.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Tries to settle a record before it is left to its lease.
+/// Maximum number of attempts to settle a record, after which it expires with its lease.
 const MAX_SETTLE_ATTEMPTS: u32 = 240;
-/// Leases are this many times as long as a key is remembered, and renewed by a fresh one.
+/// Lease duration as a multiple of the time for which a key is remembered. A new lease is granted each time that time
+/// has passed, so every claim is kept at least that long.
 const LEASE_FACTOR: u64 = 2;
-/// Largest answer that is recorded, in bytes.
+/// Maximum size of a recorded response body, in bytes.
 const MAX_RECORDED_BYTES: usize = 64 << 10;
 
 type ReplySender = oneshot::Sender<Result<Swapped, CallError>>;
 
-/// The way to the batching task.
+/// Queue of claims, which the batching task sends to the key-value service.
 #[derive(Debug)]
 pub struct Claims {
     tx: mpsc::Sender<(Swap, ReplySender)>,
@@ -61,7 +62,7 @@
     }
 }
 
-/// A claim that this daemon holds; its result must be recorded.
+/// A claim held by this daemon, which must record its result.
 #[derive(Debug)]
 pub struct HeldClaim {
     key: String,
@@ -69,16 +70,16 @@
     revision: i64,
 }
 
-/// Why there is no claim.
+/// Why a claim was not acquired.
 #[derive(Debug)]
 pub enum ClaimError {
-    /// Another request has it.
+    /// Another request holds it.
     Duplicate(Duplicate),
-    /// The service is out of reach.
+    /// The key-value service is unreachable.
     Unavailable,
 }
 
-/// Run the batching task until the daemon is over.
+/// Runs the batching task until the daemon stops.
 pub async fn run(node: Arc<Node>) {
     let rx = node.claims.rx.lock().unwrap_or_else(PoisonError::into_inner).take();
     let Some(mut rx) = rx else { return };
@@ -122,7 +123,7 @@
     }
 }
 
-/// The lease under which claims are forgotten at last.
+/// Lease with which claims expire.
 #[derive(Debug, Default)]
 struct ClaimLease {
     id: Option<LeaseId>,
@@ -146,7 +147,7 @@
     }
 }
 
-/// Claim `key` for `request`.
+/// Acquires the claim of `key` for `request`.
 ///
 /// # Errors
 /// Why this request must not be sent.
@@ -166,7 +167,7 @@
     }
 }
 
-/// What an existing record means for this request.
+/// Decides what an existing record means for this request.
 fn check_existing(
     node: &Node,
     entry: &Entry,
@@ -210,7 +211,7 @@
     let (reply, answer) = oneshot::channel();
     let sent = node.claims.tx.send((swap, reply)).await;
     if sent.is_err() {
-        return Err(CallError::NotSent("the daemon is over".to_owned()));
+        return Err(CallError::NotSent("the daemon is stopping".to_owned()));
     }
     match tokio::time::timeout(CLAIM_TIMEOUT, answer).await {
         Ok(Ok(result)) => result,
@@ -218,7 +219,7 @@
     }
 }
 
-/// Record what became of a claimed request; in the background when the service is out of reach.
+/// Records the result of a claimed request; in the background if the service is unreachable.
 pub async fn record(node: &Arc<Node>, held: HeldClaim, mut result: RecordedResult) {
     if result.body.as_ref().is_some_and(|body| body.len() > MAX_RECORDED_BYTES) {
         result.body = None;
@@ -229,14 +230,14 @@
     }
 }
 
-/// Give a claim back: the request did not run, and the key may be used again.
+/// Releases a claim whose request did not run, so that its key can be used again.
 pub async fn release(node: &Arc<Node>, held: HeldClaim) {
     if !matches!(swap(node, &held.key, held.revision, None).await, Ok(Swapped::Done(_))) {
         delete_in_background(node, held.key, held.claim);
     }
 }
 
-/// Wait until nothing is left to settle.
+/// Waits until no record is left to settle.
 pub async fn wait_settled(node: &Node) {
     node.claims.settle_tasks.close();
     node.claims.settle_tasks.wait().await;
@@ -246,7 +247,7 @@
     settle_in_background(node, key, claim, None);
 }
 
-/// Bring the record under `key` to `wanted`, as long as it belongs to the same request.
+/// Changes the record under `key` to `desired` while it belongs to the same request and has no result.
 fn settle_in_background(node: &Arc<Node>, key: String, claim: Claim, desired: Option<Claim>) {
     let node = Arc::clone(node);
     node.clone().claims.settle_tasks.spawn(async move {
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -1,4 +1,4 @@
-//! The dispatcher behind a lock, with the tasks that wait for its decisions.
+//! The dispatcher behind a lock, and the channels to the tasks that wait for its decisions.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -22,67 +22,67 @@
 use slotmap::SecondaryMap;
 use tokio::sync::mpsc;
 
-/// Where an attempt goes.
+/// Endpoint to which an attempt is sent.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
 }
 
-/// An attempt to make.
+/// Attempt to make.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// Its number.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Where it goes.
+    /// Endpoint that generates the response.
     pub endpoint: Target,
-    /// Where its prompt is processed first.
+    /// Endpoint that processes the prompt first, if it is another one.
     pub prefill: Option<Target>,
-    /// Why there.
+    /// Why the endpoint was chosen.
     pub reason: Reason,
-    /// Milliseconds predicted until the first token.
+    /// Predicted time to the first token, in milliseconds.
     pub predicted_first_ms: f64,
-    /// What was weighed.
+    /// Candidates that were compared.
     pub candidates: Vec<CandidateRecord>,
 }
 
-/// What a waiting task is told.
+/// Command to the task of a request.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Make an attempt.
     Send(Dispatch),
-    /// Stop the attempt and report this end.
+    /// Stop the attempt and report that it ended in this way.
     Stop(AttemptEnd),
-    /// The request is given up.
+    /// Give the request up.
     Refuse {
-        /// What became of it.
+        /// Outcome of the request.
         outcome: Outcome,
-        /// Why.
+        /// Why it is refused.
         reason: Refusal,
-        /// Milliseconds after which to come back.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
-        /// What the last look at the pool saw.
+        /// Candidates at the last check of the pool.
         candidates: Vec<CandidateRecord>,
     },
 }
 
-/// A request's place at the desk; dropping it withdraws the request.
+/// Handle of a submitted request, which receives its commands.
 #[derive(Debug)]
 pub struct Ticket {
-    /// Its key.
+    /// Key of the request.
     pub key: RequestKey,
     commands: mpsc::UnboundedReceiver<Command>,
 }
 
 impl Ticket {
-    /// The next command.
+    /// Waits for the next command.
     pub async fn next(&mut self) -> Option<Command> {
         self.commands.recv().await
     }
 
-    /// Wait until the desk stops the attempt under way; the end to report.
+    /// Waits until the dispatcher stops the running attempt, and returns the end to report.
     pub async fn stopped(&mut self) -> AttemptEnd {
         loop {
             match self.next().await {
@@ -110,35 +110,35 @@
     waiters: HashMap<RequestKey, mpsc::UnboundedSender<Command>>,
 }
 
-/// The desk.
+/// The dispatcher of one daemon, shared by its tasks.
 #[derive(Debug)]
 pub struct SharedDispatcher {
     inner: Mutex<Inner>,
 }
 
-/// One endpoint as the desk sees it.
+/// State of one endpoint in the dispatcher.
 #[derive(Clone, Debug)]
 pub struct EndpointView {
-    /// Its role.
+    /// Role of the endpoint.
     pub role: Role,
-    /// Whether new work goes there.
+    /// Whether it gets new work.
     pub open: bool,
-    /// Whether it was ejected after faults.
+    /// Whether it is ejected after failures.
     pub ejected: bool,
-    /// The last load report.
+    /// Last load report.
     pub load: LoadReport,
-    /// When that was true.
+    /// When the load report was made.
     pub load_at: Time,
-    /// Attempts of this daemon there.
+    /// Attempts of this daemon in flight at the endpoint.
     pub in_flight: u32,
-    /// The window.
+    /// Concurrency window of the endpoint.
     pub window: f64,
-    /// Prompt tokens of this daemon there that are not answered.
+    /// Prompt tokens that this daemon sent there and that have no answer yet.
     pub own_prefill: f64,
 }
 
 impl SharedDispatcher {
-    /// An empty desk.
+    /// Creates a dispatcher without pools.
     #[must_use]
     pub fn new(policy: Policy, seed: u64, now: Time) -> Self {
         Self {
@@ -157,7 +157,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Follow a newer configuration.
+    /// Applies a newer configuration.
     pub fn configure(&self, doc: &Document, live: usize, now: Time) {
         let mut inner = self.lock();
         inner.remove_obsolete(doc, now);
@@ -177,10 +177,10 @@
         }
     }
 
-    /// Take a request in.
+    /// Submits a request.
     ///
     /// # Errors
-    /// Why it is refused at once, and when to come back.
+    /// Why it is refused immediately, and when to retry.
     pub fn submit(
         &self,
         pool: &str,
@@ -199,12 +199,12 @@
         Ok(Ticket { key, commands })
     }
 
-    /// Note tokens that arrived.
+    /// Records received tokens.
     pub fn progress(&self, key: RequestKey, tokens: u32, now: Time) {
         self.lock().dispatcher.progress(key, tokens, now);
     }
 
-    /// Note how an attempt ended.
+    /// Records how an attempt ended.
     pub fn attempt_ended(&self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> Next {
         let mut inner = self.lock();
         let pool = inner.dispatcher.request(key).map(|r| r.spec.pool);
@@ -218,7 +218,7 @@
         next
     }
 
-    /// Forget a request, if it is still there.
+    /// Removes a request if it is still present.
     pub fn cancel(&self, key: RequestKey, now: Time) {
         let mut inner = self.lock();
         inner.waiters.remove(&key);
@@ -229,14 +229,14 @@
         }
     }
 
-    /// Run the systems that depend on the time.
+    /// Runs the time-dependent parts of the dispatcher.
     pub fn tick(&self, now: Time) {
         let mut inner = self.lock();
         let actions = inner.dispatcher.tick(now);
         inner.execute(actions, now);
     }
 
-    /// Open an endpoint to new work or close it; returns whether that changed anything.
+    /// Opens or closes an endpoint to new work; returns whether its state changed.
     pub fn set_admin_state(&self, name: &str, state: AdminState, now: Time) -> bool {
         let mut inner = self.lock();
         let Some(key) = inner.endpoints.get(name).copied() else { return false };
@@ -246,7 +246,7 @@
         previous != Some(state)
     }
 
-    /// Note an endpoint's role.
+    /// Sets the role of an endpoint.
     pub fn set_role(&self, name: &str, role: Role) {
         let mut inner = self.lock();
         if let Some(key) = inner.endpoints.get(name).copied() {
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Take in a load report.
+    /// Applies a load report.
     pub fn observe(&self, name: &str, load: LoadReport, at: Time) {
         let mut inner = self.lock();
         if let Some(key) = inner.endpoints.get(name).copied() {
@@ -262,18 +262,18 @@
         }
     }
 
-    /// Take in a load report that a peer passed on, with what that peer has sent there itself.
+    /// Applies a load report from a peer, together with the prompt tokens that the peer itself has outstanding there.
     pub fn observe_by_hash(&self, endpoint: u64, load: LoadReport, at: Time, peer_prefill: f64) {
         let mut inner = self.lock();
         let Some(key) = inner.by_hash.get(&endpoint).copied() else { return };
         inner.dispatcher.observe(key, load, at);
         if let Some(row) = inner.dispatcher.endpoint_mut(key) {
-            // Peers' reports overlap; a slow average is nearer the truth than a sum.
+            // Reports of several peers overlap, so a slow moving average is more accurate than a sum.
             row.peer_prefill_tokens = 0.5_f64.mul_add(row.peer_prefill_tokens, 0.5 * peer_prefill);
         }
     }
 
-    /// Note a change of an endpoint's prefix cache.
+    /// Records a change in an endpoint's prefix cache.
     pub fn cache_event(&self, name: &str, prefix: u64, cached: bool, now: Time) {
         let mut inner = self.lock();
         let Some(key) = inner.endpoints.get(name).copied() else { return };
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Requests of this daemon at an endpoint: protected, and others.
+    /// Numbers of this daemon's requests at an endpoint: protected ones, and others.
     #[must_use]
     pub fn in_flight(&self, name: &str) -> (usize, usize) {
         let inner = self.lock();
@@ -293,14 +293,14 @@
         key.map_or((0, 0), |key| inner.dispatcher.in_flight(*key))
     }
 
-    /// Requests held, and those of them that wait.
+    /// Numbers of all requests, and of those that wait.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let inner = self.lock();
         (inner.dispatcher.request_count(), inner.dispatcher.waiting_count())
     }
 
-    /// The demand that arrived here for a pool: the short and the long average.
+    /// Demand that arrived at this daemon for a pool: short and long average.
     #[must_use]
     pub fn demand(
         &self,
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its final answer.
+//! One request from its arrival to its final response.
 
 use std::sync::Arc;
 
@@ -30,55 +30,55 @@
     node::Node,
 };
 
-/// What a caller asks, apart from its content.
+/// Parameters of a request other than its content.
 #[derive(Clone, Debug)]
 pub struct RequestParams {
-    /// The request's identifier.
+    /// Identifier of the request.
     pub request: String,
-    /// Name of its kind.
+    /// Name of the request's kind.
     pub kind_name: String,
-    /// Its kind.
+    /// Specification of the kind.
     pub kind: KindSpec,
-    /// The team.
+    /// Team that sends the request.
     pub team: String,
-    /// The idempotency key, made unique by the team.
+    /// Idempotency key, prefixed with the team so that it is unique.
     pub key: Option<String>,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Time,
-    /// When its answer is due.
+    /// Time at which the response is due.
     pub deadline: Time,
 }
 
-/// A request on its way.
+/// A submitted request. Dropping it cancels the request in the dispatcher.
 #[derive(Debug)]
 pub struct ActiveRequest {
-    /// The daemon.
+    /// The daemon that serves the request.
     pub node: Arc<Node>,
-    /// What the caller asks.
+    /// Parameters of the request.
     pub params: RequestParams,
     ticket: Ticket,
     record: OpenRecord,
     claim: Option<HeldClaim>,
 }
 
-/// What the desk needs to know of a request's content.
+/// Properties of the content that the dispatcher needs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ContentInfo {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens of the answer at most.
+    /// Maximum number of response tokens.
     pub output_tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Identifier of the adapter, zero for none.
+    /// Identifier of the adapter, 0 for none.
     pub adapter: u64,
 }
 
 impl ActiveRequest {
-    /// Submit a request.
+    /// Submits a request to the dispatcher.
     ///
     /// # Errors
-    /// Why it is refused at once.
+    /// Why it is refused immediately.
     pub fn submit(node: &Arc<Node>, params: RequestParams, pool: &str, content: ContentInfo) -> Result<Self, Failure> {
         let spec = |pool| RequestSpec {
             pool,
@@ -115,16 +115,16 @@
         }
     }
 
-    /// The request's identifier.
+    /// Identifier of the request.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.params.request
     }
 
-    /// Wait for the first or next attempt, and hold the claim before the first.
+    /// Waits for the next attempt, and acquires the claim before the first one.
     ///
     /// # Errors
-    /// Why there is none; the request is over.
+    /// Why there is no further attempt; the request is finished.
     pub async fn next_dispatch(&mut self, content_hash: u64) -> Result<Dispatch, NoAttempt> {
         loop {
             match self.ticket.next().await {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Report how an attempt ended; returns what follows from it.
+    /// Reports how an attempt ended; returns what to do next.
     pub fn attempt_ended(&mut self, ended: &AttemptResult) -> AfterAttempt {
         let now = self.node.now();
         let end_name = serialized_name(&ended.end);
@@ -191,13 +191,13 @@
         }
     }
 
-    /// Where arriving tokens are noted.
+    /// Returns where received tokens are recorded.
     #[must_use]
     pub fn progress(&self) -> Progress {
         Progress::new(&self.node, &self.record, self.ticket.key, self.params.arrived, &self.params.kind_name)
     }
 
-    /// The request is over: settle its claim, its record and its metrics.
+    /// Finishes the request: settles its claim, its record and its metrics.
     pub async fn finish(&mut self, result: Result<&RecordedResult, &Failure>) {
         let outcome = result.map_or_else(|f| f.outcome, |r| r.outcome);
         let reason = result.map_or_else(|f| f.reason, |_| "");
@@ -246,23 +246,23 @@
     }
 }
 
-/// What follows from the end of an attempt.
+/// What follows the end of an attempt.
 #[derive(Debug)]
 pub enum AfterAttempt {
     /// The request is tried again.
     Retry,
-    /// It has its whole answer.
+    /// The response is complete.
     Answered,
-    /// It is over without one.
+    /// The request has failed.
     Failed(Failure),
 }
 
-/// Why a request does not go on to an attempt.
+/// Why a request gets no further attempt.
 #[derive(Debug)]
 pub enum NoAttempt {
     /// It failed.
     Failed(Failure),
-    /// Its key has a recorded result.
+    /// Its idempotency key has a recorded result.
     Recorded(RecordedResult),
 }
 
@@ -294,18 +294,18 @@
     }
 }
 
-/// A completion: what engines are asked, over as many attempts as it takes.
+/// What a completion asks of the engines in each of its attempts.
 #[derive(Debug)]
 pub struct Completion {
-    /// The path at the engine.
+    /// Path of the API at the engine.
     pub path: &'static str,
-    /// The caller's body.
+    /// Body from the caller.
     pub body: serde_json::Map<String, Value>,
     /// Hash of the body.
     pub content_hash: u64,
 }
 
-/// Run a completion, with the pieces of its answer to `out`.
+/// Runs a completion and sends the pieces of its response to `out`.
 pub async fn complete(mut active: ActiveRequest, completion: Completion, clients: Clients, out: mpsc::Sender<Piece>) {
     let mut assembly = Assembly::new(active.params.request.clone(), 0);
     let result = loop {
@@ -350,7 +350,7 @@
     }
 }
 
-/// A completion whose key has a result: its text is not kept, so only the outcome is told.
+/// The failure of a completion whose key has a result: the text is not stored, so only the outcome is reported.
 fn already_answered(recorded: &RecordedResult) -> Failure {
     Failure {
         outcome: recorded.outcome,
@@ -361,7 +361,7 @@
     }
 }
 
-/// When an answer to a request that arrived at `arrived` is due.
+/// Time at which the response to a request that arrived at `arrived` is due.
 #[must_use]
 pub fn deadline(arrived: Time, kind: &KindSpec, asked_ms: Option<u64>) -> Time {
     let ms = asked_ms.map_or(kind.deadline_ms, |asked| asked.min(kind.deadline_ms));
@@ -369,7 +369,7 @@
 }
 
 impl ActiveRequest {
-    /// The commands that may stop a running attempt.
+    /// Handle that receives the commands to stop a running attempt.
     pub const fn ticket(&mut self) -> &mut Ticket {
         &mut self.ticket
     }
--- a/crates/daemon/src/dispatch/failure.rs
+++ b/crates/daemon/src/dispatch/failure.rs
@@ -1,33 +1,33 @@
-//! Why a request has no whole answer, as its caller is told.
+//! Why a request has no complete response, as reported to its caller.
 
 use dahliaseam_core::{claim::Duplicate, dispatch::Refusal, outcome::Outcome};
 
-/// Why a request has no whole answer.
+/// Why a request has no complete response.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// A stable word.
+    /// Machine-readable reason, which does not change between versions.
     pub reason: &'static str,
-    /// A sentence.
+    /// Explanation in a sentence.
     pub message: String,
-    /// Milliseconds after which to come back.
+    /// Time after which the caller may retry, in milliseconds; none if retrying does not help.
     pub retry_after_ms: Option<u64>,
-    /// The status of a rejection, in place of the outcome's own.
+    /// HTTP status to use instead of the outcome's default.
     pub status: Option<u16>,
 }
 
-/// Milliseconds after which a caller may ask again when nothing better is known.
+/// Default time after which a caller may retry, in milliseconds.
 const DEFAULT_RETRY_MS: u64 = 1_000;
 
 impl Failure {
-    /// A failure with the usual time to come back.
+    /// Creates a failure with the default retry time.
     #[must_use]
     pub fn new(outcome: Outcome, reason: &'static str, message: impl Into<String>) -> Self {
         Self { outcome, reason, message: message.into(), retry_after_ms: Some(DEFAULT_RETRY_MS), status: None }
     }
 
-    /// The request itself is wrong; asking again does not help.
+    /// Creates the failure of an invalid request; retrying does not help.
     #[must_use]
     pub fn bad_request(status: u16, reason: &'static str, message: impl Into<String>) -> Self {
         Self { retry_after_ms: None, status: Some(status), ..Self::new(Outcome::NotRun, reason, message) }
@@ -53,7 +53,7 @@
         Self::new(outcome, "endpoint_failed", format!("{message}{}{detail}", if detail.is_empty() { "" } else { ": " }))
     }
 
-    /// What a second request with the same key is told, when nothing is recorded.
+    /// The failure reported to a duplicate of a request whose key has no recorded result.
     pub(super) fn duplicate(duplicate: &Duplicate) -> Self {
         match duplicate {
             Duplicate::InProgress => Self {
--- a/crates/daemon/src/dispatch/mod.rs
+++ b/crates/daemon/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
 //! One request under the product's own interface, from its claim to its outcome.
 //!
-//! [`exchange`] takes a request from start to end. It asks [`desk`], the dispatcher with its
-//! waiters, where to try; [`claims`] sees to it that what may not be repeated runs once at most;
-//! [`records`] keeps what `explain` tells, and [`failure`] is why there is no whole answer.
+//! [`exchange`] carries a request from start to end. It asks [`desk`], the shared dispatcher, where to try; [`claims`]
+//! ensures that requests that must not be repeated run at most once; [`records`] keeps the records for `dahliaseam
+//! explain`, and [`failure`] describes why there is no complete response.
 
 pub mod claims;
 pub mod desk;
--- a/crates/daemon/src/dispatch/progress.rs
+++ b/crates/daemon/src/dispatch/progress.rs
@@ -1,4 +1,4 @@
-//! Noting the tokens of one request as they arrive.
+//! Records the tokens of one request as they arrive.
 
 use std::sync::Arc;
 
@@ -20,13 +20,13 @@
 }
 
 impl Progress {
-    /// Where the tokens of a request are noted.
+    /// Creates the recorder of one request.
     #[must_use]
     pub fn new(node: &Arc<Node>, record: &OpenRecord, key: RequestKey, arrived: Time, kind_name: &str) -> Self {
         Self { node: Arc::clone(node), record: Arc::clone(record), key, arrived, kind_name: kind_name.to_owned() }
     }
 
-    /// Note tokens that arrived just now.
+    /// Records tokens that have just arrived.
     pub fn record_tokens(&self, tokens: u32) {
         let now = self.node.now();
         self.node.dispatcher.progress(self.key, tokens, now);
--- a/crates/daemon/src/dispatch/records.rs
+++ b/crates/daemon/src/dispatch/records.rs
@@ -1,4 +1,4 @@
-//! What happened to the latest requests, for `dahliaseam explain`.
+//! Records of the latest requests, for `dahliaseam explain`.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,13 +7,13 @@
 
 use dahliaseam_wire::operator::RequestRecord;
 
-/// Requests that are remembered.
+/// Maximum number of records kept.
 const MAX_RECORDS: usize = 4_096;
 
-/// A record that is still being written.
+/// Record that may still change.
 pub type OpenRecord = Arc<Mutex<RequestRecord>>;
 
-/// The latest records.
+/// The records of the latest requests.
 #[derive(Debug, Default)]
 pub struct Records {
     inner: Mutex<Ring>,
@@ -26,7 +26,7 @@
 }
 
 impl Records {
-    /// Begin a record.
+    /// Starts a record, and drops the oldest one beyond the maximum.
     pub fn open(&self, record: RequestRecord) -> OpenRecord {
         let id = record.request.clone();
         let open = Arc::new(Mutex::new(record));
@@ -41,7 +41,7 @@
         open
     }
 
-    /// The record of a request, as far as it got.
+    /// The record of a request, complete or not.
     #[must_use]
     pub fn get(&self, request: &str) -> Option<RequestRecord> {
         let ring = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Lock a record.
+/// Locks a record.
 pub fn lock(record: &OpenRecord) -> std::sync::MutexGuard<'_, RequestRecord> {
     record.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -1,4 +1,4 @@
-//! One try at an endpoint.
+//! One attempt at an endpoint.
 
 use std::sync::Arc;
 
@@ -31,15 +31,16 @@
     telemetry,
 };
 
-/// Bytes of an endpoint's error that are read.
+/// Maximum number of bytes read from an endpoint's error response.
 const MAX_ERROR_BYTES: usize = 4 << 10;
 
-/// The clients that reach endpoints.
+/// HTTP clients for calls to endpoints.
 #[derive(Clone, Debug)]
 pub struct Clients {
-    /// For requests that may be repeated.
+    /// For requests that may be repeated; reuses connections.
     pub reused: HttpClient,
-    /// For those that may not: a fresh connection cannot close under the write.
+    /// For requests that must not be repeated: a new connection cannot be closed by the endpoint while the request is
+    /// being written.
     pub fresh: HttpClient,
 }
 
@@ -50,32 +51,32 @@
 }
 
 impl Clients {
-    /// The client for a kind.
+    /// The client for requests that may or may not be repeated.
     #[must_use]
     pub const fn for_kind(&self, repeatable: bool) -> &HttpClient {
         if repeatable { &self.reused } else { &self.fresh }
     }
 }
 
-/// A piece of an answer, on its way to the caller.
+/// A piece of a response, on its way to the caller.
 #[derive(Debug)]
 pub enum Piece {
-    /// Text of so many tokens.
+    /// Text, and its number of tokens.
     Text(String, u32),
-    /// The whole answer is there; why the engine ended it.
+    /// The response is complete; holds the engine's finish reason.
     End(String),
-    /// The request is over without a whole answer.
+    /// The request has ended without a complete response.
     Failed(crate::dispatch::failure::Failure),
 }
 
 /// How an attempt ended, and at which of its engines.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// How.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// Where.
+    /// Engine at which it ended.
     pub site: Site,
-    /// The endpoint's own words, when it rejected the request.
+    /// Body of the endpoint's error response, empty if there was none.
     pub detail: String,
 }
 
@@ -89,24 +90,24 @@
     }
 }
 
-/// What an engine is asked, besides the dispatch.
+/// Parameters of a call to an engine, besides the dispatch.
 #[derive(Debug)]
 pub struct EngineCall<'a> {
-    /// The request's path.
+    /// Path of the request.
     pub path: &'static str,
-    /// The caller's body.
+    /// Body from the caller.
     pub body: &'a serde_json::Map<String, Value>,
-    /// The request's identifier.
+    /// Identifier of the request.
     pub request: &'a str,
-    /// The priority of its kind.
+    /// Priority of the request's kind.
     pub priority: u8,
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub repeatable: bool,
-    /// Where its tokens are noted.
+    /// Where received tokens are recorded.
     pub progress: &'a Progress,
 }
 
-/// Generate at the dispatch's endpoint, and pass pieces on to `out`.
+/// Makes an attempt at the dispatch's endpoint, and sends the pieces of the response to `out`.
 pub async fn generate(
     node: &Arc<Node>,
     clients: &Clients,
@@ -158,7 +159,7 @@
     let resp = match start_call(client, call, &head, &dispatch.endpoint).await {
         Ok(resp) => resp,
         Err(mut ended) => {
-            // The prompt was processed elsewhere, so "not run" would not be true.
+            // The prompt was processed at another engine, so "not run" would be wrong.
             if prompt_ran && ended.end.is_certainly_not_run() {
                 ended.end = AttemptEnd::Broken;
             }
@@ -168,7 +169,7 @@
     AttemptResult::serving(receive(node, call, assembly, resp, out).await)
 }
 
-/// Have `target` process the prompt, and learn where its KV cache is.
+/// Has `target` process the prompt, and returns from where its KV cache can be imported.
 async fn run_prefill(
     client: &HttpClient,
     call: &EngineCall<'_>,
@@ -189,7 +190,7 @@
     Err(AttemptEnd::Broken)
 }
 
-/// Send a request to an engine and judge the head of its answer.
+/// Sends a request to an engine and checks the status of its response.
 async fn start_call(
     client: &HttpClient,
     call: &EngineCall<'_>,
@@ -211,7 +212,7 @@
     check_response(resp).await
 }
 
-/// How an attempt ends when its call gave no answer.
+/// How an attempt ends whose call failed without a response.
 #[must_use]
 pub const fn attempt_end(error: &CallError) -> AttemptEnd {
     match error {
@@ -237,7 +238,7 @@
     Err(AttemptResult { end, site: Site::Serving, detail })
 }
 
-/// Whether an endpoint vouches that nothing ran.
+/// Whether the endpoint states that it did not run the request.
 #[must_use]
 pub fn is_not_run(resp: &Response<Incoming>) -> bool {
     let status_fits = matches!(resp.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::FAILED_DEPENDENCY);
@@ -277,22 +278,22 @@
     AttemptEnd::Broken
 }
 
-/// The caller takes no more pieces.
+/// The caller accepts no more pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Pass a frame's text on if it is the next of its answer.
+/// Sends a frame's text on if it is the next of the response.
 ///
 /// # Errors
-/// If the caller takes no more.
+/// If the caller accepts no more.
 pub async fn deliver(
     assembly: &mut Assembly,
     mark: &Mark,
     text: String,
     out: &mpsc::Sender<Piece>,
 ) -> Result<Verdict, CallerGone> {
-    // It counts as delivered together with its being passed on: the attempt may be stopped at any wait, and the next one
-    // goes on after what counts.
+    // Wait for room in the queue first, and count the piece as delivered only together with sending it: the attempt may
+    // be stopped at any await, and the next attempt resumes after the last piece that was counted.
     let permit = out.reserve().await.map_err(|_| CallerGone)?;
     let verdict = assembly.accept(&mark.id, mark.tokens);
     if verdict == Verdict::Deliver {
@@ -306,7 +307,7 @@
     emit!(debug, FRAME_DROPPED, request, why);
 }
 
-/// A frame's mark, text and finish reason.
+/// Parses a frame into its mark, text and finish reason.
 fn parse_frame(data: &str) -> Option<(Mark, String, String)> {
     let value: Value = serde_json::from_str(data).ok()?;
     let mark = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -1,8 +1,7 @@
 //! Which endpoints get new work.
 //!
-//! An endpoint is closed when operators drained it, when the platform's list shows its VM as
-//! leaving or gone, when its shard's holder marked it, or when it says itself that it refuses
-//! new work. Any one of these is enough.
+//! An endpoint is closed if operators drained it, if the platform's list shows its VM as leaving or no longer contains
+//! it, if its shard's holder marked it, or if it reports that it refuses new work. Any one of these is enough.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -23,7 +22,7 @@
     cordoned: HashSet<String>,
 }
 
-/// What is known of endpoints that get no new work.
+/// Reasons for which endpoints get no new work.
 #[derive(Debug, Default)]
 pub struct Availability {
     inner: Mutex<Inner>,
@@ -34,7 +33,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Take in marks, unless newer ones of the shard are in force; returns whether they are now.
+    /// Applies marks unless newer ones of the shard are in force; returns whether they were applied.
     pub fn apply_marks(&self, marks: Marks) -> bool {
         let mut state = self.lock();
         let rank = |m: &Marks| (m.epoch, m.sequence);
@@ -53,25 +52,25 @@
         self.lock().marks.values().cloned().collect()
     }
 
-    /// A hash of the marks in force.
+    /// Hash of the marks in force.
     #[must_use]
     pub fn marks_hash(&self) -> u64 {
         let ranks: Vec<_> = self.lock().marks.values().map(|m| (m.shard.clone(), m.epoch, m.sequence)).collect();
         hash::bytes(&serde_json::to_vec(&ranks).unwrap_or_default())
     }
 
-    /// VMs of endpoints that the list shows as leaving or gone.
+    /// VMs of endpoints that the platform's list shows as leaving or no longer contains.
     #[must_use]
     pub fn closed_vms(&self) -> Vec<String> {
         self.lock().closed_vms.iter().cloned().collect()
     }
 
-    /// Replace those.
+    /// Replaces the VMs of [`Self::closed_vms`].
     pub fn set_closed_vms(&self, vms: impl IntoIterator<Item = String>) {
         self.lock().closed_vms = vms.into_iter().collect();
     }
 
-    /// Note whether an endpoint says that it refuses new work.
+    /// Records whether an endpoint reports that it refuses new work.
     pub fn set_cordoned(&self, endpoint: &str, cordoned: bool) {
         let mut state = self.lock();
         if cordoned {
@@ -81,12 +80,12 @@
         }
     }
 
-    /// Forget what endpoints said that this daemon no longer asks.
+    /// Drops the reports of endpoints that this daemon no longer polls.
     pub fn retain_cordoned(&self, is_polled: impl Fn(&str) -> bool) {
         self.lock().cordoned.retain(|name| is_polled(name));
     }
 
-    /// Why an endpoint gets no new work.
+    /// Why an endpoint gets no new work, if it gets none.
     #[must_use]
     pub fn closed_reason(&self, name: &str, spec: &EndpointSpec) -> Option<&'static str> {
         let state = self.lock();
@@ -109,7 +108,7 @@
     }
 }
 
-/// Bring the desk in line with what is known.
+/// Applies the known reasons and roles to the dispatcher.
 pub fn apply(node: &Node) {
     let doc = node.document();
     let now = node.now();
@@ -126,7 +125,7 @@
     }
 }
 
-/// Follow the platform's list until the daemon is over.
+/// Follows the platform's VM list until the daemon stops.
 pub async fn watch_vm_list(node: Arc<Node>) {
     let interval = Duration::from_millis(node.settings.timing.list_ms);
     while !node.stop.finished.is_cancelled() {
--- a/crates/daemon/src/endpoint/mod.rs
+++ b/crates/daemon/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints: one try at one ([`attempt`]), their load ([`observe`]), and which of them get work
+//! Endpoints: one attempt at an endpoint ([`attempt`]), their load ([`observe`]), and which of them get new work
 //! ([`duties`]).
 
 pub mod attempt;
--- a/crates/daemon/src/endpoint/observe.rs
+++ b/crates/daemon/src/endpoint/observe.rs
@@ -1,7 +1,7 @@
-//! Asking engines for their load, role and cache events.
+//! Polls engines for their load, role and cache events.
 //!
-//! Each engine is asked by two daemons, found by rendezvous hash over those alive; the others
-//! hear by gossip. So the calls an engine gets do not grow with the daemons.
+//! Each engine is polled by two daemons, chosen by rendezvous hashing over the live ones; the others get its load by
+//! gossip. The number of calls to an engine therefore does not grow with the number of daemons.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -18,14 +18,14 @@
 
 use crate::{endpoint::duties, node::Node};
 
-/// Daemons that ask one engine.
+/// Number of daemons that poll one engine.
 const OBSERVERS: usize = 2;
-/// Time for one call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Rounds between two looks at cache events.
+/// Number of status rounds per poll of the cache events.
 const ROUNDS_PER_CACHE_POLL: u64 = 4;
 
-/// Ask engines until the daemon is over.
+/// Polls engines until the daemon stops.
 pub async fn run(node: Arc<Node>) {
     let interval = Duration::from_millis(node.settings.timing.observe_ms);
     let client = HttpClient::new(Reuse::Keep);
@@ -49,7 +49,7 @@
     }
 }
 
-/// The engines that this daemon asks.
+/// The engines that this daemon polls.
 fn assigned(node: &Node) -> Vec<(String, EndpointSpec)> {
     let doc = node.document();
     let me = hash::bytes(node.settings.vm.as_bytes());
@@ -79,7 +79,7 @@
     }
 }
 
-/// Take in what an engine said when asked at `asked`.
+/// Applies the status of an engine, which was requested at `requested_at`.
 pub fn apply_status(node: &Node, name: &str, report: &StatusReport, requested_at: Time) {
     node.dispatcher.observe(name, report.load, requested_at - Span::millis(report.load_age_ms));
     node.dispatcher.set_role(name, report.status.role);
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -6,7 +6,7 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why the daemon does not start.
+    /// Why the daemon cannot start.
     #[derive(Debug)]
     pub enum StartError {
         /// The settings cannot be used.
@@ -25,7 +25,7 @@
     }
 }
 
-/// Print why the daemon does not start.
+/// Prints why the daemon cannot start.
 pub fn report(error: &StartError) {
     eprintln!("dahliaseamd: {error}");
 }
--- a/crates/daemon/src/health.rs
+++ b/crates/daemon/src/health.rs
@@ -12,7 +12,7 @@
 
 use crate::node::Node;
 
-/// Media type of Prometheus text.
+/// Media type of the Prometheus text format.
 const PROMETHEUS: &str = "text/plain; version=0.0.4";
 
 /// The routes, which need no token.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,9 @@
 //! The daemon that runs on each entry VM, as a library.
 //!
-//! [`controller`] starts and stops it; [`node`] is what its parts share. A request's way under the
-//! product's own interface is [`caller`] (HTTP from callers), [`dispatch`] (one request, and where
-//! it is tried) and [`endpoint`] (one try). [`gateway`] is the way of requests on routes, to
-//! discovered replicas. Beside them are [`configuration`], [`membership`] and [`control`] (orders to
-//! engines, for the shards whose lease this daemon holds).
+//! [`controller`] starts and stops it; [`node`] is the state that its parts share. A request under the product's own
+//! interface goes through [`caller`] (HTTP from callers), [`dispatch`] (one request, and where it is tried) and
+//! [`endpoint`] (one attempt). Requests on routes go through [`gateway`] to discovered replicas. The other parts are
+//! [`configuration`], [`membership`] and [`control`] (orders to engines, for the shards whose lease this daemon holds).
 
 pub mod caller;
 pub mod clock;
--- a/crates/daemon/src/listener.rs
+++ b/crates/daemon/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections: how many, how slow their headers may come, and how they end.
+//! Accepts connections, limits their number and the time for their headers, and closes them at a graceful stop.
 
 use std::{convert::Infallible, error::Error, sync::Arc, time::Duration};
 
@@ -20,21 +20,21 @@
 
 use crate::emit;
 
-/// Wait after the system refuses a connection, as when files run out.
+/// Delay after the system refuses a connection, for example when no file descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time for the first request of connections that were taken last. Callers send it as soon as
-/// they are connected; the way takes a few milliseconds.
+/// Time in which the connections accepted last can send their first request. Callers send it as soon as they are
+/// connected, and it takes a few milliseconds to arrive.
 const FINAL_READ_TIME: Duration = Duration::from_millis(30);
 
-/// What a listener allows.
+/// Limits for a listener's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections at once at most.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Time in which a head must have come, or for which an idle connection is kept.
+    /// Time in which a request head must be complete; also the idle timeout of a connection.
     pub head_timeout: Duration,
-    /// Bytes of a head at most.
+    /// Maximum bytes of a request head.
     pub max_head_bytes: usize,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Serve `router` until `closing`; see [`serve_with`].
+/// Serves `router` until `closing`; see [`serve_with`].
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -59,7 +59,7 @@
     serve_with(listener, router_handler(router), move || ConnectionLimits::from(limits), begun, closing).await;
 }
 
-/// A router's way to answer, for [`serve_with`].
+/// Turns a router into a handler for [`serve_with`].
 pub fn router_handler(
     router: Router,
 ) -> impl Fn(Request<Incoming>) -> BoxFuture<'static, Response<Body>> + Clone + Send + 'static {
@@ -69,10 +69,10 @@
     }
 }
 
-/// Answer requests until `closing`, then end idle connections and wait for the busy ones.
+/// Answers requests until `closing`, then closes idle connections and waits for the busy ones.
 ///
-/// `terms` is asked for each connection. Once `begun` is cancelled each answer also ends its
-/// connection, so that when the listener closes few are left on which a caller may be writing.
+/// `limits` is called for each connection. Once `begun` is cancelled, each response also closes its connection, so that
+/// few are left on which a caller may be writing when the listener closes.
 pub async fn serve_with<F, A, B>(
     listener: TcpListener,
     handler: F,
@@ -101,13 +101,13 @@
     for stream in accept_pending(listener) {
         server.spawn_connection(stream);
     }
-    // Connections on which nothing was read yet are closed at once by the next step.
+    // The next step closes connections on which nothing has been read yet.
     tokio::time::sleep(FINAL_READ_TIME).await;
     server.graceful.shutdown().await;
 }
 
-/// Connections that came about and were not taken before the listener closes. Their callers may
-/// have sent requests already.
+/// Accepts the connections that are still pending when the listener closes. Their callers may already have sent
+/// requests.
 fn accept_pending(listener: TcpListener) -> Vec<TcpStream> {
     let listener = match listener.into_std() {
         Ok(listener) => listener,
@@ -125,7 +125,7 @@
         .collect()
 }
 
-/// What each connection is served by.
+/// What is needed to serve each connection.
 struct Server<F, T> {
     handler: F,
     limits: T,
@@ -135,7 +135,7 @@
 }
 
 impl<F, T> Server<F, T> {
-    /// Serve a connection, if there is a place for it.
+    /// Serves a connection in its own task if the maximum number is not reached.
     fn spawn_connection<A, B>(&self, stream: TcpStream)
     where
         F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Other daemons: probing them and the gossip that rides on it ([`peers`]), what they are answered
-//! ([`peer_server`]), and who this daemon is ([`identity`]).
+//! Other daemons: probing and gossip ([`peers`]), the server for their calls ([`peer_server`]), and the identity of
+//! this daemon ([`identity`]).
 
 pub mod identity;
 pub mod peer_server;
--- a/crates/daemon/src/membership/peer_server.rs
+++ b/crates/daemon/src/membership/peer_server.rs
@@ -1,4 +1,4 @@
-//! The calls from other daemons, behind the deployment's secret.
+//! Server for calls from other daemons, which must present the deployment's secret.
 
 use std::{
     pin::Pin,
@@ -21,7 +21,7 @@
 
 use crate::{emit, endpoint::duties, error::StartError, membership::peers, node::Node, operator};
 
-/// Connections of other daemons at once.
+/// Maximum number of connections from other daemons.
 const MAX_CONNECTIONS: u32 = 4_096;
 
 struct PeerHandler {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Serve other daemons.
+/// Starts the server.
 ///
 /// # Errors
 /// Why the address cannot be bound.
@@ -110,7 +110,7 @@
     Ok(server.start(PeerHandler { node }.into_rpc()))
 }
 
-/// Lets only calls with the secret through.
+/// Rejects calls without the secret.
 #[derive(Clone)]
 struct AuthLayer {
     node: Arc<Node>,
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! Probing the other daemons, and the gossip that rides on it.
+//! Probing of other daemons, and the gossip that the probes carry.
 
 use std::{
     collections::HashMap,
@@ -18,13 +18,13 @@
 
 use crate::{configuration::configure, emit, endpoint::duties, node::Node};
 
-/// Load news in one message at most.
+/// Maximum number of load reports in one message.
 const MAX_LOAD_REPORTS: usize = 64;
-/// Load older than this is not passed on.
+/// Load reports older than this are not passed on.
 const MAX_LOAD_AGE: Span = Span::millis(5_000);
-/// Daemons told at once of a newer configuration.
+/// Number of daemons that are notified immediately of a newer configuration.
 const ANNOUNCE_FANOUT: usize = 3;
-/// The part of the probing period at which the loop looks for work.
+/// Number of times per probing period that the loop checks whether a probe is due.
 const CHECKS_PER_PERIOD: u64 = 4;
 
 /// Connections to other daemons, by address.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Probe others until the daemon is over.
+/// Probes other daemons until this one stops.
 pub async fn run(node: Arc<Node>) {
     let check_interval = Duration::from_millis((node.settings.timing.probe_ms / CHECKS_PER_PERIOD).max(1));
     let mut live = 0;
@@ -61,7 +61,7 @@
         let now = node.now();
         let target = node.members().next_probe_target(now);
         if let Some(key) = target {
-            // One slow daemon must not hold up the round.
+            // Probes run in their own tasks, so that one slow daemon does not delay the others.
             tokio::spawn(probe(Arc::clone(&node), key));
         }
         confirm_if_alone(&node, now);
@@ -78,7 +78,7 @@
     }
 }
 
-/// A daemon alone in the list needs no other's answer.
+/// A daemon that is alone in the list needs no answer from another to count as reachable.
 fn confirm_if_alone(node: &Node, now: Time) {
     let (reachable, listed) = node.members().reachability();
     if listed == 1 && node.freshness().list_at().is_some() {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Tell others of a newer configuration as soon as it is in force, until the daemon is over.
+/// Notifies other daemons of a newer configuration as soon as it is in force, until this daemon stops.
 pub async fn announce_config(node: Arc<Node>) {
     let mut config = node.config.subscribe();
     loop {
@@ -103,8 +103,8 @@
     }
 }
 
-/// Say that this process is over. Others take it as proof that no order of its comes any more,
-/// so control must have ended before.
+/// Announces that this process has terminated. Others take this as proof that it sends no more orders, so control must
+/// have ended before.
 pub async fn announce_leaving(node: &Arc<Node>) {
     node.members().announce_leaving();
     let keys: Vec<_> = node.members().others().map(|(key, _)| key).collect();
@@ -135,7 +135,7 @@
     client.probe_via(target.clone()).await.ok().flatten()
 }
 
-/// Probe one daemon and take in its answer; returns whether there was one.
+/// Probes one daemon and applies its answer; returns whether there was one.
 async fn probe_once(node: &Arc<Node>, key: MemberKey) -> bool {
     let Some(address) = node.members().get(key).map(|m| m.contact.address.clone()) else {
         return false;
@@ -182,8 +182,8 @@
     };
     apply_load_reports(node, &answer.loads, now);
     fetch_newer(node, address, &answer.digest).await;
-    // A daemon that knows of a newer configuration than its own has not caught up: neither may
-    // its copy count as confirmed, nor may it go on by its majority.
+    // While this daemon lacks a newer configuration that the peer knows of, its own copy must not count as confirmed,
+    // and it must not continue on the basis of a majority.
     if node.document().generation >= answer.digest.generation {
         node.freshness().set_reachable(reachability.0, reachability.1, requested_at);
         if let Some(at) = time_before(requested_at, answer.digest.confirmed_ms) {
@@ -193,7 +193,7 @@
     apply_closed_vms(node, &answer, requested_at);
 }
 
-/// Trust the peer's view of the list where it is the newer one.
+/// Adopts the peer's view of the VM list if it is newer than this daemon's.
 fn apply_closed_vms(node: &Node, answer: &Answer, requested_at: Time) {
     let Some(at) = time_before(requested_at, answer.digest.list_ms) else { return };
     if node.freshness().list_at().is_none_or(|own| at > own) {
@@ -207,14 +207,14 @@
     (ms != u64::MAX).then(|| at - Span::millis(ms))
 }
 
-/// Take in what a daemon that probed this one has sent along, and answer it.
+/// Applies what a daemon that probes this one has sent along, and answers it.
 pub fn answer_probe(node: &Arc<Node>, probe: Probe) -> Answer {
     let now = node.now();
-    // An accusation must be known before the answer, which refutes it.
+    // A suspicion of this daemon must be known before the answer is made, because the answer refutes it.
     node.members().apply(&probe.news, now);
     apply_load_reports(node, &probe.loads, now);
     let answer = make_answer(node);
-    // What must be fetched from the prober must not hold its answer up.
+    // Fetching from the prober must not delay the answer to it.
     let node = Arc::clone(node);
     tokio::spawn(async move { fetch_newer_from_prober(&node, &probe).await });
     answer
@@ -225,7 +225,7 @@
     fetch_newer(node, known.as_ref().unwrap_or(&probe.from.address), &probe.digest).await;
 }
 
-/// Fetch what the other daemon has newer.
+/// Fetches the configuration and marks if the other daemon has newer ones.
 async fn fetch_newer(node: &Arc<Node>, address: &str, peer_digest: &Digest) {
     let Some(client) = node.peers.get(node, address) else { return };
     if peer_digest.generation > node.document().generation {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, through `opentelemetry`, shown as Prometheus text.
+//! The daemon's metrics, recorded through `opentelemetry` and exported as Prometheus text.
 
 use opentelemetry::{
     KeyValue,
@@ -9,7 +9,7 @@
 
 use crate::error::StartError;
 
-/// Bounds of the histograms of seconds.
+/// Bucket bounds of the histograms, in seconds.
 const SECONDS: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
 /// The instruments of one daemon.
@@ -31,7 +31,7 @@
 }
 
 impl Metrics {
-    /// Fresh instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     /// Why the exporter cannot be set up.
@@ -79,7 +79,7 @@
         })
     }
 
-    /// A request is over.
+    /// Counts a finished request.
     pub fn request(&self, kind: &str, outcome: &str, reason: &str) {
         self.requests.add(
             1,
@@ -91,49 +91,49 @@
         );
     }
 
-    /// An attempt is over.
+    /// Counts a finished attempt.
     pub fn attempt(&self, end: &str) {
         self.attempts.add(1, &[KeyValue::new("end", end.to_owned())]);
     }
 
-    /// A frame was dropped.
+    /// Counts a dropped frame.
     pub fn frame_dropped(&self, why: &'static str) {
         self.frames_dropped.add(1, &[KeyValue::new("why", why)]);
     }
 
-    /// A call was refused.
+    /// Counts a refused call.
     pub fn refused_call(&self, from: &'static str) {
         self.refused_calls.add(1, &[KeyValue::new("from", from)]);
     }
 
-    /// A call to the key-value service.
+    /// Counts a call to the key-value service.
     pub fn kv_call(&self, what: &'static str) {
         self.kv_calls.add(1, &[KeyValue::new("what", what)]);
     }
 
-    /// A call to another daemon.
+    /// Counts a call to another daemon.
     pub fn peer_call(&self, what: &'static str) {
         self.peer_calls.add(1, &[KeyValue::new("what", what)]);
     }
 
-    /// A role change was decided on.
+    /// Counts a role change that the planner decided on.
     pub fn role_change(&self, pool: &str) {
         self.role_changes.add(1, &[KeyValue::new("pool", pool.to_owned())]);
     }
 
-    /// A first token came so long after the request.
+    /// Records the time from a request's arrival to its first token.
     pub fn first_token(&self, kind: &str, seconds: f64) {
         self.first_token.record(seconds, &[KeyValue::new("kind", kind.to_owned())]);
     }
 
-    /// The state at this moment.
+    /// Records the current state.
     pub fn state(&self, generation: u64, held: usize, live: usize) {
         self.generation.record(generation, &[]);
         self.held.record(held as u64, &[]);
         self.live.record(live as u64, &[]);
     }
 
-    /// All of it as Prometheus text.
+    /// All metrics as Prometheus text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut buf = Vec::new();
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one daemon share.
+//! State shared by the parts of one daemon.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -25,55 +25,55 @@
 /// The shared state of one daemon.
 #[derive(Debug)]
 pub struct Node {
-    /// The settings, as checked at the start.
+    /// Settings, checked at the start.
     pub settings: Settings,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// Who this is.
+    /// Identity of this run of the daemon.
     pub identity: Identity,
     /// The key-value service.
     pub kv: Arc<dyn KeyValue>,
     /// The platform's list of VMs.
     pub vm_list: Arc<dyn VmList>,
-    /// The dispatcher with its waiters.
+    /// The dispatcher, shared by the daemon's tasks.
     pub dispatcher: SharedDispatcher,
-    /// The other daemons.
+    /// Members of the deployment.
     pub members: Mutex<Members>,
-    /// Connections to them.
+    /// Connections to other daemons.
     pub peers: PeerClients,
     /// The configuration in force.
     pub config: watch::Sender<Arc<Document>>,
-    /// How sure this daemon is of its copies.
+    /// How fresh this daemon's copies of the configuration and the VM list are.
     pub freshness: Mutex<Freshness>,
-    /// Which endpoints get work.
+    /// Which endpoints get new work.
     pub availability: Availability,
-    /// Claims of keyed requests.
+    /// Claims for keyed requests.
     pub claims: Claims,
-    /// The latest requests.
+    /// Records of the latest requests.
     pub records: Records,
-    /// What is counted.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
-    /// What control is doing.
+    /// State of control.
     pub control: ControlState,
-    /// How far a planned stop is.
+    /// Progress of a graceful stop.
     pub stop: Stop,
 }
 
-/// The stages of a planned stop.
+/// The stages of a graceful stop.
 #[derive(Debug, Default)]
 pub struct Stop {
-    /// It began: not ready, still taking work.
+    /// The stop has begun: the daemon reports not ready, but still accepts work.
     pub begun: CancellationToken,
-    /// No more work is taken.
+    /// No more connections are accepted.
     pub closing: CancellationToken,
-    /// Background tasks are to end.
+    /// Background tasks must end.
     pub finished: CancellationToken,
-    /// The requests under way.
+    /// Requests in flight.
     pub requests: TaskTracker,
 }
 
 impl Node {
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
@@ -85,41 +85,41 @@
         Arc::clone(&self.config.borrow())
     }
 
-    /// The table of members.
+    /// Locks the members.
     pub fn members(&self) -> MutexGuard<'_, Members> {
         self.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How sure this daemon is of its copies.
+    /// Locks the freshness of the copies.
     pub fn freshness(&self) -> MutexGuard<'_, Freshness> {
         self.freshness.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// On what footing this daemon acts.
+    /// Whether this daemon takes new work, and on what grounds.
     #[must_use]
     pub fn standing(&self) -> Standing {
         self.freshness().standing(self.now(), self.confirm_limit())
     }
 
-    /// Whether this daemon lately reached more than half of the listed entry VMs.
+    /// Whether this daemon recently reached more than half of the listed entry VMs.
     #[must_use]
     pub fn has_majority(&self) -> bool {
         self.freshness().has_majority(self.now(), self.confirm_limit())
     }
 
-    /// The age at which an unconfirmed copy counts as old.
+    /// Age from which an unconfirmed copy counts as old.
     #[must_use]
     pub const fn confirm_limit(&self) -> Span {
         Span::millis(self.settings.timing.confirm_ms)
     }
 
-    /// Whether new work may be taken at all.
+    /// Whether new work may be accepted.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         self.document().generation > 0 && self.standing() != Standing::CutOff
     }
 
-    /// Whether the balancer should send work here.
+    /// Whether the load balancer should send work here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.accepts_work() && !self.stop.begun.is_cancelled()
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' resource API, behind a token.
+//! The operators' resource API, which requires a token.
 
 mod resources;
 pub mod status;
@@ -21,7 +21,7 @@
 
 use crate::{membership::identity::vm_of, node::Node};
 
-/// The operators' routes.
+/// Routes for operators.
 pub fn router(node: Arc<Node>) -> Router {
     Router::new()
         .route("/v1/status", get(all_status))
@@ -43,7 +43,7 @@
     error(StatusCode::UNAUTHORIZED, "unauthorized", "show the operators' token")
 }
 
-/// An error of this API.
+/// Builds an error response of this API.
 pub(crate) fn error(status: StatusCode, code: &str, message: impl Into<String>) -> Response {
     let body = ApiError { code: code.to_owned(), message: message.into(), problems: Vec::new(), present_version: None };
     (status, Json(body)).into_response()
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -1,4 +1,4 @@
-//! Reading, writing and watching resources.
+//! Reads, writes and watches resources.
 
 use std::{collections::BTreeMap, convert::Infallible, sync::Arc, time::Duration};
 
@@ -24,7 +24,7 @@
     node::Node,
 };
 
-/// Time between two looks of a watch at the statuses.
+/// Interval at which a watch checks for changes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Deserialize)]
@@ -170,7 +170,7 @@
     }
 }
 
-/// The resources as a watch last told of them.
+/// A watch, with the resources as last sent.
 struct ResourceWatch {
     node: Arc<Node>,
     kind: ResourceKind,
@@ -195,7 +195,7 @@
 }
 
 impl ResourceWatch {
-    /// A line for each resource that changed since the last look.
+    /// One line for each resource that has changed since the last check.
     fn changed_lines(&mut self) -> String {
         let doc = self.node.document();
         let now: BTreeMap<_, _> =
@@ -218,7 +218,7 @@
     }
 }
 
-/// Fields of a status that change all the time and are no news by themselves.
+/// Status fields that change constantly and are not reported on their own.
 const VOLATILE_FIELDS: [&str; 5] = ["load", "load_age_ms", "in_flight", "window", "demand_here"];
 
 fn has_changed(sent: &Resource, now: &Resource) -> bool {
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! What is seen: of a daemon, and of each resource.
+//! Status of a daemon, and of each resource.
 
 use dahliaseam_core::freshness::Standing;
 use dahliaseam_wire::{
@@ -9,7 +9,7 @@
 
 use crate::node::Node;
 
-/// The state of this daemon.
+/// Status of this daemon.
 #[must_use]
 pub fn vm_status(node: &Node) -> VmStatus {
     let now = node.now();
@@ -54,7 +54,7 @@
     }
 }
 
-/// What is seen of one resource, from this daemon.
+/// Status of one resource as seen by this daemon.
 #[must_use]
 pub fn resource_status(node: &Node, doc: &Document, kind: ResourceKind, name: &str) -> Value {
     match kind {
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -1,6 +1,6 @@
 //! Logs and traces of the process, set up once by the binary.
 //!
-//! Spans are made whether or not they are sent, so that trace contexts are passed on.
+//! Spans are created even if they are not exported, so that trace contexts are passed on.
 
 use dahliaseam_settings::{
     error::SettingsError,
@@ -15,17 +15,17 @@
 
 use crate::error::StartError;
 
-/// Keeps the exporter running; flushes when told to.
+/// Keeps the trace exporter running.
 #[derive(Debug)]
 pub struct Telemetry {
     provider: SdkTracerProvider,
 }
 
 impl Telemetry {
-    /// Set up logs and traces as the settings say.
+    /// Sets up logs and traces according to the settings.
     ///
     /// # Errors
-    /// Why that cannot be done.
+    /// Why they cannot be set up.
     pub fn start(settings: &Settings) -> Result<Self, StartError> {
         global::set_text_map_propagator(TraceContextPropagator::new());
         let provider = provider(settings)?;
@@ -44,7 +44,7 @@
         Ok(Self { provider })
     }
 
-    /// Send what has not been sent.
+    /// Exports the remaining spans and shuts the exporter down.
     pub fn flush(&self) {
         let _ = self.provider.shutdown();
     }
@@ -87,15 +87,15 @@
     }
 }
 
-/// Put the span's trace context on a request.
+/// Adds the span's trace context to a request's headers.
 pub fn inject(span: &Span, headers: &mut http::HeaderMap) {
     let cx = span.context();
     global::get_text_map_propagator(|p| p.inject_context(&cx, &mut HeaderInjector(headers)));
 }
 
-/// Make the span a child of the context that a request carries.
+/// Makes the span a child of the trace context in a request's headers.
 pub fn continue_trace(span: &Span, headers: &http::HeaderMap) {
     let cx = global::get_text_map_propagator(|p| p.extract(&HeaderExtractor(headers)));
-    // Fails only when no subscriber listens, and then there is no trace to join.
+    // Fails only without a subscriber, and then there is no trace to continue.
     let _ = span.set_parent(cx);
 }
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! A daemon that hears of a newer configuration is not ready before it has fetched it.
+//! A daemon that learns of a newer configuration is not ready before it has fetched it.
 
 use std::{
     sync::{
@@ -33,7 +33,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A peer that names a generation and hands no configuration over.
+/// A peer that reports a generation but does not hand over the configuration.
 struct PeerStandIn {
     contact: Contact,
     generation: Arc<AtomicU64>,
@@ -41,7 +41,7 @@
 }
 
 fn refused<T>() -> RpcResult<T> {
-    Err(ErrorObjectOwned::owned(1, "not here", None::<()>))
+    Err(ErrorObjectOwned::owned(1, "not implemented", None::<()>))
 }
 
 #[async_trait]
@@ -50,7 +50,7 @@
         self.probes.fetch_add(1, Ordering::SeqCst);
         let own = Update { contact: self.contact.clone(), start: 1, refutation: 0, health: Health::Alive };
         let generation = self.generation.load(Ordering::SeqCst);
-        // Its own copy was never confirmed, so only the majority is left to go on by.
+        // Its own copy was never confirmed, so only the majority can keep the daemon ready.
         let digest = Digest { generation, confirmed_ms: u64::MAX, marks: 0, list_ms: u64::MAX };
         Ok(Answer { start: 1, refutation: 0, news: vec![own], digest, closed_vms: Vec::new(), loads: Vec::new() })
     }
@@ -99,7 +99,7 @@
 async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
     let until = tokio::time::Instant::now() + TIMEOUT;
     while !holds().await {
-        assert!(tokio::time::Instant::now() < until, "not in time: {what}");
+        assert!(tokio::time::Instant::now() < until, "timed out waiting until {what}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -122,7 +122,7 @@
         "peer_secret": "a-secret-of-this-test", "operator_token": "a-token-of-this-test",
         "timing": { "list_ms": 50, "probe_ms": 50, "confirm_ms": 500, "stop_grace_ms": 50 },
     }))
-    .expect("the settings are good");
+    .expect("the settings are valid");
     let outside = Outside::real(&settings);
     let daemon = Controller::start(settings, outside).await.expect("the daemon starts");
     let entries = json!([
@@ -135,16 +135,16 @@
     wait_until("the change is accepted", async || configure::change(&node, std::slice::from_ref(&team)).await.is_ok())
         .await;
 
-    // The platform is gone; the peer has no newer configuration: go on.
+    // The platform is unreachable and the peer has no newer configuration, so the daemon continues.
     send(&kv_address, "/fault", "POST", &json!({ "down": true })).await;
     send(&list, "/vms", "PUT", &serde_json::Value::Null).await;
-    wait_until("it goes on by its majority", async || node.standing() == Standing::GoOn).await;
+    wait_until("it continues with its majority", async || node.standing() == Standing::GoOn).await;
 
-    // The peer names a newer one that it does not hand over.
+    // The peer reports a newer configuration that it does not hand over.
     generation.store(99, Ordering::SeqCst);
     wait_until("it is cut off", async || node.standing() == Standing::CutOff).await;
     let before = probes.load(Ordering::SeqCst);
-    wait_until("it is probed further", async || probes.load(Ordering::SeqCst) > before + 5).await;
+    wait_until("the peer is probed further", async || probes.load(Ordering::SeqCst) > before + 5).await;
     assert_eq!(node.standing(), Standing::CutOff, "answers alone do not make it ready");
     let _ = server.stop();
     daemon.abort();
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events lists exactly the events in the code.
+//! `docs/EVENTS.md` lists exactly the events in the code.
 
 use std::fmt::Write;
 
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear answer and disturbs no other request.
+//! Invalid input gets a specific error and affects no other request.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     Change { kind, name: name.to_owned(), based_on: None, spec: Some(spec) }
 }
 
-/// One daemon and one engine, in this process.
+/// Starts one daemon and one engine in this process.
 async fn start() -> Deployment {
     let kv = Kv::start("127.0.0.1:0").await.expect("a free port");
     let vms = VmList::start("127.0.0.1:0").await.expect("a free port");
@@ -60,7 +60,7 @@
         "limits": { "body_bytes": 10_000, "header_ms": 500, "body_ms": 500, "header_bytes": 8192 },
         "timing": { "list_ms": 50, "probe_ms": 50, "stop_grace_ms": 50 },
     }))
-    .expect("the settings are good");
+    .expect("the settings are valid");
     let outside = Outside::real(&settings);
     let daemon = Controller::start(settings, outside).await.expect("the daemon starts");
     set_list(&vms, &peer).await;
@@ -81,7 +81,7 @@
     ];
     let until = tokio::time::Instant::now() + TIMEOUT;
     while configure::change(daemon.node(), &changes).await.is_err() {
-        assert!(tokio::time::Instant::now() < until, "the resources are not accepted in time");
+        assert!(tokio::time::Instant::now() < until, "timed out waiting until the resources are accepted");
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
     Deployment { daemon, address, engine, _kv: kv, _vms: vms }
@@ -101,7 +101,7 @@
     assert!(send_raw(&url, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
 }
 
-/// Send raw bytes and read until the other side closes.
+/// Sends raw bytes and reads until the other side closes.
 async fn send_raw(address: &str, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
     let _ = stream.write_all(bytes).await;
--- a/crates/daemon/tests/listener.rs
+++ b/crates/daemon/tests/listener.rs
@@ -1,4 +1,4 @@
-//! How a listener ends.
+//! Graceful closing of a listener.
 
 use std::{
     io::{Read, Write},
@@ -19,13 +19,12 @@
     ConnectionLimits { connections: 100, head_timeout: Duration::from_secs(1), max_head_bytes: 16 << 10 }
 }
 
-/// Callers whose connections came about before the listener closed are answered, even if nobody
-/// had taken them yet.
+/// Connections that were established before the listener closed are answered, even if they had not been accepted yet.
 #[tokio::test]
 async fn connections_pending_when_the_listener_closes_are_served() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
-    // Nothing is taken until this test awaits.
+    // Nothing is accepted until this test awaits.
     let mut callers: Vec<CallerStream> = (0..20).map(|_| CallerStream::connect(address).expect("it listens")).collect();
     for caller in &mut callers {
         caller.write_all(REQUEST).expect("it is sent");
@@ -34,7 +33,7 @@
     closing.cancel();
     let handler = |_| async { Response::new(Body::from("done")) };
     let serving = serve_with(listener, handler, terms, closing.clone(), closing);
-    tokio::time::timeout(TIMEOUT, serving).await.expect("it ends");
+    tokio::time::timeout(TIMEOUT, serving).await.expect("the listener ends in time");
     let answered = callers.iter_mut().filter_map(|caller| read(caller).ok()).filter(|text| text.contains("done"));
     assert_eq!(answered.count(), callers.len());
 }
