--- a/crates/daemon/src/caller/body.rs
+++ b/crates/daemon/src/caller/body.rs
@@ -14,8 +14,8 @@
 /// # Errors
 /// The refusal if the body is too large, too slow or broken.
 pub(crate) async fn read(body: Body, limits: &Limits) -> Result<Bytes, Failure> {
-    let whole = Limited::new(body, limits.body_bytes).collect();
-    let read = tokio::time::timeout(Duration::from_millis(limits.body_ms), whole).await;
+    let collected = Limited::new(body, limits.body_bytes).collect();
+    let read = tokio::time::timeout(Duration::from_millis(limits.body_ms), collected).await;
     let Ok(read) = read else {
         return Err(Failure::bad_request(408, "body_slow", "the body did not come in time"));
     };
--- a/crates/daemon/src/caller/completion.rs
+++ b/crates/daemon/src/caller/completion.rs
@@ -151,14 +151,18 @@
 }
 
 /// The pool that serves a model, and the adapter's identifier if an adapter was requested.
-fn resolve(doc: &Document, asked: &str) -> Result<(String, u64), Failure> {
-    let adapter = doc.adapters.get(asked);
-    let model = adapter.map_or(asked, |a| a.spec.model.as_str());
+fn resolve(doc: &Document, requested_model: &str) -> Result<(String, u64), Failure> {
+    let adapter = doc.adapters.get(requested_model);
+    let model = adapter.map_or(requested_model, |a| a.spec.model.as_str());
     let pool = doc.pools.iter().find(|(_, pool)| pool.spec.models.iter().any(|m| m == model));
     let Some((pool, _)) = pool else {
-        return Err(Failure::bad_request(404, "model_unknown", format!("no pool carries the model {asked:?}")));
+        return Err(Failure::bad_request(
+            404,
+            "model_unknown",
+            format!("no pool carries the model {requested_model:?}"),
+        ));
     };
-    let adapter = adapter.map_or(0, |_| hash::bytes(asked.as_bytes()));
+    let adapter = adapter.map_or(0, |_| hash::bytes(requested_model.as_bytes()));
     Ok((pool.clone(), adapter))
 }
 
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -106,11 +106,11 @@
 }
 
 fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut out = headers.clone();
+    let mut filtered = headers.clone();
     for name in HOP_BY_HOP_HEADERS {
-        out.remove(name);
+        filtered.remove(name);
     }
-    out
+    filtered
 }
 
 async fn serve(mut active: ActiveRequest, call: Call, clients: Clients, mut tx: oneshot::Sender<CallResult>) {
--- a/crates/daemon/src/caller/refusal.rs
+++ b/crates/daemon/src/caller/refusal.rs
@@ -56,8 +56,8 @@
     if let Ok(value) = HeaderValue::from_str(request) {
         headers.insert(REQUEST, value);
     }
-    let word = serde_json::to_value(outcome).unwrap_or_default();
-    if let Ok(value) = HeaderValue::from_str(word.as_str().unwrap_or_default()) {
+    let outcome_name = serde_json::to_value(outcome).unwrap_or_default();
+    if let Ok(value) = HeaderValue::from_str(outcome_name.as_str().unwrap_or_default()) {
         headers.insert(OUTCOME, value);
     }
     headers
--- a/crates/daemon/src/caller/terms.rs
+++ b/crates/daemon/src/caller/terms.rs
@@ -36,11 +36,11 @@
         return Err(Failure::bad_request(400, "key_missing", message));
     }
     let arrived = node.now();
-    let asked = read_deadline(headers)?;
+    let requested_ms = read_deadline(headers)?;
     Ok(RequestParams {
         request: id.to_owned(),
         kind_name: kind_name.to_owned(),
-        deadline: deadline(arrived, &kind, asked),
+        deadline: deadline(arrived, &kind, requested_ms),
         kind,
         team,
         key,
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -235,15 +235,15 @@
         let leaving: Vec<_> = self.targets.keys().cloned().collect();
         let roles: Vec<_> =
             engines.iter().filter_map(|(name, (_, status))| Some((name.clone(), status.as_ref()?.role))).collect();
-        let same = |m: &&Marks| m.epoch == epoch && m.leaving == leaving && m.roles == roles;
-        if let Some(present) = self.marks.as_ref().filter(same) {
-            return present.clone();
+        let is_same = |m: &&Marks| m.epoch == epoch && m.leaving == leaving && m.roles == roles;
+        if let Some(current) = self.marks.as_ref().filter(is_same) {
+            return current.clone();
         }
-        let before = self.marks.as_ref().filter(|m| m.epoch == epoch);
+        let previous = self.marks.as_ref().filter(|m| m.epoch == epoch);
         let marks = Marks {
             shard: shard.name().to_owned(),
             epoch,
-            sequence: before.map_or(0, |m| m.sequence) + 1,
+            sequence: previous.map_or(0, |m| m.sequence) + 1,
             leaving,
             roles,
         };
@@ -253,18 +253,18 @@
 
     async fn drive(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
         for (name, (spec, status)) in engines {
-            let wanted = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
-            let open = self.custodians.get(name).is_some_and(Custodian::may_be_custodian);
-            if wanted.is_none() && !open {
+            let order = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
+            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_custodian);
+            if order.is_none() && !may_be_own {
                 continue;
             }
             let custodian = self.custodians.entry(name.clone()).or_insert_with(|| Custodian::new(node, name));
-            let result = custodian.drive(node, &self.client, shard, spec, wanted.as_ref(), status.clone()).await;
-            let waits = match result {
+            let result = custodian.drive(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
+            let wait_reason = match result {
                 DriveResult::Waiting(wait) => Some(wait),
                 DriveResult::Done | DriveResult::Incomplete => None,
             };
-            if node.control.set_wait_reason(name, waits) && waits == Some(WaitReason::FormerCustodian) {
+            if node.control.set_wait_reason(name, wait_reason) && wait_reason == Some(WaitReason::FormerCustodian) {
                 emit!(warn, CUSTODY_WAITS, engine = name, ignores = spec.fencing == Fencing::Ignores);
             }
         }
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -144,8 +144,8 @@
     /// Whether an intended order has taken effect or no longer can.
     async fn is_settled(&self, node: &Node, client: &HttpClient, spec: &EndpointSpec, intent: &Order) -> bool {
         let Some(status) = query_status(client, spec).await else { return false };
-        let taken = (status.epoch, status.sequence) == (intent.epoch, intent.sequence);
-        !status.changing && (taken || self.no_send_until.is_past(node.now()))
+        let accepted = (status.epoch, status.sequence) == (intent.epoch, intent.sequence);
+        !status.changing && (accepted || self.no_send_until.is_past(node.now()))
     }
 
     async fn load_record(&mut self, node: &Node) -> bool {
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -363,8 +363,8 @@
 
 /// Time at which the response to a request that arrived at `arrived` is due.
 #[must_use]
-pub fn deadline(arrived: Time, kind: &KindSpec, asked_ms: Option<u64>) -> Time {
-    let ms = asked_ms.map_or(kind.deadline_ms, |asked| asked.min(kind.deadline_ms));
+pub fn deadline(arrived: Time, kind: &KindSpec, requested_ms: Option<u64>) -> Time {
+    let ms = requested_ms.map_or(kind.deadline_ms, |requested| requested.min(kind.deadline_ms));
     arrived + Span::millis(ms)
 }
 
--- a/crates/daemon/src/dispatch/failure.rs
+++ b/crates/daemon/src/dispatch/failure.rs
@@ -34,13 +34,13 @@
     }
 
     pub(super) fn refused(outcome: Outcome, reason: Refusal, retry_after_ms: u64) -> Self {
-        let (word, message) = match reason {
+        let (name, message) = match reason {
             Refusal::TeamLimit => ("team_limit", "the team has used its rate"),
             Refusal::QueueFull => ("queue_full", "too many requests wait for this pool"),
             Refusal::TooLate => ("too_late", "it could not be answered in time"),
             Refusal::NoEndpoint => ("no_endpoint", "the pool has no endpoint"),
         };
-        Self { retry_after_ms: Some(retry_after_ms), ..Self::new(outcome, word, message) }
+        Self { retry_after_ms: Some(retry_after_ms), ..Self::new(outcome, name, message) }
     }
 
     pub(super) fn ended(outcome: Outcome, detail: &str) -> Self {
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -165,8 +165,8 @@
 
 /// VMs of configured endpoints that are leaving or not listed.
 fn closed_vms(node: &Node, list: &[ListedVm]) -> HashSet<String> {
-    let staying: HashSet<_> = list.iter().filter(|vm| !vm.leaving).map(|vm| vm.vm.as_str()).collect();
+    let remaining: HashSet<_> = list.iter().filter(|vm| !vm.leaving).map(|vm| vm.vm.as_str()).collect();
     let doc = node.document();
     let vms = doc.endpoints.values().map(|e| &e.spec.vm);
-    vms.filter(|vm| !staying.contains(vm.as_str())).cloned().collect()
+    vms.filter(|vm| !remaining.contains(vm.as_str())).cloned().collect()
 }
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -39,9 +39,9 @@
 }
 
 fn parse_kind(name: &str) -> Result<ResourceKind, Box<Response>> {
-    let known = || ResourceKind::ALL.iter().map(|k| k.plural()).collect::<Vec<_>>().join(", ");
+    let known_kinds = || ResourceKind::ALL.iter().map(|k| k.plural()).collect::<Vec<_>>().join(", ");
     ResourceKind::named(name).ok_or_else(|| {
-        Box::new(error(StatusCode::NOT_FOUND, "not_found", format!("there are {}, not {name:?}", known())))
+        Box::new(error(StatusCode::NOT_FOUND, "not_found", format!("there are {}, not {name:?}", known_kinds())))
     })
 }
 
@@ -198,12 +198,12 @@
     /// One line for each resource that has changed since the last check.
     fn changed_lines(&mut self) -> String {
         let doc = self.node.document();
-        let now: BTreeMap<_, _> =
+        let current: BTreeMap<_, _> =
             all_resources(&self.node, &doc, self.kind).into_iter().map(|r| (r.name.clone(), r)).collect();
-        let changed = now.values().filter(|r| self.sent.get(&r.name).is_none_or(|sent| has_changed(sent, r)));
+        let changed = current.values().filter(|r| self.sent.get(&r.name).is_none_or(|sent| has_changed(sent, r)));
         let mut events: Vec<_> = changed.map(|r| WatchEvent::Put { resource: r.clone() }).collect();
-        let gone = self.sent.keys().filter(|name| !now.contains_key(*name));
-        events.extend(gone.map(|name| WatchEvent::Delete {
+        let removed = self.sent.keys().filter(|name| !current.contains_key(*name));
+        events.extend(removed.map(|name| WatchEvent::Delete {
             kind: self.kind,
             name: name.clone(),
             generation: doc.generation,
@@ -221,7 +221,7 @@
 /// Status fields that change constantly and are not reported on their own.
 const VOLATILE_FIELDS: [&str; 5] = ["load", "load_age_ms", "in_flight", "window", "demand_here"];
 
-fn has_changed(sent: &Resource, now: &Resource) -> bool {
+fn has_changed(sent: &Resource, current: &Resource) -> bool {
     let stable_status = |r: &Resource| {
         let mut status = r.status.clone();
         if let Some(fields) = status.as_object_mut() {
@@ -229,5 +229,5 @@
         }
         status
     };
-    sent.resource_version != now.resource_version || stable_status(sent) != stable_status(now)
+    sent.resource_version != current.resource_version || stable_status(sent) != stable_status(current)
 }
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -96,9 +96,9 @@
     assert!(status.is_success());
 }
 
-async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
+async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let until = tokio::time::Instant::now() + TIMEOUT;
-    while !holds().await {
+    while !condition().await {
         assert!(tokio::time::Instant::now() < until, "timed out waiting until {what}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
@@ -109,11 +109,11 @@
     let kv = Kv::start("127.0.0.1:0").await.expect("a free port");
     let vms = VmList::start("127.0.0.1:0").await.expect("a free port");
     let (kv_address, list) = (kv.server().address().to_string(), vms.server().address().to_string());
-    let (peer_address, other) = (free_address(), free_address());
-    let contact = Contact { vm: "entry-2".into(), hall: "h".into(), address: other.clone() };
+    let (peer_address, stand_in_address) = (free_address(), free_address());
+    let contact = Contact { vm: "entry-2".into(), hall: "h".into(), address: stand_in_address.clone() };
     let (generation, probes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let peer = PeerStandIn { contact, generation: Arc::clone(&generation), probes: Arc::clone(&probes) };
-    let server = Server::builder().build(&other).await.expect("a free port").start(peer.into_rpc());
+    let server = Server::builder().build(&stand_in_address).await.expect("a free port").start(peer.into_rpc());
 
     let settings: Settings = serde_json::from_value(json!({
         "vm": "entry-1", "hall": "h", "keyspace": "/catch-up/", "caller_address": free_address(),
@@ -127,7 +127,7 @@
     let daemon = Controller::start(settings, outside).await.expect("the daemon starts");
     let entries = json!([
         { "vm": "entry-1", "hall": "h", "address": peer_address, "part": "entry" },
-        { "vm": "entry-2", "hall": "h", "address": other, "part": "entry" },
+        { "vm": "entry-2", "hall": "h", "address": stand_in_address, "part": "entry" },
     ]);
     send(&list, "/vms", "PUT", &entries).await;
     let node = Arc::clone(daemon.node());
