--- a/crates/core/tests/content.rs
+++ b/crates/core/tests/content.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Content hashes of equal and of different requests.
 
 use dahliaseam_core::content::ContentHash;
 
--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -1,5 +1,5 @@
-//! Orders under every interleaving: holders that are paused, killed and replaced, writes and
-//! orders whose answers are lost or that arrive late, engines that crash in mid-change.
+//! The custody protocol under random interleavings: holders that are paused, killed and replaced, writes whose
+//! answers are lost, orders that arrive late, and engines that crash during a change.
 
 use dahliaseam_core::{
     custody::{EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, next_step, release},
@@ -11,14 +11,14 @@
 
 const HOLDERS: usize = 3;
 
-/// An engine as it behaves towards orders.
+/// Model of an engine's reaction to orders.
 #[derive(Debug)]
 struct Engine {
     fencing: Fencing,
     fence: Fence,
     status: EngineStatus,
     pending_role: Option<Role>,
-    /// The last order it had taken when it crashed; it does not remember, the check does.
+    /// Numbers of the last order accepted before a crash. The engine forgets them, the check does not.
     last_before_crash: (u64, u64),
     taken: usize,
     violations: Vec<String>,
@@ -56,13 +56,13 @@
         }
         if self.status.changing {
             if self.fencing == Fencing::Ignores {
-                self.violations.push(format!("{order:?} while another is carried out"));
+                self.violations.push(format!("{order:?} while another order is carried out"));
             }
             return;
         }
         let last = self.last_before_crash.max((self.status.epoch, self.status.sequence));
         if (order.epoch, order.sequence) < last {
-            self.violations.push(format!("{order:?} after {last:?}"));
+            self.violations.push(format!("{order:?} accepted after {last:?}"));
         }
         self.taken += 1;
         (self.status.epoch, self.status.sequence) = (order.epoch, order.sequence);
@@ -100,11 +100,11 @@
 #[derive(Debug)]
 struct Holder {
     me: Incarnation,
-    /// What it believes its number is; kept through a pause past the lease.
+    /// Fencing number that it believes to hold. It is kept during a pause that outlasts the lease.
     lease_epoch: Option<u64>,
     record: Option<(EngineRecord, u64)>,
     status: Option<EngineStatus>,
-    /// An order that was decided on and not yet sent, as when a pause comes between.
+    /// An order that was decided on but not sent yet, as if the process was paused in between.
     pending_order: Option<Order>,
 }
 
@@ -173,8 +173,7 @@
         }
     }
 
-    /// A process is known to be over when a later run stands in its place, and the bytes that it
-    /// had sent are gone.
+    /// A process has surely terminated if a later run has replaced it and none of its messages is in flight.
     fn is_terminated(&self, process: &Incarnation) -> bool {
         let replaced = self.holders.iter().any(|h| h.me.vm == process.vm && h.me.start > process.start);
         replaced && !self.in_flight.iter().any(|order| order.by == *process)
@@ -219,14 +218,14 @@
 
     fn take_step(&mut self, n: usize, wanted: &OrderKind, answer_lost: bool) {
         let holder = &self.holders[n];
-        // An order whose bytes may still be on their way holds everything else up, as the daemon's
-        // quiet time does; what was decided on is sent before anything else is looked at.
+        // The daemon takes no other step while an order may still be in flight, and sends a pending order
+        // first.
         let own_in_flight = self.in_flight.iter().any(|order| order.by == holder.me);
         if own_in_flight || holder.pending_order.is_some() {
             return;
         }
-        // As the daemon does: a record at hand is used until a write fails or it waits, and the
-        // status may be as old as the last look.
+        // As in the daemon, a known record is used until a write fails or a step has to wait, and the status
+        // may be as old as the last look at it.
         let (record, revision) = holder.record.clone().unwrap_or_else(|| (self.record.clone(), self.revision));
         let status = holder.status.clone().unwrap_or_else(|| self.engine.status.clone());
         let custodian_terminated = record.custodian.as_ref().is_some_and(|c| *c != holder.me && self.is_terminated(c));
@@ -306,7 +305,7 @@
     Ok(simulation.engine.taken)
 }
 
-/// So many cases of a fixed seed, so that each run gives the same verdict.
+/// Number of cases with a fixed seed, so that each run gives the same verdict.
 fn fixed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -330,7 +329,7 @@
     }
 }
 
-/// The runs above are not empty: without any failure a whole change goes through.
+/// Guards against empty runs above: without failures a whole role change completes.
 #[test]
 fn role_change_completes_without_failures() {
     for fencing in [Fencing::Checks, Fencing::Ignores] {
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -1,4 +1,5 @@
-//! The dispatcher: what it may never do, however submissions, ends, stops and faults interleave.
+//! Invariants of the dispatcher under random interleavings of submissions, attempt ends, cancellations and
+//! changes of endpoints.
 
 use std::collections::HashMap;
 
@@ -54,11 +55,11 @@
         (true, AttemptEnd::Rejected, Some(Outcome::Ran)),
     ] {
         let (mut dispatcher, pool, _) = three_endpoints();
-        let key = dispatcher.submit("t", spec(pool, repeatable, START, 9_000), START).expect("room");
-        let (_, first) = first_send(&dispatcher.pump(pool, START)).expect("it is sent");
+        let key = dispatcher.submit("t", spec(pool, repeatable, START, 9_000), START).expect("the queue has room");
+        let (_, first) = first_send(&dispatcher.pump(pool, START)).expect("the request is sent");
         match (dispatcher.attempt_ended(key, end, Site::Serving, START), outcome) {
             (Next::Retry, None) => {
-                let (_, second) = first_send(&dispatcher.pump(pool, START)).expect("it is sent again");
+                let (_, second) = first_send(&dispatcher.pump(pool, START)).expect("the request is sent again");
                 assert_ne!(first, second, "{end:?}");
             }
             (Next::Finished(got), Some(wanted)) => assert_eq!(got, wanted, "{end:?}"),
@@ -73,7 +74,7 @@
     for key in keys {
         dispatcher.set_admin_state(key, AdminState::Draining);
     }
-    let key = dispatcher.submit("t", spec(pool, true, START, 9_000), START).expect("room");
+    let key = dispatcher.submit("t", spec(pool, true, START, 9_000), START).expect("the queue has room");
     assert!(dispatcher.pump(pool, START).is_empty());
     assert_eq!(dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, START), Next::Retry);
     assert_eq!((dispatcher.request_count(), dispatcher.waiting_count()), (1, 1));
@@ -90,10 +91,13 @@
             refused = Some(why);
         }
     }
-    let (why, at) = refused.expect("a quarter of 8 a second, two seconds' worth at once");
+    let (why, at) = refused.expect("the share is a quarter of 8 requests per second, with a burst of two seconds");
     assert_eq!(why, Refusal::TeamLimit);
     assert!(at > START);
-    assert!(dispatcher.submit("t", spec(pool, true, at, 9_000), at).is_ok(), "it may come back when told");
+    assert!(
+        dispatcher.submit("t", spec(pool, true, at, 9_000), at).is_ok(),
+        "the request is accepted at the given time"
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -129,7 +133,7 @@
     ]
 }
 
-/// What the driver knows of each request: its attempts, and whether one is under way.
+/// The driver's knowledge of each request: its attempts, and whether one is running.
 #[derive(Default)]
 struct Driver {
     sends: HashMap<RequestKey, usize>,
@@ -144,8 +148,8 @@
         for action in actions {
             match action {
                 Action::Send { request, choice, .. } => {
-                    prop_assert!(!self.running.contains(request), "two attempts at once");
-                    prop_assert!(!self.finished.contains(request), "sent after it was over");
+                    prop_assert!(!self.running.contains(request), "two concurrent attempts");
+                    prop_assert!(!self.finished.contains(request), "sent after it finished");
                     prop_assert!(!closed.contains(&choice.chosen.endpoint), "sent to a closed endpoint");
                     let must_not_repeat = !self.repeatable[request] && self.may_have_run.get(request) == Some(&true);
                     prop_assert!(!must_not_repeat, "sent again although it may have run");
@@ -153,9 +157,9 @@
                     self.running.push(*request);
                 }
                 Action::Refuse { request, outcome, .. } => {
-                    prop_assert!(!self.running.contains(request), "refused with an attempt under way");
+                    prop_assert!(!self.running.contains(request), "refused during an attempt");
                     let ran = self.may_have_run.get(request) == Some(&true);
-                    prop_assert!(!(ran && *outcome == Outcome::NotRun), "not run, and it may have run");
+                    prop_assert!(!(ran && *outcome == Outcome::NotRun), "reported as not run, but may have run");
                     self.finished.push(*request);
                 }
                 Action::Stop { request, .. } => prop_assert!(self.running.contains(request), "stopped without attempt"),
@@ -229,7 +233,7 @@
             driver.check(&actions, &closed)?;
             prop_assert!(dispatcher.request_count() >= driver.running.len());
         }
-        // Whatever is left comes to an end.
+        // All remaining requests must finish.
         for key in std::mem::take(&mut driver.running) {
             dispatcher.cancel(key, now);
         }
--- a/crates/core/tests/member.rs
+++ b/crates/core/tests/member.rs
@@ -1,4 +1,4 @@
-//! Membership: who is believed to be alive, and how that heals.
+//! Membership: beliefs about members, and how wrong ones are corrected.
 
 use dahliaseam_core::{
     member::{Contact, Health, Incarnation, MemberSettings, Members},
@@ -16,7 +16,7 @@
     members
 }
 
-/// One probe of `to` by `from`, as the daemon does it.
+/// Simulates one probe of `to` by `from` as the daemon does it.
 fn probe(tables: &mut [Members], from: usize, to: usize, now: Time) {
     let key = tables[from].others().find(|(_, m)| m.contact == contact(to)).map(|(key, _)| key).expect("listed");
     let mut updates = tables[from].take_updates();
@@ -44,7 +44,7 @@
         table.record_unreached(key, at);
         let _ = table.next_probe_target(late);
         assert_eq!(believed_health(table, 2), Health::Dead);
-        // The news of the death is told until nobody wants it any more.
+        // Sends the update about the death until it is no longer queued.
         for _ in 0..100 {
             let _ = table.take_updates();
         }
@@ -64,7 +64,7 @@
     tables[0].record_unreached(key, Time(1));
     let _ = tables[0].next_probe_target(Time(1) + Span::millis(60_000));
     assert_eq!(believed_health(&tables[0], 1), Health::Dead);
-    assert!(!tables[0].is_terminated(&process), "silence proves nothing: it may be paused");
+    assert!(!tables[0].is_terminated(&process), "silence is no evidence: the process may be paused");
     tables[0].set_listed(&[contact(0)]);
     assert!(tables[0].is_terminated(&process), "its VM was listed and no longer is");
     tables[0].set_listed(&[contact(0), contact(1)]);
@@ -73,7 +73,7 @@
     assert!(tables[0].is_terminated(&process), "a later run answers in its place");
 }
 
-/// Cases of a fixed seed, so that each run gives the same verdict.
+/// Fixed seed, so that each run gives the same verdict.
 fn fixed_config() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(20_261_202), failure_persistence: None, ..ProptestConfig::default() }
 }
@@ -81,8 +81,8 @@
 proptest! {
     #![proptest_config(fixed_config())]
 
-    /// However probes, silences and restarts interleave, once all can reach each other for one
-    /// whole round of probes, all believe all alive under the latest start.
+    /// However probes, silences and restarts interleave: after one full round of probes between all members,
+    /// all believe that all are alive, under their latest start numbers.
     #[test]
     fn beliefs_converge_after_faults(steps in prop::collection::vec((0..4_usize, 0..4_usize, 0..4_u8), 1..200)) {
         let mut tables: Vec<_> = (0..4).map(|n| table(n, 4)).collect();
--- a/crates/core/tests/proof.rs
+++ b/crates/core/tests/proof.rs
@@ -1,4 +1,4 @@
-//! Proofs of how new a configuration is, under clocks and messages in any order.
+//! Proofs of the configuration's age under clock drift and reordered messages.
 
 use dahliaseam_core::{
     proof::{Proof, Proofs, proved_at},
@@ -8,11 +8,11 @@
 
 /// Time after which a withdrawn key must have no effect.
 const BOUND: Span = Span::millis(5_000);
-/// Orders of events that are played.
+/// Number of simulated event orders.
 const SEEDS: u64 = 10_000;
-/// True milliseconds of one play.
+/// True time simulated per run, in milliseconds.
 const LENGTH_MS: u64 = 20_000;
-/// Daemons: the first two may ask the store, the others ask any.
+/// Number of daemons: the first two ask the store, the others ask any daemon.
 const DAEMONS: usize = 5;
 
 #[test]
@@ -20,7 +20,7 @@
     let (asked, wait) = (Time(1_000_000), Span::millis(600));
     assert_eq!(proved_at(asked, wait, false, asked + wait), asked + wait);
     assert_eq!(proved_at(asked, wait, true, asked + wait), asked);
-    // Cut before the end of the wait.
+    // The wait ended early.
     assert_eq!(proved_at(asked, wait, false, asked + Span::millis(599)), asked);
 }
 
@@ -33,7 +33,7 @@
     assert_eq!(proofs.newest().map(|proof| proof.at), Some(Time(1_000_000)));
     proofs.set_in_force(12);
     assert_eq!(proofs.newest(), Some(Proof { revision: 12, at: Time(3_000_000) }));
-    // An older one that comes later takes nothing back.
+    // An older proof that arrives later changes nothing.
     proofs.record(Proof { revision: 10, at: Time(2_000_000) });
     assert_eq!(proofs.newest().map(|proof| proof.at), Some(Time(3_000_000)));
 }
@@ -46,7 +46,7 @@
     assert!(!proofs.is_fresh(BOUND, Time(0)));
 }
 
-/// A message on its way.
+/// A message in flight.
 struct InFlight {
     arrives_ms: u64,
     to: usize,
@@ -54,7 +54,7 @@
 }
 
 enum Payload {
-    /// The store's answer to a question asked then.
+    /// The store's answer to a request that was sent at `asked`.
     StoreAnswer {
         asked: Time,
         revision: i64,
@@ -68,16 +68,16 @@
         revision: i64,
         age: Span,
     },
-    /// The configuration itself, from the store or a mate.
+    /// The configuration itself, from the store or a peer.
     Configuration {
         revision: i64,
     },
 }
 
-/// One daemon. Its clock counts the time of a suspension, and has an offset and a speed of its own.
+/// A daemon. Its clock includes suspensions and has its own offset and speed.
 struct Daemon {
     offset_ms: u64,
-    /// Thousandths by which its clock is fast.
+    /// How much its clock is fast, in thousandths.
     drift_per_mille: u64,
     suspended_until_ms: u64,
     revision: i64,
@@ -90,28 +90,28 @@
     }
 }
 
-/// By what an answer of another daemon is dated.
+/// How an answer of another daemon is dated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Dating {
-    /// When it was asked for.
+    /// By the time of the request.
     Asked,
-    /// When it came, which is wrong: it may have been under way for long.
+    /// By its arrival, which is wrong since it may have been in flight for long.
     Arrived,
 }
 
-/// What a play showed.
+/// Result of a simulated run.
 struct RunResult {
-    /// Requests that ran.
+    /// Number of requests that ran.
     requests_run: u64,
-    /// Milliseconds after a withdrawal at which one ran at the latest.
+    /// Longest time after a withdrawal at which a request ran, in milliseconds.
     max_delay_ms: u64,
 }
 
-/// A play: versions of the configuration come at random times; messages are delayed, lost, doubled and
-/// overtake each other; daemons are suspended.
+/// Simulates changes of the configuration at random times, while messages are delayed, lost, duplicated and
+/// reordered, and daemons are suspended.
 fn run(seed: u64, dating: Dating) -> RunResult {
     let mut rng = SmallRng::seed_from_u64(seed);
-    // Revision `n + 1` is acknowledged then.
+    // Entry `i` is the time at which revision `i + 2` is acknowledged.
     let mut acknowledged: Vec<u64> = (0..rng.random_range(1..6)).map(|_| rng.random_range(1..LENGTH_MS)).collect();
     acknowledged.sort_unstable();
     let mut daemons: Vec<Daemon> = (0..DAEMONS)
@@ -138,7 +138,7 @@
             if rng.random_bool(0.05) {
                 send(&mut rng, &mut in_flight, now_ms, at, &acknowledged, local_time);
             }
-            // A request that was sent now or before, and is judged now.
+            // A request that was sent now or earlier and is checked now.
             if daemon.proofs.is_fresh(BOUND, local_time) {
                 result.requests_run += 1;
                 let superseded = acknowledged.get(daemon.revision as usize - 1);
@@ -167,10 +167,10 @@
     1 + acknowledged.iter().filter(|at| **at <= ms).map(|_| 1).sum::<i64>()
 }
 
-/// A daemon asks the store, or another daemon.
+/// A daemon asks the store or another daemon.
 fn send(rng: &mut SmallRng, in_flight: &mut Vec<InFlight>, now_ms: u64, at: usize, acknowledged: &[u64], asked: Time) {
     if at < 2 {
-        // The store looks at some time after the question, and its answer takes some time.
+        // The store reads its state some time after the request, and its answer takes some time.
         let looked_ms = now_ms + delay(rng);
         let revision = revision_at(acknowledged, looked_ms);
         let arrives_ms = looked_ms + delay(rng);
@@ -205,7 +205,7 @@
                     let payload = Payload::PeerAnswer { asked, revision: proof.revision, age };
                     in_flight.push(InFlight { arrives_ms, to: by, payload });
                 }
-                // What is in force there can be borrowed, now or never.
+                // The configuration in force there may be transferred too, at any time or never.
                 let revision = daemons[to].revision.min(newest);
                 let arrives_ms = now_ms + delay(rng);
                 in_flight.push(InFlight { arrives_ms, to: by, payload: Payload::Configuration { revision } });
@@ -224,12 +224,13 @@
     if rng.random_bool(0.1) { rng.random_range(0..6_000) } else { rng.random_range(0..40) }
 }
 
-/// None is lost, one arrives, or it arrives twice.
+/// Number of copies of a message that arrive: none, one or two.
 fn copy_count(rng: &mut SmallRng) -> usize {
     [0, 1, 1, 1, 1, 1, 1, 2][rng.random_range(0..8)]
 }
 
-/// Withdrawals behind delay, loss, repetition and suspensions: no request runs later than the bound after one.
+/// With delayed, lost and repeated messages and suspended daemons, no request runs later than the bound after a
+/// withdrawal.
 #[test]
 fn no_request_runs_later_than_bound_after_withdrawal() {
     let mut requests_run = 0;
@@ -238,13 +239,13 @@
         assert!(result.max_delay_ms <= BOUND.as_millis(), "seed {seed}: {} ms after a withdrawal", result.max_delay_ms);
         requests_run += result.requests_run;
     }
-    // Of a thousand steps of five daemons in each play most find a proof, or the test shows nothing.
+    // Most of the thousand steps of five daemons per run must have a proof, or the test shows nothing.
     assert!(requests_run > SEEDS * 2_000, "only {requests_run} requests ran");
 }
 
-/// News without an echo: the plays do find what goes wrong with it.
+/// Checks that the simulation finds the fault if answers are not dated by their requests.
 #[test]
 fn dating_answers_by_arrival_violates_bound() {
     let late = (0..SEEDS / 10).filter(|seed| run(*seed, Dating::Arrived).max_delay_ms > BOUND.as_millis()).count();
-    assert!(late > 0, "no play found it");
+    assert!(late > 0, "no run showed the fault");
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas over all daemons: no window exceeds its bound, whatever becomes of messages, owners and leases.
+//! Distributed quotas: no window exceeds its bound, whatever happens to messages, owners and leases.
 
 use std::collections::{BinaryHeap, HashMap};
 
@@ -20,17 +20,17 @@
 const TIMEOUT: Span = Span::millis(60);
 const LENGTH: Time = Time(14_000_000);
 const TOLERANCE: Tolerance = Tolerance { window: Span::millis(2_000), excess_share: 0.02, slack: 10_000.0 };
-/// Beside it a bucket holds the whole burst.
+/// Tolerance at which a bucket holds the whole burst.
 const ROOMY: Tolerance = Tolerance { slack: 60_000.0, ..TOLERANCE };
 const QUOTA: Quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 60_000.0, burst: 60_000.0 };
 
-/// What is left out of the protocol, to show that the check finds it.
+/// Fault put into the protocol, to show that the check detects it.
 #[derive(Clone, Copy, PartialEq)]
 enum Mutation {
     None,
-    /// A new owner's buckets begin full.
+    /// The buckets of a new owner start full.
     FullAtTakeover,
-    /// An owner goes on without looking at its lease.
+    /// An owner continues without checking its lease.
     IgnoresLease,
 }
 
@@ -59,17 +59,17 @@
     now: Time,
     mutation: Mutation,
     lossy: bool,
-    /// Chance that a message is under way for long.
+    /// Probability of a long message delay.
     delay_probability: f64,
-    /// Whether daemons rest after an owner did not answer; the bound must not hang on it.
+    /// Whether daemons back off from an owner that did not answer; the bound must not depend on it.
     backs_off: bool,
-    /// Whether all that happens is that owners are killed.
+    /// Whether restarts of owners are the only faults.
     restarts_only: bool,
     terms: ShardTerms,
-    /// Former owners go on until they see that they are none.
+    /// Includes former owners, which continue until they notice that they lost the lease.
     owners: Vec<(u8, Owner)>,
     clients: Vec<QuotaClient>,
-    /// Until when a daemon is cut off from the others, and from the store.
+    /// Until when a daemon is cut off from the other daemons, and from the store.
     partitioned_until: [(Time, Time); DAEMONS],
     paused: [Time; DAEMONS],
     pending: HashMap<u64, (usize, u64, Vec<u8>)>,
@@ -117,7 +117,7 @@
         self.events.push(std::cmp::Reverse((self.now + after, self.number, event)));
     }
 
-    /// Requests of a team that wants so many times its rate, most of them at few daemons.
+    /// Adds requests of a team that asks for `load_factor` times its rate, most of them at a few daemons.
     fn add_requests(&mut self, load_factor: f64, from: Time) {
         let mut at = from;
         while at < LENGTH {
@@ -162,7 +162,7 @@
         let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker: draw };
         match self.clients[daemon].next_step(&need, &tried, |_| true, self.now) {
             Next::Ask(shard) => {
-                // Asked is whoever is, or was, its owner.
+                // The question may go to the present owner or to a former one.
                 let owners: Vec<usize> =
                     self.owners.iter().filter(|(of, _)| *of == shard).map(|(_, owner)| owner.daemon).collect();
                 let late = if self.lossy && self.rng.random_bool(0.5) { 0 } else { owners.len().saturating_sub(1) };
@@ -225,7 +225,7 @@
 
     fn on_timeout(&mut self, shard: u8, number: u64) {
         if let Some((daemon, cost, tried)) = self.pending.get(&number).cloned() {
-            // An answer that comes yet may still be used, which is the worst that can be.
+            // A late answer may still be used, which is the worst case.
             if self.backs_off {
                 self.clients[daemon].mark_unavailable(shard, self.now);
             }
@@ -270,7 +270,7 @@
     }
 
     fn inject_fault(&mut self) {
-        // Most often the daemon that has the most callers.
+        // Usually the daemon with the most callers.
         let any = (self.rng.random::<f64>().powi(3) * DAEMONS as f64) as usize;
         let at = self.owners.last().filter(|_| self.rng.random_bool(0.5)).map_or(any, |(_, owner)| owner.daemon);
         let until = self.now + Span::millis(self.rng.random_range(200..6_000));
@@ -285,7 +285,7 @@
         self.push(after, Event::InjectFault);
     }
 
-    /// Its next run takes over again at once what was its own, under the same lease.
+    /// The next run takes over its own shards at once, under the same lease.
     fn restart(&mut self, daemon: usize) {
         let now = self.now;
         let mutation = self.mutation;
@@ -296,7 +296,7 @@
         }
     }
 
-    /// The most that was spent in any window.
+    /// Maximum usage in any window.
     fn max_window_usage(&self) -> f64 {
         let mut most = 0;
         let mut sum = 0;
@@ -330,21 +330,21 @@
         assert!(most <= allowed, "seed {seed}: {most} of {allowed}");
         served += most / seeds as f64;
     }
-    println!("{served:.0} of {allowed:.0} in the fullest window, in the mean of {seeds} seeds");
+    println!("{served:.0} of {allowed:.0} units in the fullest window, mean of {seeds} seeds");
 }
 
 #[test]
 fn mutated_protocols_exceed_bound() {
     let allowed = TOLERANCE.allowed(&QUOTA);
     for (mutation, name) in
-        [(Mutation::FullAtTakeover, "full at a takeover"), (Mutation::IgnoresLease, "ignores its lease")]
+        [(Mutation::FullAtTakeover, "full buckets at a takeover"), (Mutation::IgnoresLease, "ignores its lease")]
     {
         let found = (0..500).any(|seed| max_window_usage_of_run(seed, mutation) > allowed);
         assert!(found, "{name}");
     }
 }
 
-/// Answers that wait while their daemon is suspended come all at once when it goes on.
+/// Answers that wait while their daemon is suspended all arrive when it resumes.
 #[test]
 fn credit_received_after_suspension_is_not_spent() {
     let terms = ShardTerms::split(&QUOTA, &TOLERANCE);
@@ -359,7 +359,7 @@
         usable.count() as f64 * 900.0
     };
     let allowed = TOLERANCE.allowed(&QUOTA);
-    assert!(spent(|_, arrived| arrived) > allowed, "dated by arrival it would break the bound");
+    assert!(spent(|_, arrived| arrived) > allowed, "credit dated by arrival would exceed the bound");
     assert!(spent(|asked, _| asked) < allowed / 2.0);
 }
 
@@ -373,10 +373,10 @@
         requests += simulation.requests;
         refused += simulation.refused;
     }
-    assert!(refused * 200 < requests, "{refused} of {requests}");
+    assert!(refused * 200 < requests, "{refused} of {requests} requests refused");
 }
 
-/// All that is asked is spent within the quota of a long time, and hardly less.
+/// Over a long time a team that asks for more than its quota gets its rate, and hardly less.
 #[test]
 fn team_above_limit_gets_its_rate() {
     let mut simulation = Simulation::new(1, Mutation::None, false, TOLERANCE);
--- a/crates/core/tests/revision_table.rs
+++ b/crates/core/tests/revision_table.rs
@@ -1,4 +1,4 @@
-//! Copies of a store that are kept up to date by what changed.
+//! Copies of a store that are updated by its changes.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -40,8 +40,9 @@
     }
 }
 
-/// Thousands of engines are exchanged for others within seconds: three times as many removals as were once
-/// remembered, after which all entries were sent to each daemon at each change.
+/// Guards against a history of removals that is too short: when thousands of engines are replaced within
+/// seconds, there are three times as many removals as were once remembered, and after that all entries were
+/// sent to each daemon at each change.
 #[test]
 fn replacing_most_entries_keeps_removal_history() {
     let mut table = RevisionTable::default();
@@ -52,7 +53,7 @@
         table.put(&format!("new-{n}"), 3_001 + 2 * n, n);
         table.remove(&format!("old-{n}"), 3_002 + 2 * n);
     }
-    assert!(table.is_complete_after(3_000), "no daemon needs all entries again");
+    assert!(table.is_complete_after(3_000), "the changes suffice, no daemon needs all entries");
     assert_eq!(table.changed_after(6_800).count(), 100);
     assert_eq!(table.removed_after(6_800).count(), 100);
 }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of usage in messages of any order, and holders that take over from each other.
+//! Usage counts under repeated and reordered messages, and reports across changes of the leader.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
 const WINDOWS: WindowSchedule = WindowSchedule { length_ms: 5_000, due_ms: 10_000 };
-/// Milliseconds after a window's end for which its holder waits for those who have not told.
+/// Milliseconds after a window's end for which the leader waits for missing counts.
 const MAX_WAIT_MS: u64 = 5_000;
 
 #[test]
@@ -72,7 +72,7 @@
     assert_eq!(counter.unacknowledged(10, 10, 11).len(), 1);
 }
 
-/// The store's one key, and what the platform was sent.
+/// The store's one key, and the reports that the platform accepted.
 #[derive(Default)]
 struct Environment {
     stored: Option<(i64, Report)>,
@@ -81,7 +81,7 @@
 }
 
 impl Environment {
-    /// Do a holder's step; `lost` loses the answer of what was done.
+    /// Carries out a step of a leader; `lost` loses the answer.
     fn perform(&mut self, seed: u64, reporter: &mut Reporter, step: Step, counts: u64, lost: bool) {
         match step {
             Step::Wait => {}
@@ -109,8 +109,7 @@
     }
 }
 
-/// Holders that are lost one after the other, at any step, with answers that are lost; each has counted
-/// something else.
+/// Leaders fail at any step and answers get lost; each leader has counted something else.
 #[test]
 fn reports_of_one_window_never_differ_across_leaders() {
     for seed in 0..10_000 {
@@ -126,7 +125,7 @@
             let lost = rng.random_bool(0.2);
             environment.perform(seed, &mut leader.1, step, leader.0, lost);
         }
-        // Those whose report was due, but for what a holder could not do in time.
+        // Windows whose report was due, except those that a leader could not report in time.
         assert!(environment.accepted.len() >= 17, "seed {seed}: only {} windows", environment.accepted.len());
     }
 }
--- a/crates/core/tests/watcher_election.rs
+++ b/crates/core/tests/watcher_election.rs
@@ -1,23 +1,23 @@
-//! Turns at watching the store, in halls of many daemons.
+//! Election of the store watchers in a hall of many daemons.
 //!
-//! The load: sixty daemons of one hall that start together before a store that is quiet, goes away,
-//! answers only some of them, or loses the daemons that follow it. Figures are counts of calls and
-//! times, with news among mates as old as a hall of that size makes it (60 to 400 ms).
+//! Sixty daemons of one hall start together with a store that has no changes, is unreachable, answers only some
+//! of them, or loses its watchers. The tests bound the number of calls and the times. Reports between daemons
+//! are as old as in a hall of that size (60 to 400 ms).
 
 use dahliaseam_core::{
     time::{Span, Time},
     watcher_election::{Election, ElectionTiming, HallPeer, Priority, WATCHERS},
 };
 
-/// Daemons of the hall.
+/// Number of daemons in the hall.
 const DAEMONS: usize = 60;
-/// Daemons of it whose links are better than the others'.
+/// Number of daemons with a faster link than the others.
 const FAST_LINKS: usize = 3;
-/// Time between two looks of a daemon.
+/// Time between two checks of a daemon.
 const CHECK_INTERVAL: Span = Span::millis(100);
-/// Time until a change of one daemon is known to the others.
+/// Time until a change at one daemon is known to the others.
 const REPORT_DELAY: Span = Span::millis(400);
-/// Time that an answer of the store takes.
+/// Time until the store answers.
 const ANSWER_DELAY: Span = Span::millis(4);
 const TIMING: ElectionTiming = ElectionTiming { watch_deadline: Span::millis(5_000) };
 
@@ -28,11 +28,11 @@
     store_answers: bool,
     election: Election,
     watching: bool,
-    /// When the store last answered it, and what others know of that.
+    /// When the store last answered it; `reports` holds what the others are told of that, and when.
     answered_at: Option<Time>,
     reports: Vec<(Time, Option<Time>)>,
     next_check: Time,
-    /// End of the call under way.
+    /// When the running call ends.
     call_ends_at: Option<Time>,
     last_heard: Time,
 }
@@ -61,7 +61,7 @@
         Self { now: Time(1_000_000), daemons: (0..DAEMONS).map(daemon).collect(), calls: 0 }
     }
 
-    /// What is known of a daemon after the time that news takes.
+    /// What peers know of a daemon after the delay of its reports.
     fn peer_view(&self, of: &Daemon) -> HallPeer {
         let known = of.reports.iter().rev().find(|(at, _)| (*at + REPORT_DELAY).is_past(self.now));
         let heard_at = if of.alive { self.now } else { of.last_heard };
@@ -157,7 +157,7 @@
     let before = hall.calls;
     hall.run(Span::seconds(60.0));
     assert_eq!(hall.watching(), vec![FAST_LINKS - 2, FAST_LINKS - 1]);
-    // A call of each follower takes its wait and the pause after it.
+    // Each call of a watcher takes its wait and the pause after it.
     let calls = hall.calls - before;
     assert!(calls <= WATCHERS * 27, "{calls} calls in a minute");
 }
@@ -170,12 +170,12 @@
         hall.kill(n);
     }
     let before = hall.calls;
-    // Silence of a mate, a few turns, and an answer.
+    // Silence timeout of a peer, a few election delays, and an answer.
     hall.run(Span::millis(1_500));
-    assert!(!hall.watching().is_empty(), "nobody follows");
+    assert!(!hall.watching().is_empty(), "no daemon watches");
     hall.run(Span::seconds(5.0));
     assert!(hall.is_watched());
-    assert!(hall.calls - before < 30, "{} calls for one change of followers", hall.calls - before);
+    assert!(hall.calls - before < 30, "{} calls for one change of watchers", hall.calls - before);
     assert_eq!(hall.watching().len(), WATCHERS);
 }
 
@@ -188,10 +188,10 @@
     let before = hall.calls;
     hall.run(Span::seconds(20.0));
     let a_second = (hall.calls - before) / 20;
-    assert!(a_second <= 30, "{a_second} calls a second");
+    assert!(a_second <= 30, "{a_second} calls per second");
     hall.set_store_answers(true);
     hall.run(Span::seconds(3.0));
-    assert!(hall.is_watched(), "the hall follows again within the time allowed");
+    assert!(hall.is_watched(), "the hall watches again within the time allowed");
     hall.run(Span::seconds(4.0));
     assert_eq!(hall.watching().len(), WATCHERS);
 }
