--- a/crates/core/src/choose.rs
+++ b/crates/core/src/choose.rs
@@ -235,7 +235,7 @@
     };
     let interference = if prefill.is_some() { 0.0 } else { crate::predict::interference(row, &request.spec) };
     let score = INTERFERENCE_WEIGHT.mul_add(interference, prediction.total);
-    Candidate { endpoint: key, prefill, prediction, score, skipped: skip(row, key, request, now) }
+    Candidate { endpoint: key, prefill, prediction, score, skipped: skip_reason(row, key, request, now) }
 }
 
 /// Whether enough prefill work queues at an engine already. Requests that wait here can still be reordered by
@@ -245,7 +245,7 @@
     row.role != Role::Plain && !request.spec.kind.is_urgent() && seconds > MAX_BACKLOG_SECONDS
 }
 
-fn skip(row: &Endpoint, key: EndpointKey, request: &Request, now: Time) -> Option<Skip> {
+fn skip_reason(row: &Endpoint, key: EndpointKey, request: &Request, now: Time) -> Option<Skip> {
     let headroom = if request.spec.kind.is_urgent() { 0.0 } else { URGENT_HEADROOM };
     let adapter = request.spec.adapter;
     if row.admin_state == crate::endpoint::AdminState::Draining {
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -160,7 +160,7 @@
     endpoint_share: f64,
     index: PoolIndex,
     queue: Queue,
-    mix: DemandAverages,
+    demand: DemandAverages,
 }
 
 /// Endpoint table. A type of its own, so that it can be borrowed while other tables are changed.
@@ -278,7 +278,7 @@
     /// Average demand that arrived at this daemon for `pool`.
     #[must_use]
     pub fn demand(&self, pool: PoolKey) -> Option<&DemandAverages> {
-        self.pools.get(pool).map(|p| &p.mix)
+        self.pools.get(pool).map(|p| &p.demand)
     }
 
     /// Sets the rate limits of the teams, in requests per second over all daemons, and the number of live
@@ -358,7 +358,7 @@
         });
         let pool = &mut self.pools[spec.pool];
         pool.queue.insert(queue_entry(key, &spec));
-        pool.mix.add_request(spec.prompt_tokens, spec.output_tokens, now);
+        pool.demand.add_request(spec.prompt_tokens, spec.output_tokens, now);
         let gain = self.policy.retry_ratio;
         self.retries.take(-gain, now);
         Ok(key)
@@ -435,11 +435,11 @@
         let request = &self.requests[key];
         let outcome = combined_outcome(&request.attempt_ends);
         let may_repeat = spec.kind.repeatable || outcome == Outcome::NotRun;
-        let over = matches!(end, AttemptEnd::Whole | AttemptEnd::Rejected)
+        let is_finished = matches!(end, AttemptEnd::Whole | AttemptEnd::Rejected)
             || !may_repeat
             || spec.deadline.is_past(now)
             || request.attempt_number() >= self.policy.max_attempts;
-        if over || !self.may_retry(end, now) {
+        if is_finished || !self.may_retry(end, now) {
             self.requests.remove(key);
             return Next::Finished(outcome);
         }
@@ -471,8 +471,8 @@
         request.stage = Stage::Waiting;
         request.first_token_seen = false;
         let spec = request.spec;
-        let others = self.pools[spec.pool].index.serving_endpoints().any(|k| !request.avoided.contains(&k));
-        if !others {
+        let has_alternative = self.pools[spec.pool].index.serving_endpoints().any(|k| !request.avoided.contains(&k));
+        if !has_alternative {
             request.avoided.clear();
         }
         self.pools[spec.pool].queue.insert(queue_entry(key, &spec));
@@ -500,12 +500,12 @@
                 }
                 _ => row.health.end_probe(),
             }
-            self.forget_if_removed(key);
+            self.drop_if_removed(key);
         }
     }
 
     /// Drops the row of a removed endpoint after its last attempt.
-    fn forget_if_removed(&mut self, key: EndpointKey) {
+    fn drop_if_removed(&mut self, key: EndpointKey) {
         let row = &self.endpoints.0[key];
         if row.removed && row.window.in_flight() == 0 {
             self.endpoints.0.remove(key);
@@ -532,8 +532,8 @@
 
     fn send_or_refuse(&mut self, key: RequestKey, choice: Choice, now: Time, actions: &mut Vec<Action>) {
         let request = &self.requests[key];
-        let left = request.spec.deadline.since(now).as_seconds();
-        let late = choice.chosen.prediction.total * self.policy.refuse_margin > left;
+        let remaining = request.spec.deadline.since(now).as_seconds();
+        let late = choice.chosen.prediction.total * self.policy.refuse_margin > remaining;
         if self.policy.admission && late && request.delivered == 0 {
             self.refuse(key, Refusal::TooLate, choice.candidates, now, actions);
             return;
@@ -575,12 +575,12 @@
         let pool = &mut self.pools[request.spec.pool];
         pool.queue.remove(&queue_entry(key, &request.spec));
         let endpoint_share = self.pools[request.spec.pool].endpoint_share;
-        let ahead = self.queued_cost(request.spec.pool) / endpoint_share;
+        let queued_seconds = self.queued_cost(request.spec.pool) / endpoint_share;
         actions.push(Action::Refuse {
             request: key,
             outcome: combined_outcome(&request.attempt_ends),
             reason,
-            retry_at: now + Span::seconds(ahead).max(MIN_RETRY_AFTER),
+            retry_at: now + Span::seconds(queued_seconds).max(MIN_RETRY_AFTER),
             candidates,
         });
     }
--- a/crates/core/src/dispatch/shed.rs
+++ b/crates/core/src/dispatch/shed.rs
@@ -24,12 +24,12 @@
         let request = &self.requests[key];
         let spec = &request.spec;
         let rates = self.pools[spec.pool].rates;
-        let alone = f64::from(spec.prompt_tokens) / rates.prefill
+        let service_time = f64::from(spec.prompt_tokens) / rates.prefill
             + f64::from(request.remaining_tokens()) * (rates.step + rates.step_per_seq);
         Job {
             key,
             cost: self.cost(request),
-            start_by: spec.deadline.since(now).as_seconds() - alone,
+            start_by: spec.deadline.since(now).as_seconds() - service_time,
             weight: spec.kind.weight,
             can_drop: request.delivered == 0,
         }
@@ -39,8 +39,9 @@
     fn cost(&self, request: &Request) -> f64 {
         let rates = self.pools[request.spec.pool].rates;
         let slots = f64::from(rates.slots.max(1));
-        let each = (rates.step + rates.step_per_seq * slots) / slots;
-        f64::from(request.spec.prompt_tokens) / rates.prefill + f64::from(request.remaining_tokens()) * each
+        let seconds_per_token = (rates.step + rates.step_per_seq * slots) / slots;
+        f64::from(request.spec.prompt_tokens) / rates.prefill
+            + f64::from(request.remaining_tokens()) * seconds_per_token
     }
 
     pub(super) fn queued_cost(&self, pool: PoolKey) -> f64 {
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -223,8 +223,8 @@
         PlannerMode::Priced => 0.5_f64.mul_add(short, 0.5 * long.min(short)),
         _ => short,
     };
-    let useful = (settings.horizon_seconds - settings.change_seconds).max(0.0);
-    RoleChange { from, to, gain: gain_rate * useful, loss: settings.change_seconds + settings.price }
+    let useful_seconds = (settings.horizon_seconds - settings.change_seconds).max(0.0);
+    RoleChange { from, to, gain: gain_rate * useful_seconds, loss: settings.change_seconds + settings.price }
 }
 
 /// Work served per second out of `demand`, in seconds of one engine's work.
--- a/crates/core/src/predict.rs
+++ b/crates/core/src/predict.rs
@@ -59,9 +59,9 @@
 fn slot_wait(endpoint: &Endpoint, spec: &RequestSpec) -> f64 {
     let running = endpoint.report.running + endpoint.report.waiting;
     let ahead = running.max(endpoint.window.in_flight());
-    let over = f64::from(ahead.saturating_sub(endpoint.rates.slots));
+    let excess = f64::from(ahead.saturating_sub(endpoint.rates.slots));
     let each = f64::from(spec.output_tokens) * step(endpoint);
-    over * each / f64::from(endpoint.rates.slots.max(1))
+    excess * each / f64::from(endpoint.rates.slots.max(1))
 }
 
 /// Predicts the response times of `spec` at `endpoint`, with its prompt processed there or before at `prefill`.
--- a/crates/core/src/revision_table.rs
+++ b/crates/core/src/revision_table.rs
@@ -69,8 +69,8 @@
             return false;
         }
         let key: Arc<str> = Arc::from(key);
-        if let Some((before, _)) = self.entries.insert(Arc::clone(&key), (revision, value)) {
-            self.by_revision.remove(&(before, Arc::clone(&key)));
+        if let Some((previous, _)) = self.entries.insert(Arc::clone(&key), (revision, value)) {
+            self.by_revision.remove(&(previous, Arc::clone(&key)));
         }
         self.by_revision.insert((revision, key));
         true
@@ -83,8 +83,8 @@
         }
         self.removals.insert((revision, Arc::from(key)));
         let removed = self.entries.remove_entry(key);
-        let value = removed.map(|(key, (before, value))| {
-            self.by_revision.remove(&(before, key));
+        let value = removed.map(|(key, (previous, value))| {
+            self.by_revision.remove(&(previous, key));
             value
         });
         self.prune_removals();
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -63,13 +63,13 @@
     #[must_use]
     pub fn service(&self, hash: u64) -> Option<&Arc<str>> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        let mut left = hash.checked_rem(total)?;
+        let mut remaining = hash.checked_rem(total)?;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&share.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
@@ -181,8 +181,8 @@
     #[must_use]
     pub fn max_event_gap(&self, service: &str) -> Option<Span> {
         let routes = self.hosts.values().flatten();
-        let its = routes.filter(|route| route.shares.iter().any(|share| &*share.service == service));
-        its.filter_map(|route| route.max_event_gap).min()
+        let routes_to_service = routes.filter(|route| route.shares.iter().any(|share| &*share.service == service));
+        routes_to_service.filter_map(|route| route.max_event_gap).min()
     }
 
     /// Iterates over all services.
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -123,10 +123,10 @@
     /// Records counts reported by a run of a daemon. Reports may be repeated and may arrive in any order.
     pub fn record(&mut self, vm: &str, run: u64, reported: WindowCounts) {
         let window = self.windows.entry(reported.window).or_default();
-        let known = window.entry((vm.to_owned(), run)).or_default();
-        known.is_over |= reported.is_over;
+        let run_counts = window.entry((vm.to_owned(), run)).or_default();
+        run_counts.is_over |= reported.is_over;
         for (team, count) in reported.counts {
-            let present = known.counts.entry(team).or_default();
+            let present = run_counts.counts.entry(team).or_default();
             *present = (*present).max(count);
         }
     }
--- a/crates/core/src/watcher_election.rs
+++ b/crates/core/src/watcher_election.rs
@@ -109,8 +109,8 @@
             return false;
         }
         let shortage_since = *self.shortage_since.get_or_insert(now);
-        let before = (self.higher_peers + 1).saturating_sub(WATCHERS) as u64;
-        let wait = Span(PRIORITY_DELAY.0 * before);
+        let delay_steps = (self.higher_peers + 1).saturating_sub(WATCHERS) as u64;
+        let wait = Span(PRIORITY_DELAY.0 * delay_steps);
         watching || (shortage_since + wait.min(timing.max_election_time())).is_past(now)
     }
 
