--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -110,8 +110,8 @@
 
 /// The kept job with the least weight per cost, if that is less than that of `job`.
 fn least_valuable(kept: &[Job], job: &Job) -> Option<usize> {
-    let worth = |j: &Job| j.weight / j.cost.max(f64::MIN_POSITIVE);
+    let value_per_cost = |j: &Job| j.weight / j.cost.max(f64::MIN_POSITIVE);
     let droppable = kept.iter().enumerate().filter(|(_, k)| k.can_drop);
-    let (at, least) = droppable.min_by(|a, b| worth(a.1).total_cmp(&worth(b.1)))?;
-    (worth(least) < worth(job)).then_some(at)
+    let (at, least) = droppable.min_by(|a, b| value_per_cost(a.1).total_cmp(&value_per_cost(b.1)))?;
+    (value_per_cost(least) < value_per_cost(job)).then_some(at)
 }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -76,12 +76,12 @@
     /// Returns the counts to report now, for the windows from `first` to `present`; those before `over` are
     /// final. Windows without a request are included, since the leader waits for each daemon's final counts.
     #[must_use]
-    pub fn unacknowledged(&self, first: u64, present: u64, over: u64) -> Vec<WindowCounts> {
+    pub fn unacknowledged(&self, first: u64, present: u64, final_before: u64) -> Vec<WindowCounts> {
         let first = first.max(present.saturating_sub(RETAINED_WINDOWS));
         let windows = (first..=present).filter(|window| !self.acknowledged.contains(window)).map(|window| {
             let counts = self.windows.get(&window).into_iter().flatten();
             let counts = counts.map(|(team, count)| (team.to_string(), *count)).collect();
-            WindowCounts { window, is_over: window < over, counts }
+            WindowCounts { window, is_over: window < final_before, counts }
         });
         windows.collect()
     }
