--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -76,12 +76,12 @@
     /// Returns the counts to report now, for the windows from `first` to `present`; those before `over` are
     /// final. Windows without a request are included, since the leader waits for each daemon's final counts.
     #[must_use]
-    pub fn unacknowledged(&self, first: u64, present: u64, over: u64) -> Vec<WindowCounts> {
+    pub fn unacknowledged(&self, first: u64, present: u64, final_before: u64) -> Vec<WindowCounts> {
         let first = first.max(present.saturating_sub(RETAINED_WINDOWS));
         let windows = (first..=present).filter(|window| !self.acknowledged.contains(window)).map(|window| {
             let counts = self.windows.get(&window).into_iter().flatten();
             let counts = counts.map(|(team, count)| (team.to_string(), *count)).collect();
-            WindowCounts { window, is_over: window < over, counts }
+            WindowCounts { window, is_over: window < final_before, counts }
         });
         windows.collect()
     }
@@ -123,10 +123,10 @@
     /// Records counts reported by a run of a daemon. Reports may be repeated and may arrive in any order.
     pub fn record(&mut self, vm: &str, run: u64, reported: WindowCounts) {
         let window = self.windows.entry(reported.window).or_default();
-        let known = window.entry((vm.to_owned(), run)).or_default();
-        known.is_over |= reported.is_over;
+        let run_counts = window.entry((vm.to_owned(), run)).or_default();
+        run_counts.is_over |= reported.is_over;
         for (team, count) in reported.counts {
-            let present = known.counts.entry(team).or_default();
+            let present = run_counts.counts.entry(team).or_default();
             *present = (*present).max(count);
         }
     }
