--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -82,9 +82,9 @@
 #[derive(Clone, Copy, Debug)]
 struct LongAnswers {
     /// Time limit of the most recently requested long answer.
-    limit: Span,
+    time_limit: Span,
     /// Token limit of that answer.
-    tokens: u32,
+    max_output: u32,
     /// Time at which the first long answer must have ended. Until then only shorter ones have ended, which do not
     /// show how long the longest answers are.
     lengths_known_from: Time,
@@ -290,8 +290,8 @@
         let state = self.service_mut(service);
         if plan.is_long() && !req.was_refused {
             let lengths_known_from = state.long_answers.map_or(now + req.time_left, |long| long.lengths_known_from);
-            let tokens = req.prompt.map_or(0, |prompt| prompt.output);
-            state.long_answers = Some(LongAnswers { limit: req.time_left, tokens, lengths_known_from });
+            let max_output = req.prompt.map_or(0, |prompt| prompt.output);
+            state.long_answers = Some(LongAnswers { time_limit: req.time_left, max_output, lengths_known_from });
         }
         if let Some(prompt) = req.prompt.filter(|_| !plan.is_long()) {
             state.large_prompts.record(prompt.tokens, req.was_refused, admitted);
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -85,8 +85,8 @@
     pub(super) fn max_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
         let pace = &state.engine.answers;
         let long = state.long_answers.filter(|_| pace.is_known())?;
-        let events = pace.most_events(long.tokens, long.lengths_known_from.is_past(now))?;
-        let in_time_ms = long.limit.in_millis() * self.policy.answer_share / events;
+        let events = pace.most_events(long.max_output, long.lengths_known_from.is_past(now))?;
+        let in_time_ms = long.time_limit.in_millis() * self.policy.answer_share / events;
         Some(pace.answers_within(in_time_ms.min(Self::max_steady_interval_ms(state))))
     }
 
@@ -101,9 +101,9 @@
         let (Some(long), true) = (state.long_answers, pace.is_known()) else {
             return true;
         };
-        let Some(events) = pace.most_events(long.tokens, long.lengths_known_from.is_past(now)) else {
+        let Some(events) = pace.most_events(long.max_output, long.lengths_known_from.is_past(now)) else {
             return true;
         };
-        replica.interval_ms(pace, replica.streams()) * events <= long.limit.in_millis() * self.policy.answer_share
+        replica.interval_ms(pace, replica.streams()) * events <= long.time_limit.in_millis() * self.policy.answer_share
     }
 }
--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -138,18 +138,19 @@
     let service: Arc<str> = Arc::from(SERVICE);
     let prompt = Prompt::new("m", [(10, 12_000)].into_iter(), 12_000, 1);
     let never_refused = RouteRequest { may_refuse: false, ..req(Some(&prompt), &[]) };
-    let (reader, key) = (fleet.key("r").expect("the replica is known"), fleet.key("w").expect("the replica is known"));
+    let (prefill_engine, key) =
+        (fleet.key("r").expect("the replica is known"), fleet.key("w").expect("the replica is known"));
     fleet.begin(key, &step(key, 0.0, false), None, now());
-    fleet.begin(reader, &step(reader, 500.0, false), None, now());
-    let is_whole = |fleet: &Fleet| matches!(fleet.choose(&never_refused, now()), Ok(Plan::Single(_)));
+    fleet.begin(prefill_engine, &step(prefill_engine, 500.0, false), None, now());
+    let is_single = |fleet: &Fleet| matches!(fleet.choose(&never_refused, now()), Ok(Plan::Single(_)));
     fleet.set_max_pause(&service, Some(Span::millis(200)));
-    assert!(!is_whole(&fleet), "the prompt must wait for the prefill engine");
+    assert!(!is_single(&fleet), "the prompt must wait for the prefill engine");
     fleet.set_max_pause(&service, Some(Span::millis(2_000)));
-    assert!(is_whole(&fleet));
+    assert!(is_single(&fleet));
     // Without a prefill engine, the prompt is served rather than refused at every attempt.
     fleet.set_max_pause(&service, Some(Span::millis(200)));
     fleet.mark_removed("r", 2, now());
-    assert!(is_whole(&fleet));
+    assert!(is_single(&fleet));
 }
 
 #[test]
@@ -187,18 +188,18 @@
     fleet.set_max_pause(&Arc::from(SERVICE), Some(Span::millis(2_000)));
     let long = Prompt::new("m", [(1, 100)].into_iter(), 100, 12_000);
     let caller = RouteRequest { time_left: Span::millis(15_000), ..req(Some(&long), &[]) };
-    let mut under_way = Vec::new();
+    let mut active_steps = Vec::new();
     for (id, interval_ms) in [("usual", 60), ("slow", 90)] {
         let key = fleet.key(id).expect("the replica is known");
         let step = Step { long: true, ..Step::at(key) };
         fleet.record_demand(&Arc::from(SERVICE), &caller, &Plan::Single(step), true, now());
         for _ in 0..8 {
             let sent = fleet.begin(key, &step, Some(&long), now()).expect("the replica is known");
-            under_way.push((sent, Span::millis(interval_ms * 10)));
+            active_steps.push((sent, Span::millis(interval_ms * 10)));
         }
     }
     for total in 100..200 {
-        for (sent, took) in &under_way {
+        for (sent, took) in &active_steps {
             fleet.learn_stream(sent, &StreamPart { events: 10, total, took: *took, ..StreamPart::default() });
         }
     }
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -39,7 +39,7 @@
 /// Number of long answers on each decode engine.
 const ANSWERS_PER_ENGINE: usize = 20;
 /// Number of prefill engines, and of decode engines.
-const PREFILL_ENGINES: usize = 3;
+const ENGINES_PER_ROLE: usize = 3;
 /// Simulated seconds.
 const SECONDS: f64 = 40.0;
 /// Seconds at the start that are not counted.
@@ -56,7 +56,7 @@
     sent: SentStep,
     step: Step,
     /// The decode step, if another engine decodes it.
-    output: Option<Step>,
+    decode: Option<Step>,
     prompt: Prompt,
     tokens: u32,
     counts: bool,
@@ -76,12 +76,12 @@
         let mut fleet = fleet();
         fleet.set_kv_capacity(&Arc::from(SERVICE), KV_CAPACITY);
         for (name, role) in [("r", Role::Prefill), ("w", Role::Decode)] {
-            for n in 0..PREFILL_ENGINES {
+            for n in 0..ENGINES_PER_ROLE {
                 fleet.put(ReplicaFacts { slots: 48, ..facts(&format!("{name}{n}"), role) }, 1);
             }
         }
         let queues: Vec<_> = fleet.replicas().map(|(key, _)| (key, Vec::new(), None)).collect();
-        for n in 0..PREFILL_ENGINES {
+        for n in 0..ENGINES_PER_ROLE {
             let key = fleet.key(&format!("w{n}")).expect("the replica is known");
             for _ in 0..ANSWERS_PER_ENGINE {
                 // The long answers are active all the time.
@@ -94,7 +94,7 @@
     fn run(&mut self, load: f64) {
         let start = now();
         let mut now = start;
-        let per_ms = load * PREFILL_ENGINES as f64 / MEAN_PREFILL_MS;
+        let per_ms = load * ENGINES_PER_ROLE as f64 / MEAN_PREFILL_MS;
         while now.since(start).as_seconds() < SECONDS {
             now = now + Span::millis(1);
             let counts = now.since(start).as_seconds() > WARM_UP;
@@ -130,7 +130,7 @@
             Err(PlanError::NoReplica | PlanError::RateLimited { .. }) => panic!("replicas are available"),
         };
         self.fleet.record_demand(&Arc::from(SERVICE), &req, &plan, chosen.is_ok(), now);
-        let (step, output) = match chosen {
+        let (step, decode) = match chosen {
             Ok(Plan::Disaggregated { prefill, decode }) => (prefill, Some(decode)),
             Ok(Plan::Single(step)) => (step, None),
             Err(_) => {
@@ -142,28 +142,28 @@
         };
         let sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("the replica is known");
         let queue = self.queues.iter_mut().find(|(key, ..)| *key == step.key).expect("the replica has a queue");
-        queue.1.push(QueuedPrompt { sent, step, output, prompt, tokens, counts });
+        queue.1.push(QueuedPrompt { sent, step, decode, prompt, tokens, counts });
     }
 
     /// Advances one engine: prompts that can be in time are processed before late ones, each in order of arrival.
     fn advance(&mut self, engine: usize, now: Time) {
-        let (_, waiting, done) = &mut self.queues[engine];
+        let (_, queue, done) = &mut self.queues[engine];
         if done.is_some_and(|done| !done.is_past(now)) {
             return;
         }
         if done.take().is_some() {
-            let finished = waiting.remove(0);
+            let finished = queue.remove(0);
             self.finish(finished, now);
         }
-        let (_, waiting, done) = &mut self.queues[engine];
-        if waiting.is_empty() {
+        let (_, queue, done) = &mut self.queues[engine];
+        if queue.is_empty() {
             return;
         }
-        let next = waiting.iter().position(|waiting| !waiting.step.late).unwrap_or(0);
-        let current = waiting.remove(next);
-        let factor = if current.output.is_some() { 1.0 } else { 2.0 };
+        let next = queue.iter().position(|prompt| !prompt.step.late).unwrap_or(0);
+        let current = queue.remove(next);
+        let factor = if current.decode.is_some() { 1.0 } else { 2.0 };
         *done = Some(now + Span::seconds(actual_prefill_ms(current.step.reading) * factor / 1_000.0));
-        waiting.insert(0, current);
+        queue.insert(0, current);
     }
 
     fn finish(&mut self, mut finished: QueuedPrompt, now: Time) {
@@ -173,8 +173,8 @@
         if finished.counts {
             self.served.push((finished.tokens, in_time));
         }
-        if let Some(output) = finished.output
-            && let Some(mut sent) = self.fleet.begin(output.key, &output, Some(&finished.prompt), now)
+        if let Some(decode) = finished.decode
+            && let Some(mut sent) = self.fleet.begin(decode.key, &decode, Some(&finished.prompt), now)
         {
             self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
             self.fleet.end(&sent, StepEnd::Done, now);
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -50,8 +50,8 @@
     engine: usize,
     sent: SentStep,
     events: f64,
-    done: f64,
-    ends_at: Time,
+    events_done: f64,
+    deadline: Time,
     /// Number of events that were forwarded when the fleet last learned from the stream, and the time of that.
     last_report: (f64, Time),
 }
@@ -62,7 +62,7 @@
     /// Number of long answers that start per second.
     per_second: f64,
     /// Whether callers estimate the length of their answers.
-    guessed: bool,
+    has_guesses: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -120,7 +120,7 @@
         self.arrivals_so_far += 1;
         let parts = [(1, 50), (1_000 + self.arrivals_so_far, 100)];
         let events = answer_events(&mut self.rng);
-        let guess = self.arrivals.guessed.then(|| caller_guess(&mut self.rng, events));
+        let guess = self.arrivals.has_guesses.then(|| caller_guess(&mut self.rng, events));
         let prompt = Prompt::new("m", parts.into_iter(), 150, MAX_TOKENS).with_guess(guess);
         let draw = self.rng.random();
         let req = RouteRequest {
@@ -141,8 +141,8 @@
             engine,
             sent,
             events,
-            done: 0.0,
-            ends_at: now + CALLER_TIMEOUT,
+            events_done: 0.0,
+            deadline: now + CALLER_TIMEOUT,
             last_report: (0.0, now),
         });
     }
@@ -155,24 +155,26 @@
         for answer in &mut self.running {
             let others = f64::from(answers[answer.engine]);
             let interval_ms = self.slowness[answer.engine] * (ALONE_MS + MS_PER_ANSWER * others);
-            answer.done += TICK.in_millis() / interval_ms;
+            answer.events_done += TICK.in_millis() / interval_ms;
             if now.since(answer.last_report.1) >= REPORT_INTERVAL {
                 answer.learn(&mut self.fleet, now);
             }
         }
-        let (finished, running): (Vec<Answer>, Vec<Answer>) =
-            self.running.drain(..).partition(|answer| answer.done >= answer.events || answer.ends_at.is_past(now));
+        let (finished, running): (Vec<Answer>, Vec<Answer>) = self
+            .running
+            .drain(..)
+            .partition(|answer| answer.events_done >= answer.events || answer.deadline.is_past(now));
         self.running = running;
         for mut answer in finished {
             answer.learn(&mut self.fleet, now);
-            if answer.done >= answer.events {
+            if answer.events_done >= answer.events {
                 let events = answer.events as u64;
-                let whole =
+                let stream =
                     StreamPart { events, total: events, took: now.since(answer.sent.sent_at), ..StreamPart::default() };
-                self.fleet.learn_answer(&answer.sent, &whole, now);
+                self.fleet.learn_answer(&answer.sent, &stream, now);
             }
             self.fleet.end(&answer.sent, StepEnd::Done, now);
-            self.finished.push(FinishedAnswer { events: answer.events, served: answer.done >= answer.events });
+            self.finished.push(FinishedAnswer { events: answer.events, served: answer.events_done >= answer.events });
         }
     }
 
@@ -188,14 +190,14 @@
 
 impl Answer {
     fn learn(&mut self, fleet: &mut Fleet, now: Time) {
-        let (done, at) = self.last_report;
-        let events = (self.done - done) as u64;
+        let (events_done, at) = self.last_report;
+        let events = (self.events_done - events_done) as u64;
         if events > 0 {
             fleet.learn_stream(
                 &self.sent,
-                &StreamPart { events, total: self.done as u64, took: now.since(at), ..StreamPart::default() },
+                &StreamPart { events, total: self.events_done as u64, took: now.since(at), ..StreamPart::default() },
             );
-            self.last_report = (self.done, now);
+            self.last_report = (self.events_done, now);
         }
     }
 }
@@ -213,7 +215,7 @@
 
 #[test]
 fn the_longest_answers_end_in_time_when_some_engines_are_slow() {
-    let arrivals = Arrivals { per_second: 36.0, guessed: false };
+    let arrivals = Arrivals { per_second: 36.0, has_guesses: false };
     for seed in 0..5 {
         let mut simulation = Simulation::new(&[1.0, 1.3, 1.0, 1.0, 1.3, 1.0], arrivals, seed);
         simulation.run();
@@ -228,7 +230,7 @@
 /// ones. Without estimates 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
 #[test]
 fn likely_short_answers_leave_the_fast_engines_to_long_ones() {
-    let arrivals = Arrivals { per_second: 48.0, guessed: true };
+    let arrivals = Arrivals { per_second: 48.0, has_guesses: true };
     for seed in 0..5 {
         let mut simulation = Simulation::new(&[1.3, 1.0, 1.3, 1.0, 1.3], arrivals, seed);
         simulation.run();
--- a/crates/core/tests/fleet/pool.rs
+++ b/crates/core/tests/fleet/pool.rs
@@ -114,9 +114,11 @@
 
 impl Platform {
     /// Starts with the given number of staying engines in each hall.
-    fn new(each: u32) -> Self {
-        let running: PoolSize =
-            HALLS.iter().map(|hall| (Arc::from(*hall), HallSize { staying: each, reclaimable: 0 })).collect();
+    fn new(staying_per_hall: u32) -> Self {
+        let running: PoolSize = HALLS
+            .iter()
+            .map(|hall| (Arc::from(*hall), HallSize { staying: staying_per_hall, reclaimable: 0 }))
+            .collect();
         Self {
             scaling: scaling(),
             ordered: running.clone(),
@@ -156,9 +158,9 @@
             self.starting.extend(
                 new_engines.map(|is_reclaimable| (ready_s, Arc::clone(hall), is_reclaimable)).collect::<Vec<_>>(),
             );
-            let all =
+            let in_hall =
                 running.total() + self.starting.iter().filter(|(_, engine_hall, _)| engine_hall == hall).count() as u32;
-            assert!(all <= self.scaling.max, "second {now_s}: {all} in {hall}");
+            assert!(in_hall <= self.scaling.max, "second {now_s}: {in_hall} in {hall}");
         }
         let (ready, still_starting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.starting).into_iter().partition(|s| s.0 <= now_s);
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -68,8 +68,8 @@
         changed += 1;
     }
     assert_eq!(changed, 2, "two decode engines are kept");
-    let calm = Demand { prefill: 0.1, slots: 2.0, ..Demand::default() };
-    assert_eq!(fleet_with(&roles).next_role_change(SERVICE, calm, now()), None);
+    let low_demand = Demand { prefill: 0.1, slots: 2.0, ..Demand::default() };
+    assert_eq!(fleet_with(&roles).next_role_change(SERVICE, low_demand, now()), None);
     let answers = Demand { prefill: 0.1, slots: 90.0, ..Demand::default() };
     assert_eq!(fleet_with(&roles).next_role_change(SERVICE, answers, now()), None, "two prefill engines are kept");
 }
@@ -137,8 +137,8 @@
         fleet.learn_stream(&sent, &StreamPart { events: 70, total: 70, took, ..StreamPart::default() });
     }
     for sent in running {
-        let whole = StreamPart { events: 70, total: 70, took: Span::millis(4_000), ..StreamPart::default() };
-        fleet.learn_answer(&sent, &whole, now() + Span::millis(9_000));
+        let stream = StreamPart { events: 70, total: 70, took: Span::millis(4_000), ..StreamPart::default() };
+        fleet.learn_answer(&sent, &stream, now() + Span::millis(9_000));
         fleet.end(&sent, StepEnd::Done, now() + Span::millis(9_000));
     }
 }
@@ -177,9 +177,9 @@
         let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
         let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("the replica is known");
         let longest_interval = Span::millis(60 * factor);
-        let whole = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest_interval };
+        let stream = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest_interval };
         for _ in 0..200 {
-            fleet.learn_answer(&sent, &whole, now() + Span::millis(9_000));
+            fleet.learn_answer(&sent, &stream, now() + Span::millis(9_000));
         }
         let demand = Demand { prefill: 10.0, slots: 700.0, ..Demand::default() };
         fleet.next_role_change(SERVICE, demand, now() + Span::millis(20_000)).map(|change| change.to)
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -55,9 +55,9 @@
     fleet.start_role_change(key, Role::Prefill, now() + Span::millis(9_000));
     fleet.hold_orders_until(key, now() + Span::millis(9_000));
     assert!(fleet.put(start(5_000), 2), "the entry belongs to a new start");
-    let next = fleet.key(ID).expect("the replica is known");
-    assert_ne!(next, key, "nothing planned for the previous start applies to the new one");
-    let replica = fleet.get(next).expect("the replica is known");
+    let new_key = fleet.key(ID).expect("the replica is known");
+    assert_ne!(new_key, key, "nothing planned for the previous start applies to the new one");
+    let replica = fleet.get(new_key).expect("the replica is known");
     assert!(replica.is_open(now()) && replica.health.allows(now()) && replica.orders_held_until.is_past(now()));
     assert_eq!((replica.active(), held_tokens(&fleet)), (0, 0));
     assert!(fleet.get(key).is_none());
@@ -65,7 +65,7 @@
     assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the previous start");
     // Requests that were active end without affecting the new start.
     assert!(!fleet.end(&sent, StepEnd::Silent, now()));
-    let replica = fleet.get(next).expect("the replica is known");
+    let replica = fleet.get(new_key).expect("the replica is known");
     assert!(replica.health.allows(now()));
 }
 
