--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -84,8 +84,8 @@
     pub(super) fn max_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
         let pace = &state.engine.answer_pace;
         let long = state.long_answers.filter(|_| pace.is_known())?;
-        let events = pace.max_events(long.tokens, long.lengths_known_from.is_past(now))?;
-        let in_time_ms = long.limit.as_millis_f64() * self.policy.answer_share / events;
+        let events = pace.max_events(long.max_output, long.lengths_known_from.is_past(now))?;
+        let in_time_ms = long.time_limit.as_millis_f64() * self.policy.answer_share / events;
         Some(pace.max_answers(in_time_ms.min(Self::max_steady_interval_ms(state))))
     }
 
@@ -100,9 +100,9 @@
         let (Some(long), true) = (state.long_answers, pace.is_known()) else {
             return true;
         };
-        let Some(events) = pace.max_events(long.tokens, long.lengths_known_from.is_past(now)) else {
+        let Some(events) = pace.max_events(long.max_output, long.lengths_known_from.is_past(now)) else {
             return true;
         };
-        replica.interval_ms(pace, replica.streams()) * events <= long.limit.as_millis_f64() * self.policy.answer_share
+        replica.interval_ms(pace, replica.streams()) * events <= long.time_limit.as_millis_f64() * self.policy.answer_share
     }
 }
