--- a/crates/core/tests/endings/main.rs
+++ b/crates/core/tests/endings/main.rs
@@ -1,7 +1,7 @@
-//! Requests that end every replica that runs them, and those that only stand beside them.
+//! Requests that crash every replica that runs them, and requests that merely run beside them.
 //!
-//! Seen: engines ended one after the other under one request that came again at any daemon, and nobody
-//! knew it; see the test of the whole path in the platform's tests.
+//! Guards against engines that crash one after the other during one request, whose caller retries at any daemon while
+//! no daemon knows of the crashes that others saw. The platform's tests have an end-to-end test of this.
 
 use std::ops::Range;
 
@@ -16,16 +16,16 @@
 mod setting;
 mod world;
 
-/// Sends over all daemons, later than the bound after the third end.
+/// Maximum number of sends of a fatal request, over all daemons, later than `REPORT_BOUND` after its third crash.
 const MAX_LATE_SENDS: usize = 3;
 
-/// Seeds from one on; the variable `TIMES` makes them more, for a long run by hand.
+/// Consecutive seeds; the environment variable `TIMES` multiplies their number for long manual runs.
 fn seeds(from: u64, count: u64) -> Range<u64> {
     let times = std::env::var("TIMES").ok().and_then(|times| times.parse().ok()).unwrap_or(1);
     from..from + count * times
 }
 
-/// Plays of one kind, summed up.
+/// Totals over several simulation runs.
 #[derive(Debug, Default)]
 struct Totals {
     runs: usize,
@@ -54,7 +54,7 @@
     totals
 }
 
-/// Of those beside it so many in ten thousand may be refused as if they were it.
+/// Asserts the maximum number of refusals of harmless requests per 10,000 of them.
 fn assert_few_wrong_refusals(totals: &Totals, max_per_10_000: usize) {
     assert!(totals.wrongly_refused * 10_000 <= totals.other_requests * max_per_10_000, "{totals:?}");
 }
@@ -87,12 +87,12 @@
 #[test]
 fn few_engines_are_lost_after_the_bound_with_a_daemon_cut_off() {
     let cut_off = |seed| Scenario { cut_off: true, ..Scenario::new(seed, 8) };
-    let totals = simulate("one cut off", seeds(300, 20).map(cut_off));
+    let totals = simulate("one daemon cut off", seeds(300, 20).map(cut_off));
     assert_few_wrong_refusals(&totals, 30);
 }
 
-/// Look-ups of popular things: many callers' requests are one and the same to a replica, and when all replicas
-/// of a small service end together, each was at all of them.
+/// Popular look-ups of many callers have the same content. When all replicas of a small service crash together, each
+/// of these contents was running on all of them and must not be refused for long.
 #[test]
 fn popular_requests_are_served_after_unrelated_engine_outages() {
     for outage in [Outage::Rack, Outage::Rolling, Outage::Flap] {
@@ -110,7 +110,7 @@
 fn few_engines_are_lost_after_the_bound_with_a_slowly_retried_request() {
     let slow_retries =
         |seed| Scenario { fatal_retry_ms: (1_500, 4_000), duration: Span::millis(60_000), ..Scenario::new(seed, 8) };
-    let totals = simulate("seldom", seeds(600, 10).map(slow_retries));
+    let totals = simulate("slow retries", seeds(600, 10).map(slow_retries));
     assert_few_wrong_refusals(&totals, 5);
 }
 
@@ -124,15 +124,15 @@
     }
 }
 
-/// One that stood beside two such requests was blamed first, at three ends, and hid the one that ended two of these
-/// engines: that ended five more, and was sent on four times after the bound.
+/// Guards against a request that ran beside two fatal ones being refused first, at three crashes, and so hiding the
+/// fatal request that caused two of them. That one crashed five more engines, and was sent four times after the bound.
 #[test]
 fn a_fatal_request_hidden_by_a_wrong_refusal_is_found_at_its_next_crashes() {
     simulate("hidden", (781..782).map(crowded));
 }
 
-/// The bound does not hang on keeping requests apart, nor on their running alone in doubt: with 200 seeds of each kind it
-/// is met without either, and as many others are refused, some more here and fewer there.
+/// The bound does not depend on isolation or on trials. With 200 seeds of each kind it is met without either, and about
+/// as many harmless requests are refused, more in some kinds and fewer in others.
 #[test]
 fn the_bound_holds_with_and_without_isolation_and_trials() {
     let busy = Scenario { queries_per_second: 600.0, query_attempts: (6, (2, 20)), ..Scenario::new(0, 8) };
@@ -154,18 +154,18 @@
     ];
     for (label, kind) in kinds {
         for (isolate_suspects, run_trials) in [(true, true), (false, true), (false, false)] {
-            let label = format!("{label}, apart: {isolate_suspects}, alone in doubt: {run_trials}");
+            let label = format!("{label}, isolation: {isolate_suspects}, trials: {run_trials}");
             simulate(&label, seeds(900, 2).map(|seed| Scenario { seed, isolate_suspects, run_trials, ..kind }));
         }
     }
 }
 
-/// Few engines, full of queries whose callers repeat at once and often: most of those beside it come again,
-/// and many are beside it again.
+/// Few engines, full of queries whose callers retry at once and often: most queries that ran beside a fatal request
+/// are retried, and many run beside it again.
 #[test]
 fn requests_that_repeatedly_share_engines_with_a_fatal_one_are_served() {
     let totals = simulate("crowded", seeds(700, 30).map(crowded));
-    // With five engines, of which four end, some have nowhere else to go.
+    // With five engines, of which four crash, some requests have no other engine.
     assert!(totals.lost_three_engines > 100 && totals.wrongly_refused * 50 <= totals.lost_three_engines, "{totals:?}");
     assert_few_wrong_refusals(&totals, 1);
 }
--- a/crates/core/tests/endings/rules.rs
+++ b/crates/core/tests/endings/rules.rs
@@ -1,4 +1,4 @@
-//! One rule each: what counts against a request, what speaks for it, and when it lapses.
+//! Tests of single rules: what counts against a request, what clears it, and when records expire.
 
 use dahliaseam_core::{
     content::ContentHash,
@@ -11,11 +11,11 @@
 
 const FATAL: ContentHash = ContentHash(1);
 const OTHER: ContentHash = ContentHash(2);
-/// Time between two ends; what is told of one has come by then.
+/// Time between two crashes, in which the reports of the first arrive.
 const CRASH_INTERVAL: Span = Span::millis(200);
 const START: Time = Time(1_000_000_000);
 
-/// Ends of replicas under a request, one after the other; returns the time after the last of them.
+/// Crashes replicas one after the other while they run these requests; returns a time after the last crash.
 fn crash_replicas(tracker: &mut CrashTracker, contents: &[ContentHash], replicas: &[&str], from: Time) -> Time {
     let mut now = from;
     for replica in replicas {
@@ -54,7 +54,7 @@
     let after = crash_replicas(&mut tracker, &[FATAL], &["a", "b", "c"], START);
     let third = after - CRASH_INTERVAL;
     let Verdict::Pending(until) = verdict(&mut tracker, FATAL, third) else {
-        panic!("it is decided before others are heard");
+        panic!("the request is judged before peer reports are due");
     };
     assert!(until <= after);
     assert!(is_refused(&mut tracker, FATAL, after));
@@ -84,7 +84,7 @@
     let mut tracker = CrashTracker::default();
     let now = crash_replicas(&mut tracker, &[FATAL, OTHER], &["a", "b", "c"], START);
     for content in [FATAL, OTHER] {
-        assert!(is_isolated(&mut tracker, content, now), "both are equal");
+        assert!(is_isolated(&mut tracker, content, now), "both requests have the same crashes");
     }
     let now = crash_replicas(&mut tracker, &[FATAL], &["d"], now);
     assert!(is_refused(&mut tracker, FATAL, now));
@@ -112,7 +112,7 @@
     there.apply_notes(&here.due_notes(Recipients::HallPeers, 8, now), true, now);
     for tracker in [&mut here, &mut there] {
         assert_eq!(verdict(tracker, OTHER, now), Verdict::Clear);
-        assert!(is_refused(tracker, FATAL, now), "nothing else was at these replicas");
+        assert!(is_refused(tracker, FATAL, now), "no other request ran on these replicas");
     }
 }
 
@@ -123,7 +123,7 @@
     assert!(is_refused(&mut here, FATAL, now));
     there.apply_notes(&here.due_notes(Recipients::HallPeers, 8, now), true, now);
     let Verdict::Refused(refused) = verdict(&mut there, FATAL, now) else {
-        panic!("it was told");
+        panic!("the refusal was reported");
     };
     assert_eq!((refused.crashes, refused.known_by), (3, KnownBy::Peer));
 }
@@ -156,10 +156,10 @@
     assert!(is_refused(&mut tracker, FATAL, later));
 }
 
-/// Milliseconds between the times at which two daemons forget what is old.
+/// Milliseconds between the times at which two daemons remove expired records.
 const EXPIRY_OFFSETS_MS: [u64; 5] = [20, 70, 120, 170, 220];
 
-/// Two daemons that tell each other often, and forget what is old at times of their own.
+/// Lets two daemons exchange notes often and remove expired records at different times.
 fn exchange_notes(here: &mut CrashTracker, there: &mut CrashTracker, from: Time, until: Time, expiry_offset: Span) {
     let mut now = from;
     let mut expiries = [from, from + expiry_offset];
@@ -179,8 +179,8 @@
     }
 }
 
-/// Seen by reading: what one daemon had forgotten it heard again from another that forgot it a moment later, as if it were
-/// new, and so it was told back and forth for ever.
+/// Guards against records that never expire: a daemon received a record that it had just removed from one that removed
+/// it a moment later, took it as new, and the two sent it back and forth for ever. Found by reading the code.
 #[test]
 fn a_suspicion_expires_while_daemons_exchange_notes() {
     for offset_ms in EXPIRY_OFFSETS_MS {
@@ -191,7 +191,8 @@
     }
 }
 
-/// The same of a refusal: each daemon that lapsed it heard it again from one that had not, and counted two lapses.
+/// Guards against a refusal that expires twice: each daemon on which it had expired received it again from one on which
+/// it had not, and counted two expiries.
 #[test]
 fn a_refusal_expires_once_while_daemons_exchange_notes() {
     for offset_ms in EXPIRY_OFFSETS_MS {
@@ -205,7 +206,7 @@
         there.apply_notes(&here.due_notes(Recipients::HallPeers, 2, later), true, later);
         for tracker in [&mut here, &mut there] {
             let Verdict::Refused(refused) = verdict(tracker, FATAL, later) else {
-                panic!("one more end is enough");
+                panic!("one more crash is enough");
             };
             assert_eq!(refused.until.since(refused.since), RETENTION, "{offset_ms} ms apart");
         }
@@ -226,7 +227,7 @@
     let now = crash_replicas(&mut here, &[FATAL], &["a", "b"], START);
     let suspected: Vec<_> = here.suspected(now).collect();
     let [(content, suspicion)] = &suspected[..] else {
-        panic!("one is suspected: {suspected:?}");
+        panic!("one request is suspected: {suspected:?}");
     };
     let mut there = CrashTracker::default();
     there.apply_stored_suspicion(*content, suspicion, now);
@@ -236,17 +237,18 @@
     assert_eq!(verdict(&mut expiring, FATAL, now + suspicion.time_left), Verdict::Clear);
     let now = crash_replicas(&mut there, &[FATAL], &["c"], now);
     assert!(is_refused(&mut there, FATAL, now));
-    assert_eq!(there.suspected(now).count(), 0, "it is refused");
+    assert_eq!(there.suspected(now).count(), 0, "it is refused and no longer just suspected");
 }
 
-/// Seen by reading: what stands in the store names times of day, and a machine's may be set seconds ahead; then each
-/// end that others told as well counted twice, and one with two ends was refused.
+/// Guards against counting a crash twice: entries in the store have wall-clock times, and a machine's clock may be
+/// seconds ahead. Each crash that peers reported as well then counted twice, and a request with two crashes was
+/// refused. Found by reading the code.
 #[test]
 fn a_crash_that_store_and_peers_date_differently_counts_once() {
     let mut here = CrashTracker::default();
     let now = crash_replicas(&mut here, &[FATAL], &["a", "b"], START);
     let mut suspected: Vec<_> = here.suspected(now).map(|(_, suspicion)| suspicion).collect();
-    let mut suspicion = suspected.pop().expect("it is suspected");
+    let mut suspicion = suspected.pop().expect("the request is suspected");
     for (_, age) in &mut suspicion.crashes {
         *age = *age + Span::millis(2_000);
     }
@@ -258,12 +260,13 @@
     let mut there = here.clone();
     there.apply_notes(&store_first.due_notes(Recipients::HallPeers, 8, now), true, now);
     for tracker in [&mut store_first, &mut peers_first, &mut there] {
-        assert!(is_isolated(tracker, FATAL, now + CRASH_INTERVAL), "two ends, no more");
+        assert!(is_isolated(tracker, FATAL, now + CRASH_INTERVAL), "two crashes, no more");
     }
 }
 
-/// Seen in 3 of 60 runs beside others: two daemons had lost it and wrote its entry, an operator removed the first one's, and the
-/// second one's refused it again.
+/// Guards against an outdated store entry renewing a refusal: two daemons had lost the request and both wrote its
+/// entry, an operator removed the first entry, and the second one refused the request again. Seen in 3 of 60 runs
+/// beside other runs.
 #[test]
 fn a_store_entry_older_than_its_removal_refuses_nothing() {
     let mut tracker = CrashTracker::default();
@@ -275,7 +278,10 @@
     assert!(!tracker.apply_stored_refusal(FATAL, 3, later.since(now), RETENTION, later));
     assert_eq!(verdict(&mut tracker, FATAL, later), Verdict::Clear);
     let newer = later + CRASH_INTERVAL;
-    assert!(tracker.apply_stored_refusal(FATAL, 3, Span::millis(1), RETENTION, newer), "it was refused again since");
+    assert!(
+        tracker.apply_stored_refusal(FATAL, 3, Span::millis(1), RETENTION, newer),
+        "the request was refused again since"
+    );
 }
 
 #[test]
@@ -283,7 +289,7 @@
     let mut tracker = CrashTracker::default();
     let now = crash_replicas(&mut tracker, &[FATAL], &["a", "b"], START);
     assert!(matches!(tracker.verdict(FATAL, 1, true, now), Verdict::Refused(_)));
-    assert!(is_isolated(&mut tracker, FATAL, now), "it hears others again");
+    assert!(is_isolated(&mut tracker, FATAL, now), "the daemon hears others again");
 }
 
 #[test]
@@ -302,7 +308,7 @@
         assert!(notes.len() <= 8, "{} notes", notes.len());
         sent.extend(notes.into_iter().map(|note| note.content));
     }
-    assert_eq!(sent.len(), 80, "none is told twice before all were");
+    assert_eq!(sent.len(), 80, "no record is sent twice before all were sent");
 }
 
 #[test]
--- a/crates/core/tests/endings/setting.rs
+++ b/crates/core/tests/endings/setting.rs
@@ -1,49 +1,49 @@
-//! What an emulation plays: how many daemons, engines and requests, and what goes wrong.
+//! Parameters of a simulation: numbers of daemons, engines and requests, and the faults.
 
 use dahliaseam_core::time::Span;
 
-/// What plays.
+/// Parameters of one simulation run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub daemons: usize,
     pub engines: usize,
-    /// Requests that end engines.
+    /// Number of requests that crash the engines that run them.
     pub fatal_requests: usize,
-    /// Callers that send each of them, at once.
+    /// Callers that send each fatal request at the same time.
     pub callers_per_fatal: usize,
-    /// Part of the messages that are lost.
+    /// Share of messages lost.
     pub message_loss: f64,
-    /// Time between two starts anew of a daemon, drawn at random.
+    /// Mean time between two restarts of a daemon chosen at random.
     pub restart_every: Option<Span>,
-    /// A daemon that neither tells nor hears, while its callers still come.
+    /// Whether one daemon neither sends nor receives messages, while it still has callers.
     pub cut_off: bool,
-    /// Milliseconds after which a request that ends engines comes again.
+    /// Range of milliseconds after which the caller of a fatal request retries.
     pub fatal_retry_ms: (u64, u64),
-    /// Queries of others a second.
+    /// Rate of harmless queries.
     pub queries_per_second: f64,
-    /// Part of them that have one of ten contents, as look-ups of popular things without a body do.
+    /// Share of the queries that have one of ten contents, such as popular look-ups without a body.
     pub popular_share: f64,
-    /// Requests that others make until they give up, and the milliseconds until the next.
+    /// Attempts of a harmless caller until it gives up, and the range of milliseconds between them.
     pub query_attempts: (usize, (u64, u64)),
-    /// Engines that end by themselves.
+    /// Engine crashes that no request causes.
     pub outage: Outage,
-    /// Whether requests under which two engines ended are kept apart.
+    /// Whether requests during which two engines crashed are isolated.
     pub isolate_suspects: bool,
-    /// Whether only one of them runs at a time at each daemon where it is in doubt which to blame.
+    /// Whether each daemon runs an ambiguous request only once at a time.
     pub run_trials: bool,
     pub duration: Span,
 }
 
-/// How engines end by themselves.
+/// Pattern of engine crashes that no request causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
     None,
-    /// A third of them at the same moment, twice.
+    /// A third of the engines at the same moment, twice.
     Rack,
-    /// All, one after the other, 80 ms apart.
+    /// All engines, one after the other, 80 ms apart.
     Rolling,
-    /// The same two again and again, whenever they are back.
+    /// The same two engines again and again, whenever they are back.
     Flap,
 }
 
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -1,9 +1,9 @@
-//! Daemons, engines and callers without a network, where some requests end the engines that run them.
+//! Simulation of daemons, engines and callers without a network, where some requests crash the engines that run them.
 //!
-//! The figures are those seen: twelve engines of 48 slots; queries that take 20 to 120 ms and have two tries at
-//! each of their caller's two requests; chats that take three to ten seconds; a request that ends an engine 40 to 130 ms
-//! after it begins there, and comes again 30 to 150 ms after its answer, at any daemon; engines that are back
-//! after 2.5 to 3.5 s. Messages take 2 to 12 ms.
+//! The figures are those observed: twelve engines of 48 slots; queries that take 20 to 120 ms, whose callers make two
+//! attempts with two tries at engines each; chats that take three to ten seconds; a fatal request that crashes an
+//! engine 40 to 130 ms after it starts there, and is retried 30 to 150 ms after its answer, at any daemon; engines
+//! that are back after 2.5 to 3.5 s. Messages take 2 to 12 ms.
 
 use std::collections::HashMap;
 
@@ -20,42 +20,41 @@
 
 use crate::setting::{Outage, Scenario};
 
-/// Time from the third end on in which all daemons must know.
+/// Time after the third crash in which all daemons must know of the request.
 pub const REPORT_BOUND: Span = Span::millis(3_000);
-/// Daemons up to which all tell all.
+/// Maximum number of daemons that all report to each other.
 const MAX_FULL_MESH_DAEMONS: usize = 24;
-/// Halls of a larger deployment.
+/// Number of halls of a larger deployment.
 const HALLS: usize = 3;
-/// Time between two messages for each daemon that is told, and at least.
+/// Time between two messages of a daemon for each of its peers, but at least [`MIN_SEND_INTERVAL_US`].
 const SEND_INTERVAL_PER_PEER_US: u64 = 1_000;
-/// See [`SEND_INTERVAL_PER_PEER_US`].
+/// Minimum time between two messages of a daemon.
 const MIN_SEND_INTERVAL_US: u64 = 10_000;
-/// Time between two messages of one hall to another.
+/// Time between two summaries from one hall to another.
 const HALL_SUMMARY_INTERVAL: Span = Span::millis(20);
-/// Time until a daemon knows that a replica ended.
+/// Time until a daemon knows that a replica crashed.
 const DETECTION_DELAY: Span = Span::millis(5);
-/// Time from a daemon's first message until it takes callers: it reads the configuration, and the balancer asks it
-/// once.
+/// Time from a daemon's first message until it accepts callers: it reads the configuration, and the load balancer
+/// probes it once.
 const STARTUP_TIME: Span = Span::millis(50);
-/// Contents that many callers ask for.
+/// Number of contents that many callers request.
 const POPULAR_CONTENTS: u64 = 10;
-/// Slots of an engine.
 const SLOTS_PER_ENGINE: usize = 48;
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Sends of each request that ends engines, later than the bound after its third end.
+    /// Sends of each fatal request later than [`REPORT_BOUND`] after its third crash.
     pub late_sends: Vec<usize>,
-    /// Engines that ended under each.
+    /// Engines that each fatal request crashed.
     pub crashes: Vec<usize>,
-    /// Requests of others.
+    /// Harmless requests.
     pub other_requests: usize,
-    /// Of these, how many lost an engine three times.
+    /// Harmless requests that lost an engine three times.
     pub lost_three_engines: usize,
-    /// Refusals of others as if they ended engines.
+    /// Refusals of harmless requests.
     pub wrongly_refused: usize,
-    /// Milliseconds for which one of them was refused, at most.
+    /// Longest refusal of a harmless request, in milliseconds.
     pub longest_refusal_ms: u64,
 }
 
@@ -66,14 +65,14 @@
     Chat,
 }
 
-/// A caller's request, over all its tries.
+/// A caller's request, over all its attempts.
 #[derive(Clone, Debug)]
 struct CallerRequest {
     kind: Kind,
     content: ContentHash,
-    /// Tries that its caller has left, this one included.
+    /// Attempts that its caller has left, including this one.
     attempts_left: usize,
-    /// Tries at engines in this one.
+    /// Tries at engines in this attempt.
     tries: usize,
     engines_lost: usize,
 }
@@ -107,13 +106,13 @@
     now: Time,
     daemons: Vec<CrashTracker>,
     next_send_at: Vec<Time>,
-    /// Until when a daemon that starts takes no callers.
+    /// Time until which a daemon that is starting accepts no callers.
     down_until: Vec<Time>,
     engines: Vec<Engine>,
     runs: Vec<Run>,
-    /// Requests that come at a time.
+    /// Future requests and the times at which they arrive.
     arrivals: Vec<(Time, CallerRequest)>,
-    /// Ends that a daemon is about to see.
+    /// Crashes that a daemon has yet to detect.
     detections: Vec<(Time, usize, ContentHash, String)>,
     messages: Vec<Message>,
     third_crash: HashMap<usize, Time>,
@@ -213,7 +212,7 @@
         }
     }
 
-    /// A daemon has a request, anew or after a try.
+    /// Handle a request at a daemon, on arrival or after a failed try.
     fn handle_request(&mut self, mut request: CallerRequest, daemon: usize) {
         let cut_off = self.scenario.cut_off && daemon == 0 && self.scenario.daemons > 1;
         let daemons = if cut_off { 1 } else { self.scenario.daemons };
@@ -273,7 +272,7 @@
         self.schedule_retry(request);
     }
 
-    /// Its caller got an answer that is no success, and may come again.
+    /// The caller got an unsuccessful answer and may retry.
     fn schedule_retry(&mut self, mut request: CallerRequest) {
         request.attempts_left -= usize::from(request.attempts_left != usize::MAX);
         request.tries = 0;
@@ -315,7 +314,7 @@
         }
     }
 
-    /// An engine ends; each daemon sees it by the requests that it has there.
+    /// Crash an engine; each daemon detects it by the requests that it has there.
     fn crash_engine(&mut self, engine: usize) {
         let replica = self.replica_id(engine);
         let lost: Vec<Run> = self.runs.extract_if(.., |run| run.engine == engine).collect();
@@ -330,13 +329,13 @@
             if !matches!(request.kind, Kind::Fatal(_)) && request.engines_lost == 3 {
                 self.outcome.lost_three_engines += 1;
             }
-            // A chat is not tried again by its daemon.
+            // A daemon does not retry a chat.
             let max_tries = if request.kind == Kind::Chat { 1 } else { 2 };
             if request.tries < max_tries { self.recheck(request, run.daemon) } else { self.schedule_retry(request) }
         }
     }
 
-    /// It stays with its daemon, which looks at the replica first.
+    /// The request stays at its daemon, which first checks the replica.
     fn recheck(&mut self, request: CallerRequest, daemon: usize) {
         let at = self.now + DETECTION_DELAY;
         self.runs.push(Run { request, daemon, engine: usize::MAX, ends_at: at });
@@ -383,7 +382,7 @@
         if self.rng.random_bool(1_000.0 / interval.0 as f64) {
             let daemon = self.rng.random_range(0..self.scenario.daemons);
             self.daemons[daemon] = CrashTracker::default();
-            // Its first message tells its mates that it is new; it takes callers some time after that.
+            // Its first message tells its peers that it is new. It accepts callers some time later.
             let halls = self.halls();
             let peers = (0..self.scenario.daemons).filter(|peer| peer % halls == daemon % halls && *peer != daemon);
             for peer in peers.collect::<Vec<_>>() {
@@ -410,7 +409,7 @@
             let notes = self.daemons[daemon].due_notes(Recipients::HallPeers, self.scenario.daemons, self.now);
             self.send(daemon, &peers, &notes, false, false);
         }
-        // The first daemon of each hall sums it up for the others.
+        // The first daemon of each hall sends the summary of the hall to the others.
         if halls > 1 && (self.now.0 / 1_000).is_multiple_of(HALL_SUMMARY_INTERVAL.as_millis()) {
             for hall in 0..halls {
                 let notes = self.daemons[hall].due_notes(Recipients::OtherHalls, self.scenario.daemons, self.now);
--- a/crates/core/tests/engine_model.rs
+++ b/crates/core/tests/engine_model.rs
@@ -1,4 +1,4 @@
-//! What is learned of engines: four very different ones, idle and loaded.
+//! The learned performance model, for four very different engines, idle and loaded.
 
 use dahliaseam_core::{
     fleet::engine::{
@@ -13,7 +13,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// How an engine really reads: milliseconds of each read, of a thousand tokens, of a million pairs.
+/// True prefill time of an engine: milliseconds per prefill, per thousand tokens and per million pairs.
 #[derive(Clone, Copy, Debug)]
 struct Engine {
     name: &'static str,
@@ -35,17 +35,17 @@
     }
 }
 
-/// Prompts from a hundred to forty thousand tokens, small ones the most.
+/// A prompt of a hundred to forty thousand tokens, with small ones most frequent.
 fn random_work(rng: &mut SmallRng) -> PrefillWork {
     let size = |rng: &mut SmallRng| 10_f64.powf(rng.random_range(2.0..4.6)) as u32;
     PrefillWork { uncached: size(rng), cached: if rng.random_bool(0.5) { size(rng) } else { 0 } }
 }
 
-/// Milliseconds of a read up to which an error counts as a part of this: timers are no finer, and
-/// no decision hangs on less.
+/// Minimum milliseconds that an error is relative to: timers are no finer, and no decision depends on shorter
+/// prefills.
 const MIN_ERROR_BASE_MS: f64 = 5.0;
 
-/// Relative errors of predictions after a hundred observations, sorted.
+/// Relative errors of 500 predictions after a hundred observations, sorted.
 fn errors(engine: &Engine, queued_share: f64, seed: u64) -> Vec<f64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut model = PrefillTime::default();
@@ -66,7 +66,7 @@
     errors
 }
 
-/// The median error and that of 95 in 100 stay below these bounds, for each engine and draw.
+/// Asserts bounds on the median and the 95th percentile of the error, for each engine and seed.
 fn assert_errors_below(median: f64, p95: f64, queued_share: f64) {
     for engine in &ENGINES {
         for seed in 0..5 {
@@ -124,12 +124,12 @@
     let engine = ENGINES[2];
     let mut rng = SmallRng::seed_from_u64(3);
     let mut old = EngineModel::default();
-    assert_eq!(old.learned(), None, "nothing is shared before anything is learned");
+    assert_eq!(old.learned(), None, "there is nothing to report before the first observation");
     for _ in 0..60 {
         let work = random_work(&mut rng);
         old.prefill.learn(work, Span::seconds(engine.duration_ms(work) / 1e3));
     }
-    let learned = old.learned().expect("it has learned");
+    let learned = old.learned().expect("there are observations");
     let mut new = EngineModel::default();
     new.adopt(&learned);
     let work = PrefillWork { uncached: 5_000, cached: 10_000 };
@@ -166,7 +166,7 @@
 fn answer_pace_is_learned_by_load_and_by_engine() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut pace = AnswerPace::default();
-    // Two usual engines and one that takes 1.3 times as long, which has more answers than they.
+    // Two usual engines, and one that takes 1.3 times as long and has more answers.
     let (speeds, max) = ([1.0, 1.0, 1.3], [60, 60, 90]);
     let mut slowness = [1.0; 3];
     for n in 0..2_000 {
@@ -197,8 +197,8 @@
     assert_eq!(max_events(&pace, 12_000), Some(100.0));
     assert_eq!(max_events(&pace, 6_000), Some(50.0));
     pace.learn_ongoing(200, 12_000);
-    assert_eq!(max_events(&pace, 12_000), None, "one goes on that is longer than any that ended");
-    assert_eq!(pace.max_events(12_000, true).map(f64::round), Some(200.0), "no answer can be under way for longer");
+    assert_eq!(max_events(&pace, 12_000), None, "an answer in progress is longer than any finished one");
+    assert_eq!(pace.max_events(12_000, true).map(f64::round), Some(200.0), "no longer answer can be in progress");
     pace.learn_finished(210, 12_000);
     assert_eq!(max_events(&pace, 12_000), Some(210.0));
 }
@@ -209,26 +209,26 @@
     let mut pace = AnswerPace::default();
     pace.learn_finished(200, 12_000);
     for _ in 0..2_000 {
-        // 60 tokens are an event, and nine of ten answers are no longer than 1.8 times the guess.
+        // An event has 60 tokens, and nine in ten answers are no longer than 1.8 times the guess.
         let guess = rng.random_range(600..6_000);
         let factor = rng.random_range(0.0..2.0);
         pace.learn_guess((f64::from(guess) / 60.0 * factor) as u64, Some(guess));
     }
     let likely = |output, guess| {
         let prompt = Prompt::new("m", std::iter::empty(), 100, output).with_guess(guess);
-        pace.likely_max_events(&prompt, false).expect("it is known")
+        pace.likely_max_events(&prompt, false).expect("the event limit is known")
     };
     let guessed = likely(12_000, Some(3_000));
-    assert!((80.0..100.0).contains(&guessed), "{guessed} for 50 guessed");
+    assert!((80.0..100.0).contains(&guessed), "{guessed} events for a guess of 50");
     for max in [likely(12_000, Some(60_000)), likely(12_000, None)] {
-        assert!((max - 200.0).abs() < 0.1, "{max}: no more than it can have");
+        assert!((max - 200.0).abs() < 0.1, "{max}: no more than the maximum");
     }
 }
 
-/// Seen in a soak whose prompts are all of one size: within 300 ms hand-overs that took 20 ms were expected to
-/// take 2,071 ms, and everything was refused as too late until the end. What cannot be told apart by such
-/// observations grew uncertain without bound in one direction but was cut in each term alone, so that
-/// weights moved away from what was observed.
+/// Guards against a fit that diverges when all observations have the same size, as in a soak whose prompts were all of
+/// one size: within 300 ms transfers that took 20 ms were predicted to take 2,071 ms, and everything was refused as
+/// too late until the end. Such observations cannot separate the weights, so the uncertainty grew without bound in one
+/// direction while each weight was clipped alone, which moved the weights away from the observations.
 #[test]
 fn identical_observations_keep_the_fit_stable() {
     for seed in 0..20 {
