--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -103,6 +103,7 @@
         let Some(events) = pace.max_events(long.max_output, long.lengths_known_from.is_past(now)) else {
             return true;
         };
-        replica.interval_ms(pace, replica.streams()) * events <= long.time_limit.as_millis_f64() * self.policy.answer_share
+        replica.interval_ms(pace, replica.streams()) * events
+            <= long.time_limit.as_millis_f64() * self.policy.answer_share
     }
 }
