--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -522,8 +522,8 @@
                 Err(candidates) if request.spec.deadline.is_past(now) => {
                     self.refuse(key, Refusal::TooLate, candidates, now, actions);
                 }
-                // Later requests may still fit if they are urgent or use another adapter. For a plain request a
-                // miss means that the pool is full.
+                // A miss of an urgent request, or of one that needs an adapter or avoids endpoints, says nothing
+                // about the others. Any other miss means that the pool is full.
                 Err(_) if urgent || request.spec.adapter != 0 || !request.avoided.is_empty() => {}
                 Err(_) => break,
             }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -221,8 +221,8 @@
         (answering + 1, listed.count() + 1)
     }
 
-    /// Whether a process has surely ended: it announced its leave as its last act, a later run answers in its
-    /// place, or its VM was listed by the platform and no longer is.
+    /// Whether a process has surely terminated: it announced as its last act that it leaves, a later run answers
+    /// in its place, or its VM was listed by the platform and no longer is.
     #[must_use]
     pub fn is_terminated(&self, process: &Incarnation) -> bool {
         if process.vm == self.me.vm {
@@ -410,7 +410,7 @@
         row.expires_at = match update.health {
             Health::Suspect => now + self.settings.suspicion_timeout,
             // Rows of unlisted members are kept for a while, so that late updates do not revive them and others
-            // can learn that the process has ended.
+            // can learn that the process has terminated.
             _ => now + Span(self.settings.suspicion_timeout.0 * DEAD_RETENTION_FACTOR),
         };
         let sends_left = SENDS_PER_DOUBLING * (usize::BITS - self.rows.len().leading_zeros() + 1);
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -73,7 +73,7 @@
         *counts.entry(Arc::clone(team)).or_default() += 1;
     }
 
-    /// Returns the counts to report now, for the windows from `first` to `present`; those before `over` are
+    /// Returns the counts to report now, for the windows from `first` to `present`; those before `final_before` are
     /// final. Windows without a request are included, since the leader waits for each daemon's final counts.
     #[must_use]
     pub fn unacknowledged(&self, first: u64, present: u64, final_before: u64) -> Vec<WindowCounts> {
