--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -136,12 +136,12 @@
     endpoint: EndpointKey,
     prefill: Option<EndpointKey>,
     awaiting_first_token: bool,
-    sent: Time,
+    sent_at: Time,
 }
 
 impl Placement {
     const fn of(request: &Request, endpoint: EndpointKey, prefill: Option<EndpointKey>) -> Self {
-        Self { endpoint, prefill, awaiting_first_token: !request.first_token_seen, sent: request.sent_at }
+        Self { endpoint, prefill, awaiting_first_token: !request.first_token_seen, sent_at: request.sent_at }
     }
 
     fn endpoint_at(&self, at: Site) -> EndpointKey {
@@ -302,15 +302,15 @@
     }
 
     /// Changes whether an endpoint takes new work. The returned actions stop the attempts that may be moved.
-    pub fn set_admin_state(&mut self, key: EndpointKey, duty: AdminState) -> Vec<Action> {
+    pub fn set_admin_state(&mut self, key: EndpointKey, state: AdminState) -> Vec<Action> {
         let Some(row) = self.endpoints.0.get_mut(key) else {
             return Vec::new();
         };
-        if row.admin_state == duty {
+        if row.admin_state == state {
             return Vec::new();
         }
-        row.admin_state = duty;
-        match duty {
+        row.admin_state = state;
+        match state {
             AdminState::Serving => Vec::new(),
             AdminState::Draining => self.stop_movable(key),
         }
@@ -492,7 +492,7 @@
             match end {
                 AttemptEnd::Whole => {
                     row.health.record_success();
-                    learn_plain(row, now.since(placement.sent));
+                    learn_plain(row, now.since(placement.sent_at));
                 }
                 end if end.is_fault() && key == faulty => {
                     row.health.record_fault(now);
--- a/crates/core/src/predict.rs
+++ b/crates/core/src/predict.rs
@@ -76,17 +76,17 @@
     if endpoint.role == Role::Plain {
         let calls = f64::from(endpoint.window.in_flight() + 1);
         let slots = f64::from(endpoint.rates.slots.max(1));
-        let whole = endpoint.rates.step * (calls / slots).max(1.0);
-        return Prediction { first_token: whole, total: whole };
+        let total = endpoint.rates.step * (calls / slots).max(1.0);
+        return Prediction { first_token: total, total };
     }
     let at = prefill.unwrap_or(endpoint);
-    let mut first = (backlog(at, now) + uncached(at, spec)) / at.rates.prefill;
+    let mut first_token = (backlog(at, now) + uncached(at, spec)) / at.rates.prefill;
     if prefill.is_some() {
-        first += TRANSFER_BASE + TRANSFER_PER_KTOKEN * f64::from(spec.prompt_tokens) / 1_000.0;
+        first_token += TRANSFER_BASE + TRANSFER_PER_KTOKEN * f64::from(spec.prompt_tokens) / 1_000.0;
     }
-    first += slot_wait(endpoint, spec) + step(endpoint);
-    let whole = first + f64::from(remaining.saturating_sub(1)) * step(endpoint);
-    Prediction { first_token: first, total: whole }
+    first_token += slot_wait(endpoint, spec) + step(endpoint);
+    let total = first_token + f64::from(remaining.saturating_sub(1)) * step(endpoint);
+    Prediction { first_token, total }
 }
 
 /// Seconds by which the prompt of `spec` delays generation on `endpoint`, summed over its sequences.
--- a/crates/core/src/prompt.rs
+++ b/crates/core/src/prompt.rs
@@ -29,20 +29,20 @@
 impl Prompt {
     /// Creates a prompt for `model` from the identifiers and token counts of its parts.
     #[must_use]
-    pub fn new(model: &str, parts: impl Iterator<Item = (u64, u32)>, tokens: u32, output: u32) -> Self {
+    pub fn new(model: &str, parts: impl Iterator<Item = (u64, u32)>, tokens: u32, max_output: u32) -> Self {
         let mut hash = Xxh3::new();
         hash.write(model.as_bytes());
         let chained = parts.map(|(id, tokens)| {
             hash.write_u64(id);
             Part { prefix_hash: hash.finish(), tokens }
         });
-        Self { parts: chained.collect(), tokens, max_output: output, output_hint: None }
+        Self { parts: chained.collect(), tokens, max_output, output_hint: None }
     }
 
     /// Adds the caller's estimate of the answer's tokens.
     #[must_use]
-    pub const fn with_output_hint(mut self, guess: Option<u32>) -> Self {
-        self.output_hint = guess;
+    pub const fn with_output_hint(mut self, output_hint: Option<u32>) -> Self {
+        self.output_hint = output_hint;
         self
     }
 
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -51,7 +51,7 @@
         match (self.unit, prompt) {
             (Unit::Requests, _) => 1,
             (Unit::Tokens { .. }, Some(prompt)) => u64::from(prompt.tokens) + u64::from(prompt.max_output),
-            (Unit::Tokens { default_cost: plain }, None) => u64::from(plain),
+            (Unit::Tokens { default_cost }, None) => u64::from(default_cost),
         }
     }
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -158,8 +158,8 @@
     }
 
     fn next(&mut self, daemon: usize, cost: u64, mut tried: Vec<u8>) {
-        let draw = self.rng.random();
-        let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker: draw };
+        let tie_breaker = self.rng.random();
+        let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker };
         match self.clients[daemon].next_step(&need, &tried, |_| true, self.now) {
             Next::Ask(shard) => {
                 // The question may go to the present owner or to a former one.
@@ -390,11 +390,11 @@
 #[test]
 fn shard_limits_keep_window_bound_for_any_tolerance() {
     let life_s = 0.75;
-    for (over, slack, rate, burst) in
+    for (excess_share, slack, rate, burst) in
         [(0.0, 0.0, 10.0, 1.0), (0.0, 0.0, 10.0, 40.0), (0.1, 140_000.0, 36_000.0, 36_000.0), (0.5, 0.0, 0.0, 5.0)]
     {
         for unit in [Unit::Requests, Unit::Tokens { default_cost: 1 }] {
-            let tolerance = Tolerance { window: Span::millis(8_000), excess_share: over, slack };
+            let tolerance = Tolerance { window: Span::millis(8_000), excess_share, slack };
             let quota = Quota { unit, rate, burst };
             let terms = ShardTerms::split(&quota, &tolerance);
             let most = (terms.depth + terms.rate * (8.0 + life_s)) * terms.count as f64;
