--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -296,9 +296,9 @@
         cheapest(self.decode_engines().map(|(key, replica)| {
             let wait_ms = slot_wait_ms(replica, long) + replica.prefill_ms(self.now) * 0.5;
             let across = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
-            let moved = Moved { tokens: prompt.tokens, across };
-            let work_ms = engine.hand_over.work_ms(moved) + self.req.send_ms * RESEND_FACTOR;
-            let step = Step { wait_ms, work_ms, moved: Some(moved), long, ..Step::at(key) };
+            let transfer = Moved { tokens: prompt.tokens, across };
+            let work_ms = engine.hand_over.work_ms(transfer) + self.req.send_ms * RESEND_FACTOR;
+            let step = Step { wait_ms, work_ms, kv_transfer: Some(transfer), long, ..Step::at(key) };
             let cost = wait_ms
                 + work_ms
                 + self.reachability_cost_ms(replica)
@@ -317,7 +317,7 @@
             _ => (None, 0),
         };
         let held = held + copy_tokens;
-        let reading = Reading { uncached: prompt.tokens.saturating_sub(held).max(1), held };
+        let prefill = Reading { uncached: prompt.tokens.saturating_sub(held).max(1), held };
         let copy_ms = copy_from.map_or(0.0, |holder| {
             let holder = self.fleet.replicas.get(holder);
             let across = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
@@ -331,9 +331,9 @@
             // The engine works on its queue while the request is being sent.
             wait_ms: ahead_ms.max(link_ms),
             link_ms,
-            work_ms: engine.read.work_ms(reading) * decode_factor * replica.slowness(self.now) + copy_ms,
-            reading,
-            moved: None,
+            work_ms: engine.read.work_ms(prefill) * decode_factor * replica.slowness(self.now) + copy_ms,
+            prefill,
+            kv_transfer: None,
             copy_from,
             copy_tokens,
             long: false,
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -128,9 +128,9 @@
     /// The load that it is counted as.
     pub load: Load,
     /// The prompt tokens to prefill.
-    pub reading: Reading,
+    pub prefill: Reading,
     /// The KV cache to be transferred to the replica.
-    pub moved: Option<Moved>,
+    pub kv_transfer: Option<Moved>,
     /// Predicted milliseconds until it ends.
     pub expected_ms: f64,
     /// Time that this VM's link takes to send it.
@@ -296,10 +296,10 @@
         if let Some(prompt) = req.prompt.filter(|_| !plan.is_long()) {
             state.large_prompts.record(prompt.tokens, req.was_refused, admitted);
         }
-        let reading = plan.prefill_step().reading;
-        let tokens = reading.uncached + reading.held;
+        let prefill = plan.prefill_step().prefill;
+        let tokens = prefill.uncached + prefill.held;
         let request = RequestDemand {
-            prefill_ms: state.engine.read.work_ms(reading),
+            prefill_ms: state.engine.read.work_ms(prefill),
             transfer_ms: state.engine.hand_over.link_ms(Moved { tokens, across: false }),
             tokens,
             long: plan.is_long(),
@@ -341,12 +341,12 @@
         }
         let expected_ms = step.wait_ms + step.work_ms;
         let link_time = Span::seconds(step.link_ms / 1_000.0);
-        let (reading, moved) = (step.reading, step.moved);
+        let (prefill, kv_transfer) = (step.prefill, step.kv_transfer);
         Some(SentStep {
             key,
             load,
-            reading,
-            moved,
+            prefill,
+            kv_transfer,
             expected_ms,
             link_time,
             had_no_prefill,
@@ -472,7 +472,7 @@
     }
 
     /// How to treat a request, given the replicas that crashed during it.
-    pub fn standing(&mut self, content: ContentHash, now: Time) -> Standing {
+    pub fn verdict(&mut self, content: ContentHash, now: Time) -> Standing {
         let daemons = self.daemons();
         let is_cut_off = daemons == 1 && self.listed_daemons > 1;
         self.crashes.standing(content, daemons, is_cut_off, now)
@@ -504,11 +504,11 @@
         let (service, role) = (Arc::clone(&replica.facts.service), replica.facts.role);
         let took = Span(took.0.saturating_sub(sent.link_time.0));
         let engine = &mut self.service_mut(&service).engine;
-        match sent.moved {
-            Some(moved) => engine.hand_over.learn(moved, took),
+        match sent.kv_transfer {
+            Some(transfer) => engine.hand_over.learn(transfer, took),
             None if !sent.had_no_prefill => {}
-            None if role == Role::Decode => engine.read.learn_decode(sent.reading, took),
-            None => engine.read.learn(sent.reading, took),
+            None if role == Role::Decode => engine.read.learn_decode(sent.prefill, took),
+            None => engine.read.learn(sent.prefill, took),
         }
     }
 
--- a/crates/core/src/fleet/plan.rs
+++ b/crates/core/src/fleet/plan.rs
@@ -60,9 +60,9 @@
     /// Milliseconds until the request has been sent, during which the replica continues with its queue.
     pub link_ms: f64,
     /// The prompt tokens to prefill.
-    pub reading: Reading,
+    pub prefill: Reading,
     /// The KV cache to be transferred to the replica.
-    pub moved: Option<Moved>,
+    pub kv_transfer: Option<Moved>,
     /// An engine that holds more of the prompt, from which to copy it.
     pub copy_from: Option<ReplicaKey>,
     /// Number of tokens to copy from it.
@@ -82,8 +82,8 @@
             wait_ms: 0.0,
             work_ms: 0.0,
             link_ms: 0.0,
-            reading: Reading::default(),
-            moved: None,
+            prefill: Reading::default(),
+            kv_transfer: None,
             copy_from: None,
             copy_tokens: 0,
             long: false,
--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -40,7 +40,7 @@
         panic!("one engine must prefill the prompt and another decode");
     };
     assert_eq!(id(&fleet, prefill.key), "r2");
-    assert_eq!((prefill.copy_from, prefill.copy_tokens, prefill.reading.uncached), (Some(holder), 3_000, 1_000));
+    assert_eq!((prefill.copy_from, prefill.copy_tokens, prefill.prefill.uncached), (Some(holder), 3_000, 1_000));
 }
 
 #[test]
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -162,7 +162,7 @@
         let next = queue.iter().position(|prompt| !prompt.step.late).unwrap_or(0);
         let current = queue.remove(next);
         let factor = if current.decode.is_some() { 1.0 } else { 2.0 };
-        *done = Some(now + Span::seconds(actual_prefill_ms(current.step.reading) * factor / 1_000.0));
+        *done = Some(now + Span::seconds(actual_prefill_ms(current.step.prefill) * factor / 1_000.0));
         queue.insert(0, current);
     }
 
@@ -191,8 +191,8 @@
 }
 
 /// Actual duration of a prefill.
-fn actual_prefill_ms(reading: Reading) -> f64 {
-    let (uncached, held) = (f64::from(reading.uncached), f64::from(reading.held));
+fn actual_prefill_ms(prefill: Reading) -> f64 {
+    let (uncached, held) = (f64::from(prefill.uncached), f64::from(prefill.held));
     5.0 + uncached / 307.0 + 0.147 * uncached * (held + uncached / 2.0) / 1e6
 }
 
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -102,7 +102,7 @@
 }
 
 pub(crate) fn step(key: ReplicaKey, work_ms: f64, long: bool) -> Step {
-    Step { work_ms, reading: Reading { uncached: 1, held: 0 }, long, ..Step::at(key) }
+    Step { work_ms, prefill: Reading { uncached: 1, held: 0 }, long, ..Step::at(key) }
 }
 
 /// A fleet with one replica, seen from the given hall.
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -69,7 +69,7 @@
         self.trial = None;
         loop {
             let now = self.gw.now();
-            let standing = self.gw.fleet().standing(self.content, now);
+            let standing = self.gw.fleet().verdict(self.content, now);
             match standing {
                 Standing::Clear => self.apart = None,
                 Standing::Apart(apart) => self.apart = Some(apart),
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -368,7 +368,7 @@
             tokens = self.caller.prompt.as_ref().map_or(0, |prompt| prompt.tokens),
             output = self.caller.prompt.as_ref().map_or(0, |prompt| prompt.output),
             guess = self.caller.prompt.as_ref().and_then(|prompt| prompt.guess),
-            uncached = first.reading.uncached,
+            uncached = first.prefill.uncached,
             view_age_ms = fleet.peers_age_ms(now),
             daemons = fleet.daemons(),
             left_ms = self.deadline.since(now).as_millis()
