--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -179,9 +179,9 @@
 }
 
 /// Guards against prefill that delays long answers which are late already. Two decode engines have eight long answers
-/// of 200 events each; one of them takes half as long again for each event, so its answers end too late. As long as
-/// no single pause was too long, both received prompts, and each prompt took time in which those events could have
-/// been generated.
+/// each, which have reached 200 events; one of the engines takes half as long again for each event, so its answers
+/// end too late as it is. As long as no single pause was too long, both received prompts, and each prompt took time
+/// in which those events could have been generated.
 #[test]
 fn no_prefill_goes_to_an_engine_whose_long_answers_are_late() {
     let mut fleet = fleet_with(&[("usual", Role::Decode), ("slow", Role::Decode)]);
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -38,7 +38,6 @@
 const KV_CAPACITY: u64 = 305_000;
 /// Number of long answers on each decode engine.
 const ANSWERS_PER_ENGINE: usize = 20;
-/// Number of prefill engines, and of decode engines.
 const ENGINES_PER_ROLE: usize = 3;
 /// Simulated seconds.
 const SECONDS: f64 = 40.0;
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -74,7 +74,7 @@
 /// Engines, and a daemon's view of them.
 struct Simulation {
     fleet: Fleet,
-    /// Factor by which the intervals of each engine exceed the usual ones.
+    /// Intervals of each engine in proportion to the usual ones.
     slowness: Vec<f64>,
     arrivals: Arrivals,
     running: Vec<Answer>,
