--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -71,8 +71,9 @@
     /// Hash of the replica's start.
     pub replica: u32,
     /// Milliseconds of prefill.
-    pub reading_ms: u32,
-    /// The part of `reading_ms` that is processed after all other prefill.
+    #[serde(rename = "reading_ms")]
+    pub prefill_ms: u32,
+    /// The part of `prefill_ms` that is processed after all other prefill.
     pub late_ms: u32,
     /// Active requests.
     pub active: u32,
@@ -88,15 +89,17 @@
     /// Hash of the service's name.
     pub service: u32,
     /// Number of engines that prefill would keep busy.
-    pub reading: f32,
-    /// The part of `reading` that can be in time.
+    #[serde(rename = "reading")]
+    pub prefill: f32,
+    /// The part of `prefill` that can be in time.
     pub urgent: f32,
     /// Slots that answers would occupy.
     pub slots: f32,
     /// Tokens of KV cache that answers would occupy.
     pub tokens: f32,
     /// Number of engines that receiving transfers would keep busy.
-    pub moving: f32,
+    #[serde(rename = "moving")]
+    pub transfer: f32,
 }
 
 /// An engine whose role is changing.
@@ -116,11 +119,13 @@
     /// Load on each replica.
     pub loads: Vec<ReplicaLoad>,
     /// Prompts that were sent since the previous report.
-    pub reads: Vec<PromptNote>,
+    #[serde(rename = "reads")]
+    pub prompts: Vec<PromptNote>,
     /// Observed demand for each service.
     pub demands: Vec<ServiceDemand>,
     /// Engines whose role is being changed by the reporting daemons.
-    pub changing: Vec<ChangingEngine>,
+    #[serde(rename = "changing")]
+    pub role_changes: Vec<ChangingEngine>,
     /// What was learned about engines; empty in most reports.
     pub learned: Vec<ServiceLearned>,
     /// Requests during which replicas crashed.
@@ -173,10 +178,10 @@
         let learned = self.learned_report(now);
         let daemons = self.daemons();
         let requests = self.crashes.notes(Listeners::HallPeers, daemons, now);
-        let mut reads = std::mem::take(&mut self.prompt_notes);
-        reads.truncate(MAX_PROMPT_NOTES);
-        limit_parts(&mut reads);
-        self.hall_prompt_notes.extend(reads.iter().cloned());
+        let mut prompts = std::mem::take(&mut self.prompt_notes);
+        prompts.truncate(MAX_PROMPT_NOTES);
+        limit_parts(&mut prompts);
+        self.hall_prompt_notes.extend(prompts.iter().cloned());
         self.hall_prompt_notes.truncate(MAX_HALL_PROMPT_NOTES);
         self.prune_reportable(now);
         let loaded = self.reportable_replicas().map(|(_, replica)| replica);
@@ -185,9 +190,9 @@
         let demands = self.services.iter().map(|(name, state)| (short_id(name), state.demand_meter.demand(now)));
         LoadReport {
             loads: loads.collect(),
-            reads,
+            prompts,
             demands: demands.filter_map(to_service_demand).collect(),
-            changing: self.changing(now, |replica| replica.ordered_here),
+            role_changes: self.role_changes(now, |replica| replica.ordered_here),
             learned,
             requests,
             rate_limits: self.rate_limits(false, now),
@@ -222,13 +227,13 @@
             .filter_map(|(key, (load, unreachable))| Some(to_replica_load(self.replicas.get(key)?, load, unreachable)));
         let loads = loads.collect();
         let daemons = hall_peers.len() as u32 + 1;
-        let mut reads = std::mem::take(&mut self.hall_prompt_notes);
-        limit_parts(&mut reads);
+        let mut prompts = std::mem::take(&mut self.hall_prompt_notes);
+        limit_parts(&mut prompts);
         let report = LoadReport {
             loads,
-            reads,
+            prompts,
             demands: demands.into_iter().filter_map(to_service_demand).collect(),
-            changing: self.changing(now, |replica| replica.ordered_here || replica.ordered_in_hall),
+            role_changes: self.role_changes(now, |replica| replica.ordered_here || replica.ordered_in_hall),
             learned: Vec::new(),
             requests: self.crashes.notes(Listeners::Halls, daemons as usize, now),
             rate_limits: self.rate_limits(true, now),
@@ -251,15 +256,15 @@
             if let Some(peer) = self.peers.get_mut(&id.source) {
                 peer.demands = report.demands.iter().map(ServiceDemand::demand).collect();
             }
-            self.apply_role_changes(&report.changing, in_hall, now);
+            self.apply_role_changes(&report.role_changes, in_hall, now);
             limits_changed = self.apply_rate_limits(&report.rate_limits, in_hall, now);
         }
         self.apply_learned(&report.learned);
         if in_hall {
-            self.hall_prompt_notes.extend(report.reads.iter().cloned());
+            self.hall_prompt_notes.extend(report.prompts.iter().cloned());
             self.hall_prompt_notes.truncate(MAX_HALL_PROMPT_NOTES);
         }
-        for note in &report.reads {
+        for note in &report.prompts {
             let Some(key) = self.by_start_id.get(&note.replica).copied() else { continue };
             if let Some(replica) = self.replicas.get_mut(key) {
                 let parts: Vec<Part> =
@@ -359,7 +364,7 @@
         });
     }
 
-    fn changing(&self, now: Time, by: impl Fn(&Replica) -> bool) -> Vec<ChangingEngine> {
+    fn role_changes(&self, now: Time, by: impl Fn(&Replica) -> bool) -> Vec<ChangingEngine> {
         let replicas = self.reportable_replicas().map(|(_, replica)| replica);
         let changing = replicas.filter(|replica| by(replica) && !replica.role_change_until.is_past(now));
         let changing = changing.map(|replica| ChangingEngine {
@@ -370,8 +375,8 @@
         changing.collect()
     }
 
-    fn apply_role_changes(&mut self, changing: &[ChangingEngine], in_hall: bool, now: Time) {
-        for change in changing {
+    fn apply_role_changes(&mut self, changes: &[ChangingEngine], in_hall: bool, now: Time) {
+        for change in changes {
             let to = if change.to_prefill { Role::Prefill } else { Role::Decode };
             let until = now + Span::millis(u64::from(change.left_ms));
             let Some(key) = self.by_start_id.get(&change.replica).copied() else { continue };
@@ -430,7 +435,7 @@
                 continue;
             };
             let replica_load = Load {
-                prefill_ms: f64::from(load.reading_ms),
+                prefill_ms: f64::from(load.prefill_ms),
                 late_ms: f64::from(load.late_ms),
                 active: load.active,
                 streams: load.streams,
@@ -468,11 +473,11 @@
 impl ServiceDemand {
     const fn demand(&self) -> (u32, Demand) {
         let demand = Demand {
-            prefill: self.reading as f64,
+            prefill: self.prefill as f64,
             urgent: self.urgent as f64,
             slots: self.slots as f64,
             tokens: self.tokens as f64,
-            transfer: self.moving as f64,
+            transfer: self.transfer as f64,
         };
         (self.service, demand)
     }
@@ -482,13 +487,13 @@
 fn to_service_demand((service, demand): (u32, Demand)) -> Option<ServiceDemand> {
     let reported = ServiceDemand {
         service,
-        reading: demand.prefill as f32,
+        prefill: demand.prefill as f32,
         urgent: demand.urgent as f32,
         slots: demand.slots as f32,
         tokens: demand.tokens as f32,
-        moving: demand.transfer as f32,
+        transfer: demand.transfer as f32,
     };
-    (reported.reading > 0.0 || reported.slots > 0.0).then_some(reported)
+    (reported.prefill > 0.0 || reported.slots > 0.0).then_some(reported)
 }
 
 /// Drops the last notes if the parts of all notes do not fit into a message.
@@ -507,7 +512,7 @@
 fn to_replica_load(replica: &Replica, load: Load, unreachable: bool) -> ReplicaLoad {
     ReplicaLoad {
         replica: replica.start_id,
-        reading_ms: load.prefill_ms as u32,
+        prefill_ms: load.prefill_ms as u32,
         late_ms: load.late_ms as u32,
         active: load.active,
         streams: load.streams,
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -115,7 +115,7 @@
 pub(crate) fn load_at_a(active: u32) -> LoadReport {
     let load = ReplicaLoad {
         replica: short_id("a"),
-        reading_ms: 10,
+        prefill_ms: 10,
         late_ms: 0,
         active,
         streams: 0,
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -63,7 +63,7 @@
 #[test]
 fn reported_load_of_unknown_replicas_is_ignored() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
-    let unknown = ReplicaLoad { replica: 1, reading_ms: 9, late_ms: 0, active: 9, streams: 0, unreachable: false };
+    let unknown = ReplicaLoad { replica: 1, prefill_ms: 9, late_ms: 0, active: 9, streams: 0, unreachable: false };
     fleet.apply_report(report_id(1, 1), &LoadReport { loads: vec![unknown], ..LoadReport::default() }, now());
     fleet.apply_report(report_id(1, 2), &LoadReport::default(), now());
     assert_eq!(fleet.replicas().map(|(_, replica)| replica.active()).sum::<u32>(), 0);
@@ -119,7 +119,7 @@
         let prompt = Prompt::new("m", (0..60).map(|part| (n * 100 + part, 100)), 6_000, 10);
         fleet.begin(key, &step(key, 0.0, false), Some(&prompt), now());
     }
-    let parts = |report: &LoadReport| report.reads.iter().map(|note| note.parts.len()).sum::<usize>();
+    let parts = |report: &LoadReport| report.prompts.iter().map(|note| note.parts.len()).sum::<usize>();
     let own = fleet.own_report(now());
     fleet.apply_report(report_id(1, 1), &own, now());
     let (sum, _) = fleet.hall_summary(now());
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -48,8 +48,8 @@
     }
 
     /// Sends a request from one daemon if the limit lets it; it is answered immediately.
-    fn send(&mut self, at: usize, ms: u64) -> bool {
-        let fleet = &mut self.fleets[at];
+    fn send(&mut self, daemon: usize, ms: u64) -> bool {
+        let fleet = &mut self.fleets[daemon];
         let time = Self::time(ms);
         let key = fleet.key("a").expect("the replica is known");
         let knew_limit = fleet.get(key).is_some_and(|replica| replica.rate_limit().is_some());
@@ -67,8 +67,8 @@
     /// Every daemon tries to send at each tick.
     fn run(&mut self, from_ms: u64, to_ms: u64, tick_ms: u64) {
         for ms in (from_ms..to_ms).step_by(tick_ms as usize) {
-            for at in 0..self.fleets.len() {
-                self.send(at, ms);
+            for daemon in 0..self.fleets.len() {
+                self.send(daemon, ms);
             }
         }
     }
@@ -89,8 +89,12 @@
         for limit in [0.5, 1.0, 2.5, 4.4, 7.3, 11.0, 60.0] {
             let mut daemons = Daemons::new(count, limit);
             daemons.run(0, 20_000, tick_ms);
-            let most = daemons.max_in_window(CONTACT_MS);
-            assert!(most <= allowed(limit), "{count} daemons, {limit} per second: {most} of {}", allowed(limit));
+            let max_requests = daemons.max_in_window(CONTACT_MS);
+            assert!(
+                max_requests <= allowed(limit),
+                "{count} daemons, {limit} per second: {max_requests} of {}",
+                allowed(limit)
+            );
             // At least half of the limit must be used in the last ten seconds.
             let used = daemons.arrived.iter().filter(|ms| **ms >= 10_000).count();
             assert!(used as f64 >= limit * 10.0 / 2.0, "{count} daemons, {limit} per second: {used} in ten seconds");
@@ -105,8 +109,8 @@
         let mut daemons = Daemons::new(count, 10.0);
         daemons.run(0, 1_000, 20);
         daemons.run(30_000, 34_000, 20);
-        let most = daemons.max_in_window(30_000);
-        assert!(most <= allowed(10.0), "{count} daemons: {most}");
+        let max_requests = daemons.max_in_window(30_000);
+        assert!(max_requests <= allowed(10.0), "{count} daemons: {max_requests}");
     }
 }
 
@@ -134,8 +138,12 @@
             }
             listed = next;
         }
-        let most = daemons.max_in_window(CONTACT_MS);
-        assert!(most <= allowed(limit), "seed {seed}, {limit} per second: {most} of {}", allowed(limit));
+        let max_requests = daemons.max_in_window(CONTACT_MS);
+        assert!(
+            max_requests <= allowed(limit),
+            "seed {seed}, {limit} per second: {max_requests} of {}",
+            allowed(limit)
+        );
     }
 }
 
@@ -154,8 +162,12 @@
                     daemons.send(rank, ms);
                 }
             }
-            let most = daemons.max_in_window(CONTACT_MS);
-            assert!(most <= allowed(limit), "{count} daemons, {limit} per second: {most} of {}", allowed(limit));
+            let max_requests = daemons.max_in_window(CONTACT_MS);
+            assert!(
+                max_requests <= allowed(limit),
+                "{count} daemons, {limit} per second: {max_requests} of {}",
+                allowed(limit)
+            );
         }
     }
 }
