--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -174,7 +174,7 @@
     hall: String,
     policy: FleetPolicy,
     replicas: SlotMap<ReplicaKey, Replica>,
-    /// Time from which the load of all peers is known.
+    /// Time from which the load of all peers should be known.
     warm_at: Time,
     by_id: HashMap<Arc<str>, ReplicaKey>,
     by_start_id: HashMap<u32, ReplicaKey>,
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -24,7 +24,7 @@
     time::{Span, Time},
 };
 
-/// Time without a report after which a daemon's load is dropped.
+/// Time without a load report after which a peer expires and its load no longer counts.
 pub const PEER_TIMEOUT: Span = Span::millis(1_500);
 /// Time for which a peer's failure to reach a replica counts unless it is reported again.
 const UNREACHABLE_PERIOD: Span = Span::millis(600);
@@ -50,7 +50,7 @@
     Hall(u32),
 }
 
-/// Identifies a report.
+/// Identifies a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportId {
     /// The daemons whose load it describes.
@@ -113,7 +113,7 @@
     pub left_ms: u32,
 }
 
-/// The contents of a report.
+/// The contents of a load report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Load on each replica.
@@ -160,7 +160,7 @@
     }
 }
 
-/// The last report of a daemon or a hall.
+/// The last load report of a daemon or a hall.
 #[derive(Clone, Debug)]
 pub struct PeerState {
     id: ReportId,
@@ -173,7 +173,7 @@
 }
 
 impl Fleet {
-    /// The present report of this daemon for its peers.
+    /// The present load report of this daemon for its peers.
     pub fn own_report(&mut self, now: Time) -> LoadReport {
         let learned = self.learned_report(now);
         let daemons = self.daemons();
@@ -241,7 +241,7 @@
         (report, daemons)
     }
 
-    /// Applies a report; returns the replicas whose rate limits changed.
+    /// Applies a load report; returns the replicas whose rate limits changed.
     pub fn apply_report(&mut self, id: ReportId, report: &LoadReport, now: Time) -> Vec<ReplicaKey> {
         let in_hall = id.hall == self.hall_hash;
         self.crashes.apply_notes(&report.requests, in_hall, now);
@@ -391,8 +391,7 @@
         }
     }
 
-    /// Removes daemons and halls without a report for [`PEER_TIMEOUT`]; returns the runs of the daemons that sent the
-    /// last reports.
+    /// Removes daemons and halls whose last load report has expired; returns the runs of the daemons that sent them.
     pub fn remove_expired_peers(&mut self, now: Time) -> Vec<u64> {
         let silent: Vec<ReportId> =
             self.peers.values().filter(|peer| now.since(peer.heard_at) > PEER_TIMEOUT).map(|peer| peer.id).collect();
