--- a/crates/core/src/fleet/engine/least_squares.rs
+++ b/crates/core/src/fleet/engine/least_squares.rs
@@ -21,7 +21,7 @@
 const ABSOLUTE_NOISE_MS: f64 = 2.0;
 
 /// Number of observations after which the weights of others are no longer adopted.
-const MIN_OBSERVATIONS: u32 = 30;
+const ADOPTION_LIMIT: u32 = 30;
 
 /// Weights of `N` features.
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +58,7 @@
 
     /// Adopt weights from more than twice as many observations while this fit has few; returns whether it did.
     pub(super) fn adopt(&mut self, observations: u32, weights: [f32; N]) -> bool {
-        if self.observations >= MIN_OBSERVATIONS || observations <= self.observations.saturating_mul(2) {
+        if self.observations >= ADOPTION_LIMIT || observations <= self.observations.saturating_mul(2) {
             return false;
         }
         self.weights = weights.map(f64::from);
