--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -11,7 +11,8 @@
 //! - After three crashes a request is refused, unless the case is ambiguous. It is ambiguous if other requests
 //!   explain the crashes as well: one that ran on all of these replicas, or several with at least two crashes each.
 //!   It is also ambiguous if other replicas crashed at about the same time without an explanation, as when a rack
-//!   fails. An ambiguous request runs again, one run at a time (a trial), and is refused after five crashes.
+//!   fails. An ambiguous request runs again, one run at a time at each daemon (a trial), and is refused after five
+//!   crashes.
 //! - The crashes of a request that was refused unambiguously count little against others.
 //!
 //! A crash is any end of a replica that was running requests, whatever the cause. Records and refusals expire
