--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -40,7 +40,7 @@
         panic!("one engine must prefill the prompt and another decode");
     };
     assert_eq!(id(&fleet, prefill.key), "r2");
-    assert_eq!((prefill.copy_from, prefill.copy_tokens, prefill.reading.uncached), (Some(holder), 3_000, 1_000));
+    assert_eq!((prefill.copy_from, prefill.copy_tokens, prefill.prefill.uncached), (Some(holder), 3_000, 1_000));
 }
 
 #[test]
@@ -138,18 +138,19 @@
     let service: Arc<str> = Arc::from(SERVICE);
     let prompt = Prompt::new("m", [(10, 12_000)].into_iter(), 12_000, 1);
     let never_refused = RouteRequest { may_refuse: false, ..req(Some(&prompt), &[]) };
-    let (reader, key) = (fleet.key("r").expect("the replica is known"), fleet.key("w").expect("the replica is known"));
+    let (prefill_engine, key) =
+        (fleet.key("r").expect("the replica is known"), fleet.key("w").expect("the replica is known"));
     fleet.begin(key, &step(key, 0.0, false), None, now());
-    fleet.begin(reader, &step(reader, 500.0, false), None, now());
-    let is_whole = |fleet: &Fleet| matches!(fleet.choose(&never_refused, now()), Ok(Plan::Single(_)));
+    fleet.begin(prefill_engine, &step(prefill_engine, 500.0, false), None, now());
+    let is_single = |fleet: &Fleet| matches!(fleet.choose(&never_refused, now()), Ok(Plan::Single(_)));
     fleet.set_max_pause(&service, Some(Span::millis(200)));
-    assert!(!is_whole(&fleet), "the prompt must wait for the prefill engine");
+    assert!(!is_single(&fleet), "the prompt must wait for the prefill engine");
     fleet.set_max_pause(&service, Some(Span::millis(2_000)));
-    assert!(is_whole(&fleet));
+    assert!(is_single(&fleet));
     // Without a prefill engine, the prompt is served rather than refused at every attempt.
     fleet.set_max_pause(&service, Some(Span::millis(200)));
     fleet.mark_removed("r", 2, now());
-    assert!(is_whole(&fleet));
+    assert!(is_single(&fleet));
 }
 
 #[test]
@@ -178,27 +179,27 @@
 }
 
 /// Guards against prefill that delays long answers which are late already. Two decode engines have eight long answers
-/// of 200 events each; one of them takes half as long again for each event, so its answers end too late. As long as
-/// no single pause was too long, both received prompts, and each prompt took time in which those events could have
-/// been generated.
+/// each, which have reached 200 events; one of the engines takes half as long again for each event, so its answers
+/// end too late as it is. As long as no single pause was too long, both received prompts, and each prompt took time
+/// in which those events could have been generated.
 #[test]
 fn no_prefill_goes_to_an_engine_whose_long_answers_are_late() {
     let mut fleet = fleet_with(&[("usual", Role::Decode), ("slow", Role::Decode)]);
     fleet.set_max_pause(&Arc::from(SERVICE), Some(Span::millis(2_000)));
     let long = Prompt::new("m", [(1, 100)].into_iter(), 100, 12_000);
     let caller = RouteRequest { time_left: Span::millis(15_000), ..req(Some(&long), &[]) };
-    let mut under_way = Vec::new();
+    let mut active_steps = Vec::new();
     for (id, interval_ms) in [("usual", 60), ("slow", 90)] {
         let key = fleet.key(id).expect("the replica is known");
         let step = Step { long: true, ..Step::at(key) };
         fleet.record_demand(&Arc::from(SERVICE), &caller, &Plan::Single(step), true, now());
         for _ in 0..8 {
             let sent = fleet.begin(key, &step, Some(&long), now()).expect("the replica is known");
-            under_way.push((sent, Span::millis(interval_ms * 10)));
+            active_steps.push((sent, Span::millis(interval_ms * 10)));
         }
     }
     for total in 100..200 {
-        for (sent, took) in &under_way {
+        for (sent, took) in &active_steps {
             fleet.learn_stream(sent, &StreamPart { events: 10, total, took: *took, ..StreamPart::default() });
         }
     }
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -102,7 +102,7 @@
 }
 
 pub(crate) fn step(key: ReplicaKey, work_ms: f64, long: bool) -> Step {
-    Step { work_ms, reading: PrefillWork { uncached: 1, cached: 0 }, long, ..Step::at(key) }
+    Step { work_ms, prefill: PrefillWork { uncached: 1, cached: 0 }, long, ..Step::at(key) }
 }
 
 /// A fleet with one replica, seen from the given hall.
@@ -115,7 +115,7 @@
 pub(crate) fn load_at_a(active: u32) -> LoadReport {
     let load = ReplicaLoad {
         replica: short_id("a"),
-        reading_ms: 10,
+        prefill_ms: 10,
         late_ms: 0,
         active,
         streams: 0,
