--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -51,7 +51,7 @@
 }
 
 impl Clients {
-    /// The client for requests that may or may not be repeated.
+    /// The client for requests of a kind, by whether they may be repeated.
     #[must_use]
     pub const fn for_kind(&self, repeatable: bool) -> &HttpClient {
         if repeatable { &self.reused } else { &self.fresh }
--- a/crates/daemon/src/listener.rs
+++ b/crates/daemon/src/listener.rs
@@ -101,7 +101,7 @@
     for stream in accept_pending(listener) {
         server.spawn_connection(stream);
     }
-    // The next step closes connections on which nothing has been read yet.
+    // Wait for first requests, since the next step closes connections on which nothing has been read yet.
     tokio::time::sleep(FINAL_READ_TIME).await;
     server.graceful.shutdown().await;
 }
--- a/crates/daemon/tests/delivery.rs
+++ b/crates/daemon/tests/delivery.rs
@@ -33,7 +33,7 @@
         let polled = std::future::poll_fn(|cx| Poll::Ready(stopped.as_mut().poll(cx))).await;
         assert!(polled.is_pending(), "the caller's queue is full");
     }
-    assert_eq!(assembly.delivered(), 1, "the next attempt goes on with the second");
+    assert_eq!(assembly.delivered(), 1, "the next attempt resumes with the second piece");
     let first = rx.recv().await;
     assert!(matches!(first, Some(Piece::Text(text, 1)) if text == "first "));
     assert_eq!(deliver(&mut assembly, &mark(1), "second ".to_owned(), &tx).await, Ok(Verdict::Deliver));
