--- a/crates/border/src/dialect.rs
+++ b/crates/border/src/dialect.rs
@@ -26,7 +26,7 @@
     /// Its identifier, which an answer must repeat.
     pub id: String,
     /// How long the caller waits, if it says so.
-    pub patience: Option<Span>,
+    pub timeout: Option<Span>,
     /// The prompt, if it names one.
     pub prompt: Option<Prompt>,
     /// The last event that the caller already has, of a stream that it resumes.
@@ -44,14 +44,14 @@
         copy_from: Option<SocketAddr>,
     },
     /// Only read its prompt and keep that in memory.
-    Read {
+    Prefill {
         /// An endpoint that holds more of the prompt, to copy that from.
         copy_from: Option<SocketAddr>,
     },
     /// Answer it from a prompt that another endpoint has read.
-    Continue {
+    Decode {
         /// The endpoint that read it.
-        reader: SocketAddr,
+        prefill_address: SocketAddr,
         /// The name of the memory there.
         handle: String,
     },
@@ -80,7 +80,7 @@
 
 /// Whether an endpoint ran a request that it answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Run {
+pub enum RunStatus {
     /// It did, or nothing says that it did not.
     MayHaveRun,
     /// It vouches that it did not.
@@ -95,7 +95,7 @@
     /// The request that it answers.
     pub request_id: Option<String>,
     /// Whether the request ran.
-    pub run: Run,
+    pub run: RunStatus,
     /// Whether it carries the endpoint's proof of a whole answer.
     pub sealed: bool,
     /// Requests per second that the endpoint accepts from all daemons combined, or `None` if it states no limit.
@@ -130,7 +130,7 @@
 
 /// In whose name a duty that one daemon has at a time is done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DutyHolder {
+pub struct Leader {
     /// Name of the daemon.
     pub holder: String,
     /// Its fencing number.
@@ -139,7 +139,7 @@
 
 /// An order how many engines a service is to have in a hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PoolOrder {
+pub struct SizeOrder {
     /// The service.
     pub service: String,
     /// The hall.
@@ -194,7 +194,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// Unix millisecond of its start, if it says that.
-    pub born: Option<u64>,
+    pub start_time_ms: Option<u64>,
     /// Its role.
     pub role: Role,
     /// Whether an order is under way.
@@ -245,7 +245,7 @@
     /// Read the head of an endpoint's answer.
     fn answer(&self, head: &response::Parts) -> AnswerFacts;
 
-    /// Read the answer to [`Task::Read`].
+    /// Read the answer to [`Task::Prefill`].
     ///
     /// # Errors
     /// What cannot be read.
@@ -273,7 +273,7 @@
     fn ask_report(&self, replica: &ReplicaFacts) -> Result<Request<Full<Bytes>>, DecodeError>;
 
     /// Whether the platform asks for reports of usage, by the names of the duties in the settings.
-    fn asks_usage(&self, asked: &[String]) -> bool;
+    fn wants_usage_reports(&self, duties: &[String]) -> bool;
 
     /// The call that reports usage to the platform at an address.
     ///
@@ -282,12 +282,12 @@
     fn report_usage(
         &self,
         address: SocketAddr,
-        holder: &DutyHolder,
+        holder: &Leader,
         report: &Report,
     ) -> Result<Request<Full<Bytes>>, DecodeError>;
 
     /// Whether the platform takes orders for sizes, by the names of the duties in the settings.
-    fn takes_sizes(&self, asked: &[String]) -> bool;
+    fn accepts_size_orders(&self, duties: &[String]) -> bool;
 
     /// The call that orders how many engines a hall is to have.
     ///
@@ -296,8 +296,8 @@
     fn order_size(
         &self,
         address: SocketAddr,
-        holder: &DutyHolder,
-        order: &PoolOrder,
+        holder: &Leader,
+        order: &SizeOrder,
     ) -> Result<Request<Full<Bytes>>, DecodeError>;
 
     /// Read the status of an answer to a call of a duty.
--- a/crates/border/src/error.rs
+++ b/crates/border/src/error.rs
@@ -24,7 +24,7 @@
 impl CallError {
     /// Whether it is certain that the call had no effect.
     #[must_use]
-    pub const fn surely_no_effect(&self) -> bool {
+    pub const fn had_no_effect(&self) -> bool {
         !matches!(self, Self::Lost(_))
     }
 }
--- a/crates/border/src/etcd.rs
+++ b/crates/border/src/etcd.rs
@@ -17,22 +17,22 @@
 use crate::{
     error::CallError,
     http::{HttpClient, Incoming, Reuse},
-    kv::{Entry, KeyValue, LeaseId, Swap, Swapped, WatchNews, WatchStream},
+    kv::{Entry, KeyValue, LeaseId, Swap, Swapped, WatchEvent, WatchStream},
 };
 
 /// Time for one call.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Silence of a watch after which it counts as broken.
-const WATCH_SILENCE: Duration = Duration::from_secs(5);
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bytes of one watch message at most.
-const MAX_WATCH_MESSAGE: usize = 4 << 20;
+const MAX_WATCH_MESSAGE_BYTES: usize = 4 << 20;
 
 /// The adapter.
 #[derive(Debug)]
 pub struct Etcd {
     base: String,
     client: HttpClient,
-    watches: HttpClient,
+    watch_client: HttpClient,
 }
 
 impl Etcd {
@@ -42,12 +42,12 @@
         Self {
             base: format!("http://{address}/v3"),
             client: HttpClient::new(Reuse::Keep),
-            watches: HttpClient::new(Reuse::Fresh),
+            watch_client: HttpClient::new(Reuse::Fresh),
         }
     }
 
     async fn call<B: serde::de::DeserializeOwned>(&self, path: &str, body: &Value) -> Result<B, CallError> {
-        self.client.post(&format!("{}/{path}", self.base), body, CALL).await
+        self.client.post(&format!("{}/{path}", self.base), body, CALL_TIMEOUT).await
     }
 }
 
@@ -122,16 +122,20 @@
     kv: RawEntry,
 }
 
-fn decode(text: &str) -> Result<String, CallError> {
+fn decode_base64(text: &str) -> Result<String, CallError> {
     let bytes = BASE64.decode(text).map_err(|e| CallError::Lost(e.to_string()))?;
     String::from_utf8(bytes).map_err(|e| CallError::Lost(e.to_string()))
 }
 
-fn entry(raw: &RawEntry) -> Result<Entry, CallError> {
-    Ok(Entry { key: decode(&raw.key)?, value: decode(&raw.value)?, revision: raw.mod_revision.parse().unwrap_or(0) })
+fn parse_entry(raw: &RawEntry) -> Result<Entry, CallError> {
+    Ok(Entry {
+        key: decode_base64(&raw.key)?,
+        value: decode_base64(&raw.value)?,
+        revision: raw.mod_revision.parse().unwrap_or(0),
+    })
 }
 
-fn compare(swap: &Swap) -> Value {
+fn compare_op(swap: &Swap) -> Value {
     json!({
         "key": BASE64.encode(&swap.key),
         "target": "MOD",
@@ -140,7 +144,7 @@
     })
 }
 
-fn write(swap: &Swap) -> Value {
+fn write_op(swap: &Swap) -> Value {
     let key = BASE64.encode(&swap.key);
     match &swap.value {
         None => json!({ "request_delete_range": { "key": key } }),
@@ -151,7 +155,7 @@
     }
 }
 
-fn read(swap: &Swap) -> Value {
+fn read_op(swap: &Swap) -> Value {
     json!({ "request_range": { "key": BASE64.encode(&swap.key) } })
 }
 
@@ -167,12 +171,12 @@
     end
 }
 
-fn swapped(answer: &TxnAnswer, revision: i64) -> Result<Swapped, CallError> {
+fn swap_result(answer: &TxnAnswer, revision: i64) -> Result<Swapped, CallError> {
     if answer.succeeded {
         return Ok(Swapped::Done(revision));
     }
     let range = answer.responses.first().and_then(|r| r.response_range.as_ref());
-    let present = range.and_then(|r| r.kvs.first()).map(entry).transpose()?;
+    let present = range.and_then(|r| r.kvs.first()).map(parse_entry).transpose()?;
     Ok(Swapped::Differs(present))
 }
 
@@ -180,29 +184,29 @@
 impl KeyValue for Etcd {
     async fn read(&self, key: &str) -> Result<Option<Entry>, CallError> {
         let answer: RangeAnswer = self.call("kv/range", &json!({ "key": BASE64.encode(key) })).await?;
-        answer.kvs.first().map(entry).transpose()
+        answer.kvs.first().map(parse_entry).transpose()
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<Entry>, CallError> {
         let body = json!({ "key": BASE64.encode(prefix), "range_end": BASE64.encode(range_end(prefix)) });
         let answer: RangeAnswer = self.call("kv/range", &body).await?;
-        answer.kvs.iter().map(entry).collect()
+        answer.kvs.iter().map(parse_entry).collect()
     }
 
     async fn swap_each(&self, swaps: Vec<Swap>) -> Result<Vec<Swapped>, CallError> {
-        let each = |swap: &Swap| {
+        let txn_op = |swap: &Swap| {
             json!({ "request_txn": {
-                "compare": [compare(swap)], "success": [write(swap)], "failure": [read(swap)],
+                "compare": [compare_op(swap)], "success": [write_op(swap)], "failure": [read_op(swap)],
             } })
         };
-        let body = json!({ "success": swaps.iter().map(each).collect::<Vec<_>>() });
+        let body = json!({ "success": swaps.iter().map(txn_op).collect::<Vec<_>>() });
         let answer: TxnAnswer = self.call("kv/txn", &body).await?;
         let revision = answer.header.as_ref().and_then(|h| h.revision.parse().ok()).unwrap_or(0);
         let results: Vec<_> = answer
             .responses
             .iter()
             .filter_map(|r| r.response_txn.as_ref())
-            .map(|txn| swapped(txn, revision))
+            .map(|txn| swap_result(txn, revision))
             .collect::<Result<_, _>>()?;
         if results.len() != swaps.len() {
             return Err(CallError::Lost("an answer of another length".to_owned()));
@@ -212,8 +216,8 @@
 
     async fn swap_all(&self, swaps: Vec<Swap>) -> Result<bool, CallError> {
         let body = json!({
-            "compare": swaps.iter().map(compare).collect::<Vec<_>>(),
-            "success": swaps.iter().map(write).collect::<Vec<_>>(),
+            "compare": swaps.iter().map(compare_op).collect::<Vec<_>>(),
+            "success": swaps.iter().map(write_op).collect::<Vec<_>>(),
         });
         let answer: TxnAnswer = self.call("kv/txn", &body).await?;
         Ok(answer.succeeded)
@@ -241,8 +245,8 @@
         let req = Request::post(format!("{}/watch", self.base))
             .body(Full::from(Bytes::from(body.to_string())))
             .map_err(|e| CallError::NotSent(e.to_string()))?;
-        let resp = self.watches.send(req).await?;
-        let state = Watch { body: resp.into_body(), buf: BytesMut::new(), ready: Vec::new() };
+        let resp = self.watch_client.send(req).await?;
+        let state = Watch { body: resp.into_body(), buf: BytesMut::new(), pending: Vec::new() };
         Ok(stream::try_unfold(state, Watch::next).boxed())
     }
 }
@@ -251,21 +255,21 @@
 struct Watch {
     body: Incoming,
     buf: BytesMut,
-    ready: Vec<WatchNews>,
+    pending: Vec<WatchEvent>,
 }
 
 impl Watch {
-    async fn next(mut self) -> Result<Option<(WatchNews, Self)>, CallError> {
+    async fn next(mut self) -> Result<Option<(WatchEvent, Self)>, CallError> {
         loop {
-            if let Some(news) = self.ready.pop() {
-                return Ok(Some((news, self)));
+            if let Some(event) = self.pending.pop() {
+                return Ok(Some((event, self)));
             }
             if let Some(end) = self.buf.iter().position(|b| *b == b'\n') {
                 let line = self.buf.split_to(end + 1);
-                self.ready = parse_watch(&line)?;
+                self.pending = parse_watch_message(&line)?;
                 continue;
             }
-            let frame = tokio::time::timeout(WATCH_SILENCE, self.body.frame())
+            let frame = tokio::time::timeout(WATCH_IDLE_TIMEOUT, self.body.frame())
                 .await
                 .map_err(|_| CallError::Lost("the watch is silent".to_owned()))?;
             let Some(frame) = frame else { return Ok(None) };
@@ -273,7 +277,7 @@
             if let Ok(data) = frame.into_data() {
                 self.buf.extend_from_slice(&data);
             }
-            if self.buf.len() > MAX_WATCH_MESSAGE {
+            if self.buf.len() > MAX_WATCH_MESSAGE_BYTES {
                 return Err(CallError::Lost("a watch message is too large".to_owned()));
             }
         }
@@ -281,10 +285,10 @@
 }
 
 /// The news in one message, the latest first.
-fn parse_watch(line: &[u8]) -> Result<Vec<WatchNews>, CallError> {
+fn parse_watch_message(line: &[u8]) -> Result<Vec<WatchEvent>, CallError> {
     let answer: WatchAnswer = serde_json::from_slice(line).map_err(|e| CallError::Lost(e.to_string()))?;
     if answer.result.events.is_empty() {
-        return Ok(vec![WatchNews::Alive]);
+        return Ok(vec![WatchEvent::Alive]);
     }
     answer
         .result
@@ -292,8 +296,8 @@
         .iter()
         .rev()
         .map(|event| match event.kind.as_str() {
-            "DELETE" => Ok(WatchNews::Gone),
-            _ => entry(&event.kv).map(WatchNews::Put),
+            "DELETE" => Ok(WatchEvent::Removed),
+            _ => parse_entry(&event.kv).map(WatchEvent::Put),
         })
         .collect()
 }
--- a/crates/border/src/feed.rs
+++ b/crates/border/src/feed.rs
@@ -47,12 +47,12 @@
 /// A key-value service whose changes can be followed.
 #[async_trait]
 pub trait ChangeFeed: Debug + Send + Sync {
-    /// Read all keys that begin with `prefix`, no older than this call unless it `may_be_old`: such
+    /// Read all keys that begin with `prefix`, no older than this call unless it `allow_stale`: such
     /// a read costs less and may be some seconds behind, so that the changes since must be followed.
     ///
     /// # Errors
     /// Why there is no answer.
-    async fn snapshot(&self, prefix: &str, may_be_old: bool) -> Result<Snapshot, CallError>;
+    async fn snapshot(&self, prefix: &str, allow_stale: bool) -> Result<Snapshot, CallError>;
 
     /// Ask at the lowest cost whether the service answers at all.
     ///
--- a/crates/border/src/kv.rs
+++ b/crates/border/src/kv.rs
@@ -46,17 +46,17 @@
 
 /// A change that a watch saw.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WatchNews {
+pub enum WatchEvent {
     /// The key has this entry now.
     Put(Entry),
     /// The key is gone.
-    Gone,
+    Removed,
     /// Nothing changed, and the watch is alive.
     Alive,
 }
 
 /// The news of one watch, until it breaks.
-pub type WatchStream = BoxStream<'static, Result<WatchNews, CallError>>;
+pub type WatchStream = BoxStream<'static, Result<WatchEvent, CallError>>;
 
 /// The key-value service.
 #[async_trait]
--- a/crates/border/src/once.rs
+++ b/crates/border/src/once.rs
@@ -17,16 +17,16 @@
 use crate::error::CallError;
 
 /// Bytes of an answer that are read at most.
-const MAX_ANSWER: usize = 64 << 10;
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Make one call within `limit`.
+/// Make one call within `timeout`.
 ///
 /// # Errors
 /// [`CallError::NotSent`] when no connection was made, else [`CallError::Lost`].
 pub async fn call(
     address: SocketAddr,
     req: Request<Full<Bytes>>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let not_sent = |e: &dyn std::error::Error| CallError::NotSent(e.to_string());
     let lost = |e: &dyn std::error::Error| CallError::Lost(e.to_string());
@@ -38,7 +38,7 @@
         let answer = async {
             let resp = conn.send_request(req).await.map_err(|e| lost(&e))?;
             let status = resp.status();
-            let body = Limited::new(resp.into_body(), MAX_ANSWER).collect().await;
+            let body = Limited::new(resp.into_body(), MAX_ANSWER_BYTES).collect().await;
             let body = body.map_err(|e| CallError::Lost(e.to_string()))?;
             Ok((status, body.to_bytes()))
         };
@@ -54,5 +54,5 @@
             },
         }
     };
-    tokio::time::timeout(limit, call).await.unwrap_or_else(|_| Err(CallError::Lost("no answer in time".to_owned())))
+    tokio::time::timeout(timeout, call).await.unwrap_or_else(|_| Err(CallError::Lost("no answer in time".to_owned())))
 }
--- a/crates/border/src/vms.rs
+++ b/crates/border/src/vms.rs
@@ -11,7 +11,7 @@
 };
 
 /// Time for one call.
-const CALL: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A VM as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,6 +68,6 @@
 #[async_trait]
 impl VmList for HttpVmList {
     async fn vms(&self) -> Result<Vec<ListedVm>, CallError> {
-        self.client.get(&self.url, CALL).await
+        self.client.get(&self.url, CALL_TIMEOUT).await
     }
 }
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -8,7 +8,7 @@
 
 use dahliaseam_border::{
     error::CallError,
-    kv::{Entry, Swap, Swapped, WatchNews},
+    kv::{Entry, Swap, Swapped, WatchEvent},
 };
 use dahliaseam_core::{
     hash,
@@ -113,8 +113,8 @@
         match next {
             None => return Ok(()),
             Some(Err(e)) => return Err(e),
-            Some(Ok(WatchNews::Put(entry))) => take(node, &entry, heard),
-            Some(Ok(WatchNews::Alive | WatchNews::Gone)) => node.freshness().confirm_config(heard),
+            Some(Ok(WatchEvent::Put(entry))) => take(node, &entry, heard),
+            Some(Ok(WatchEvent::Alive | WatchEvent::Removed)) => node.freshness().confirm_config(heard),
         }
     }
     Ok(())
@@ -189,7 +189,7 @@
                 return Ok(generation);
             }
             Ok(_) => {}
-            Err(e) if e.surely_no_effect() => return Err(NotAccepted::Unavailable(e.to_string())),
+            Err(e) if e.had_no_effect() => return Err(NotAccepted::Unavailable(e.to_string())),
             Err(_) => return settle(node, &token).await,
         }
     }
--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -5,7 +5,7 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-use dahliaseam_border::{http::USER_TIMEOUT, vms::ListedVm};
+use dahliaseam_border::{http::TCP_USER_TIMEOUT, vms::ListedVm};
 use dahliaseam_core::{
     custody::WaitReason,
     member::Incarnation,
@@ -93,7 +93,7 @@
     /// Whether `process` is known to be over, and long enough for its last bytes to be gone.
     pub(super) fn is_over(&self, node: &Node, process: &Incarnation) -> bool {
         let now = node.now();
-        let bound = Span(USER_TIMEOUT.as_micros() as u64 + MARGIN.0);
+        let bound = Span(TCP_USER_TIMEOUT.as_micros() as u64 + MARGIN.0);
         let lag = Span::millis(node.settings.timing.list_lag_ms);
         let (replaced, unheard) = {
             let members = node.members();
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -4,7 +4,7 @@
 
 use dahliaseam_border::{
     error::CallError,
-    http::{HttpClient, USER_TIMEOUT},
+    http::{HttpClient, TCP_USER_TIMEOUT},
     kv::{Swap, Swapped},
 };
 use dahliaseam_core::{
@@ -195,7 +195,7 @@
             Err(e) => {
                 emit!(warn, ORDER_UNANSWERED, engine = self.name, why = %e);
                 if matches!(e, CallError::Lost(_)) && spec.fencing == Fencing::Ignores {
-                    self.quiet_until = node.now() + Span(USER_TIMEOUT.as_micros() as u64);
+                    self.quiet_until = node.now() + Span(TCP_USER_TIMEOUT.as_micros() as u64);
                 }
             }
         }
--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -122,7 +122,7 @@
         node.metrics.kv_call("stand");
         let won = match node.kv.swap_all(swaps).await {
             Ok(won) => won,
-            Err(e) if e.surely_no_effect() => false,
+            Err(e) if e.had_no_effect() => false,
             // The answer is lost: this process's own token tells whether it took effect.
             Err(_) => node.kv.read(&self.holder_key).await?.is_some_and(|e| e.value == token),
         };
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -185,7 +185,7 @@
     claim: &Claim,
     held: impl Fn(i64) -> Held,
 ) -> Result<Held, NotHeld> {
-    if !error.surely_no_effect() {
+    if !error.had_no_effect() {
         emit!(warn, CLAIM_UNSETTLED, request = claim.request, why = %error);
         node.metrics.kv_call("claim_read");
         let read = tokio::time::timeout(CLAIM, node.kv.read(key)).await;
--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -47,7 +47,7 @@
     let table = gw.table().ok_or_else(|| refused(Refusal::NoConfiguration))?;
     let (route, service) = find_route(&table, &head, &caller).ok_or_else(|| refused(Refusal::NoRoute))?;
     let identity = gw.keys.authenticate(&table, &route, &caller.key, arrived).map_err(refused)?;
-    let timeout = caller.patience.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = caller.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + timeout;
     let body = read_body(gw, body, table.limits.body_bytes, deadline).await.map_err(refused)?;
     let content = content_hash(&head, &body);
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use dahliaseam_border::dialect::{Forward, Run, Task};
+use dahliaseam_border::dialect::{Forward, RunStatus, Task};
 use dahliaseam_core::{
     fleet::{
         StepEnd,
@@ -146,7 +146,7 @@
     async fn prefill_then_decode(&self, read: &Step, write: &Step) -> Result<UpstreamResponse, AttemptFailure> {
         let mut prefilled =
             self.prefill(read).await.map_err(|why| AttemptFailure { why, in_prefill: true, replica: read.key })?;
-        let task = Task::Continue { reader: prefilled.replica.address, handle: prefilled.handle.name.clone() };
+        let task = Task::Decode { prefill_address: prefilled.replica.address, handle: prefilled.handle.name.clone() };
         let mut tried = Vec::new();
         let mut retries = 0;
         let mut credit = self.credit();
@@ -269,7 +269,7 @@
         let (head, body) = resp.into_parts();
         let facts = dialect.answer(&head);
         // The headers of another replica's response do not apply to this replica.
-        if facts.run != Run::OtherReplica {
+        if facts.run != RunStatus::OtherReplica {
             self.record_rate_limit(replica, facts.rate_limit, now);
             if let Some(retry_after) = facts.retry_after {
                 self.record_retry_after(replica, retry_after);
@@ -282,14 +282,16 @@
         let id_matches = facts.request_id.as_deref().map(|id| id == self.caller.id);
         match (facts.run, id_matches) {
             (_, Some(false)) => Err(CallFailure::Lost("the response belongs to another request".to_owned())),
-            (Run::NotRun, _) => {
+            (RunStatus::NotRun, _) => {
                 drain_short_response(&self.gw, replica, body, conn).await;
                 Err(CallFailure::Rejected(head.status.as_u16()))
             }
-            (Run::OtherReplica, _) => Err(CallFailure::OtherReplica),
-            (Run::MayHaveRun, None) => Err(CallFailure::Lost("the response carries no request identifier".to_owned())),
-            (Run::MayHaveRun, Some(true)) => {
-                if !matches!(task, Task::Read { .. }) && head.status.is_success() && !facts.sealed {
+            (RunStatus::OtherReplica, _) => Err(CallFailure::OtherReplica),
+            (RunStatus::MayHaveRun, None) => {
+                Err(CallFailure::Lost("the response carries no request identifier".to_owned()))
+            }
+            (RunStatus::MayHaveRun, Some(true)) => {
+                if !matches!(task, Task::Prefill { .. }) && head.status.is_success() && !facts.sealed {
                     return Err(CallFailure::Lost("the response carries no seal of its replica".to_owned()));
                 }
                 Ok((head, body, conn))
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use dahliaseam_border::{
-    dialect::{DutyAnswer, PoolOrder},
+    dialect::{DutyAnswer, SizeOrder},
     error::CallError,
     kv::{Swap, Swapped},
     once,
@@ -85,7 +85,7 @@
     /// Address for size orders, if the platform accepts any.
     pub(super) fn size_address(&self) -> Option<SocketAddr> {
         let duties = self.settings.duties.as_ref()?;
-        self.outside.dialect.takes_sizes(&duties.asked).then_some(duties.address)
+        self.outside.dialect.accepts_size_orders(&duties.asked).then_some(duties.address)
     }
 }
 
@@ -293,7 +293,7 @@
 /// Sends one order; returns whether it is settled, that is, accepted or refused for good.
 async fn send_order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, key: &OrderKey, desired: u32) -> bool {
     let (service, hall, reclaimable) = key;
-    let order = PoolOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
+    let order = SizeOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
     let holder = lease.holder(&gw.settings.vm);
     let req = match gw.outside.dialect.order_size(address, &holder, &order) {
         Ok(req) => req,
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -12,7 +12,7 @@
 };
 
 use dahliaseam_border::{
-    dialect::DutyHolder,
+    dialect::Leader,
     error::CallError,
     kv::{LeaseId, Swap, Swapped},
 };
@@ -59,8 +59,8 @@
     }
 
     /// The holder in whose name calls are made.
-    pub(super) fn holder(&self, vm: &str) -> DutyHolder {
-        DutyHolder { holder: vm.to_owned(), fence: self.fence() }
+    pub(super) fn holder(&self, vm: &str) -> Leader {
+        Leader { holder: vm.to_owned(), fence: self.fence() }
     }
 }
 
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -135,7 +135,7 @@
     replica: &ReplicaFacts,
 ) -> Result<OrderAnswer, CallError> {
     let report = fetch_report(gw, replica).await?;
-    if report.born.is_some() && report.born != replica.start_time_ms {
+    if report.start_time_ms.is_some() && report.start_time_ms != replica.start_time_ms {
         // An order meant for the previous start of the engine does not apply to this one, whose order count started
         // again from zero.
         return Ok(OrderAnswer::OtherReplica);
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -77,7 +77,7 @@
         let margin = Span(MARGIN_PER_DAEMON.0 * self.gw.fleet().daemons() as u64);
         let overdue = self.deadline.min(self.gw.now() + predicted + PREFILL_TIMEOUT_MARGIN + margin);
         let (replica, mut in_flight) = self.begin_call(step)?;
-        let task = Task::Read { copy_from: self.copy_from(step) };
+        let task = Task::Prefill { copy_from: self.copy_from(step) };
         let call = Call { replica: &replica, task: &task, priority: self.priority(step) };
         let result = self.prefill_while_responsive(&call, overdue).await;
         match result {
@@ -130,7 +130,7 @@
         loop {
             let report = tokio::time::timeout(duration(SILENCE_TIMEOUT), orders::fetch_report(&self.gw, replica)).await;
             match report {
-                Ok(Ok(report)) if report.born.is_none() || report.born == replica.start_time_ms => {}
+                Ok(Ok(report)) if report.start_time_ms.is_none() || report.start_time_ms == replica.start_time_ms => {}
                 _ => return,
             }
             emit!(debug, READ_OVERDUE, request = self.caller.id, replica = %replica.id);
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -132,7 +132,7 @@
 /// Where and for which windows usage is reported, if the platform asks for it.
 fn usage_terms(settings: &GatewaySettings, outside: &Outside) -> Option<(SocketAddr, WindowSchedule)> {
     let duties = settings.duties.as_ref()?;
-    outside.dialect.asks_usage(&duties.asked).then(|| (duties.address, duties.windows()))
+    outside.dialect.wants_usage_reports(&duties.asked).then(|| (duties.address, duties.windows()))
 }
 
 impl Gateway {
