--- a/crates/cli/src/bin/dahliaseam/app.rs
+++ b/crates/cli/src/bin/dahliaseam/app.rs
@@ -41,7 +41,7 @@
     positional::<String>("KIND")
         .help("pools, models, adapters, versions, roles, kinds, endpoints or teams")
         .complete(move |_| known())
-        .parse(|text| ResourceKind::named(&text).ok_or("expected a kind of resource, such as pools or endpoints"))
+        .parse(|text| ResourceKind::from_name(&text).ok_or("expected a kind of resource, such as pools or endpoints"))
 }
 
 fn name() -> impl Parser<String> {
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -208,7 +208,7 @@
         .into_iter()
         .map(|r| Change { kind: r.kind, name: r.name, based_on: None, spec: Some(r.spec) })
         .collect();
-    match Document::default().changed(&changes, "check") {
+    match Document::default().with_changes(&changes, "check") {
         Ok(_) => Ok(format!("{}: {count} resources are good\n", file.display())),
         Err(Refused::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
         Err(_) => Err(CommandError::Usage("a resource stands twice".to_owned())),
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -173,7 +173,7 @@
             Some(entry) => parse(entry).map_err(NotAccepted::Unavailable)?,
             None => Document::default(),
         };
-        let next = present.changed(changes, &token).map_err(NotAccepted::Refused)?;
+        let next = present.with_changes(changes, &token).map_err(NotAccepted::Refused)?;
         let generation = next.generation;
         let swap = Swap {
             key: key(node),
@@ -203,7 +203,7 @@
         if read(node).await.is_err() {
             continue;
         }
-        if let Some(generation) = node.document().written(token) {
+        if let Some(generation) = node.document().generation_of_write(token) {
             emit!(info, CONFIG_ACCEPTED, generation);
             return Ok(generation);
         }
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -12,7 +12,7 @@
     frame::{Assembly, Verdict},
     outcome::AttemptEnd,
 };
-use dahliaseam_wire::engine::{Ask, EXTENSION, Import, Mark, NOT_RUN};
+use dahliaseam_wire::engine::{EXTENSION, FrameExtension, Import, NOT_RUN, RequestExtension};
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
 use http::{Request, Response, StatusCode, header::CONTENT_TYPE};
@@ -138,7 +138,7 @@
     assembly: &mut Assembly,
     out: &mpsc::Sender<Piece>,
 ) -> Ended {
-    let mut head = Ask {
+    let mut head = RequestExtension {
         request: ask.request.to_owned(),
         attempt: dispatch.attempt,
         priority: ask.priority,
@@ -169,8 +169,13 @@
 }
 
 /// Have `target` process the prompt, and learn where its KV cache is.
-async fn export(client: &HttpClient, ask: &EngineAsk<'_>, head: &Ask, target: &Target) -> Result<Import, AttemptEnd> {
-    let head = Ask { export: true, ..head.clone() };
+async fn export(
+    client: &HttpClient,
+    ask: &EngineAsk<'_>,
+    head: &RequestExtension,
+    target: &Target,
+) -> Result<Import, AttemptEnd> {
+    let head = RequestExtension { export: true, ..head.clone() };
     let resp = open(client, ask, &head, target).await.map_err(|ended| ended.end)?;
     let mut events = BodyDataStream::new(resp.into_body()).eventsource();
     while let Some(event) = events.next().await {
@@ -188,7 +193,7 @@
 async fn open(
     client: &HttpClient,
     ask: &EngineAsk<'_>,
-    head: &Ask,
+    head: &RequestExtension,
     target: &Target,
 ) -> Result<Response<Incoming>, Ended> {
     let mut body = ask.body.clone();
@@ -282,7 +287,7 @@
 /// If the caller takes no more.
 pub async fn deliver(
     assembly: &mut Assembly,
-    mark: &Mark,
+    mark: &FrameExtension,
     text: String,
     out: &mpsc::Sender<Piece>,
 ) -> Result<Verdict, Closed> {
@@ -302,7 +307,7 @@
 }
 
 /// A frame's mark, text and finish reason.
-fn read_frame(data: &str) -> Option<(Mark, String, String)> {
+fn read_frame(data: &str) -> Option<(FrameExtension, String, String)> {
     let value: Value = serde_json::from_str(data).ok()?;
     let mark = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
     let choice = value.get("choices").and_then(|c| c.get(0))?;
--- a/crates/daemon/src/membership/peer_server.rs
+++ b/crates/daemon/src/membership/peer_server.rs
@@ -41,7 +41,7 @@
         let me = self.node.members().contact().clone();
         let probe = Probe {
             from: me,
-            news: Vec::new(),
+            updates: Vec::new(),
             digest: dahliaseam_wire::peer::Digest::default(),
             closed_vms: Vec::new(),
             loads: Vec::new(),
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -11,7 +11,7 @@
     member::{Contact, MemberKey},
     time::{Span, Time},
 };
-use dahliaseam_wire::peer::{Answer, Digest, LoadNews, PeerClient, Probe};
+use dahliaseam_wire::peer::{Answer, Digest, EndpointLoad, PeerClient, Probe};
 use futures_util::future::join_all;
 use http::{HeaderMap, HeaderValue, header::AUTHORIZATION};
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
@@ -155,14 +155,21 @@
     let (from, mut news) = (members.contact().clone(), members.take_updates());
     news.extend(members.update_to_refute(key));
     drop(members);
-    Probe { from, news, digest: digest(node), closed_vms: node.duties.closed_vms(), loads: loads(node) }
+    Probe { from, updates: news, digest: digest(node), closed_vms: node.duties.closed_vms(), loads: loads(node) }
 }
 
 fn make_answer(node: &Node) -> Answer {
     let mut members = node.members();
     let (start, refutation, news) = (members.me().start, members.refutation(), members.take_updates());
     drop(members);
-    Answer { start, refutation, news, digest: digest(node), closed_vms: node.duties.closed_vms(), loads: loads(node) }
+    Answer {
+        start,
+        refutation,
+        updates: news,
+        digest: digest(node),
+        closed_vms: node.duties.closed_vms(),
+        loads: loads(node),
+    }
 }
 
 async fn absorb_answer(node: &Arc<Node>, key: MemberKey, address: &str, answer: Answer, asked: Time) {
@@ -170,7 +177,7 @@
     let reach = {
         let mut members = node.members();
         members.record_answer(key, answer.start, answer.refutation, now);
-        members.apply(&answer.news, now);
+        members.apply(&answer.updates, now);
         members.reachability()
     };
     take_loads(node, &answer.loads, now);
@@ -204,7 +211,7 @@
 pub fn answer_probe(node: &Arc<Node>, probe: Probe) -> Answer {
     let now = node.now();
     // An accusation must be known before the answer, which refutes it.
-    node.members().apply(&probe.news, now);
+    node.members().apply(&probe.updates, now);
     take_loads(node, &probe.loads, now);
     let answer = make_answer(node);
     // What must be fetched from the prober must not hold its answer up.
@@ -248,7 +255,7 @@
     }
 }
 
-fn loads(node: &Node) -> Vec<LoadNews> {
+fn loads(node: &Node) -> Vec<EndpointLoad> {
     let now = node.now();
     let mut fresh: Vec<_> = node
         .desk
@@ -257,7 +264,7 @@
         .filter(|(_, view)| view.load_at > Time::default() && now.since(view.load_at) < OLD_LOAD)
         .collect();
     fresh.sort_by_key(|(_, view)| std::cmp::Reverse(view.load_at));
-    let news = fresh.into_iter().take(MAX_LOADS).map(|(name, view)| LoadNews {
+    let news = fresh.into_iter().take(MAX_LOADS).map(|(name, view)| EndpointLoad {
         endpoint: dahliaseam_core::hash::bytes(name.as_bytes()),
         age_ms: now.since(view.load_at).as_millis(),
         queued_prefill: view.load.queued_prefill,
@@ -268,7 +275,7 @@
     news.collect()
 }
 
-fn take_loads(node: &Node, loads: &[LoadNews], now: Time) {
+fn take_loads(node: &Node, loads: &[EndpointLoad], now: Time) {
     for news in loads {
         let load = LoadReport {
             queued_prefill: news.queued_prefill,
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -40,7 +40,7 @@
 
 fn kind_of(name: &str) -> Result<ResourceKind, Box<Response>> {
     let known = || ResourceKind::ALL.iter().map(|k| k.plural()).collect::<Vec<_>>().join(", ");
-    ResourceKind::named(name).ok_or_else(|| {
+    ResourceKind::from_name(name).ok_or_else(|| {
         Box::new(error(StatusCode::NOT_FOUND, "not_found", format!("there are {}, not {name:?}", known())))
     })
 }
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -52,7 +52,7 @@
         let generation = self.generation.load(Ordering::SeqCst);
         // Its own copy was never confirmed, so only the majority is left to go on by.
         let digest = Digest { generation, confirmed_ms: u64::MAX, marks: 0, list_ms: u64::MAX };
-        Ok(Answer { start: 1, refutation: 0, news: vec![own], digest, closed_vms: Vec::new(), loads: Vec::new() })
+        Ok(Answer { start: 1, refutation: 0, updates: vec![own], digest, closed_vms: Vec::new(), loads: Vec::new() })
     }
 
     async fn probe_via(&self, _: Contact) -> RpcResult<Option<(u64, u32)>> {
--- a/crates/daemon/tests/delivery.rs
+++ b/crates/daemon/tests/delivery.rs
@@ -3,15 +3,15 @@
 use std::task::Poll;
 
 use dahliaseam_core::frame::{Assembly, FrameId, Verdict};
-use dahliaseam_wire::engine::Mark;
+use dahliaseam_wire::engine::FrameExtension;
 use dahliaseamd::endpoint::attempt::{Closed, Piece, deliver};
 use tokio::sync::mpsc;
 
 const REQUEST: &str = "r-1";
 
-fn mark(position: u32) -> Mark {
+fn mark(position: u32) -> FrameExtension {
     let id = FrameId { request: REQUEST.to_owned(), attempt: 0, position };
-    Mark { id, tokens: 1, end: false, handle: None }
+    FrameExtension { id, tokens: 1, end: false, handle: None }
 }
 
 fn assembly() -> Assembly {
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,7 +1,7 @@
 //! What endpoints understand beyond the usual protocols.
 //!
 //! A model engine speaks the `OpenAI` completions API with server-sent events. Its requests carry
-//! an [`Ask`] under [`EXTENSION`], its frames a [`Mark`]. Orders, status and cache events have
+//! an [`RequestExtension`] under [`EXTENSION`], its frames a [`FrameExtension`]. Orders, status and cache events have
 //! paths of their own. A plain service gets the [`REQUEST`] and [`ATTEMPT`] headers.
 
 use dahliaseam_core::{
@@ -30,7 +30,7 @@
 
 /// Our part of a request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct RequestExtension {
     /// The request's identifier.
     pub request: String,
     /// The attempt's number.
@@ -59,7 +59,7 @@
 
 /// Our part of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct FrameExtension {
     /// Which frame this is.
     #[serde(flatten)]
     pub id: FrameId,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -30,13 +30,14 @@
     /// Who probes.
     pub from: Contact,
     /// News, the sender's own first.
-    pub news: Vec<Update>,
+    #[serde(rename = "news")]
+    pub updates: Vec<Update>,
     /// The sender's copies.
     pub digest: Digest,
     /// VMs of configured endpoints that the sender's list shows as leaving or gone.
     pub closed_vms: Vec<String>,
     /// Load that the sender has seen or put on endpoints lately.
-    pub loads: Vec<LoadNews>,
+    pub loads: Vec<EndpointLoad>,
 }
 
 /// The answer to a probe.
@@ -47,13 +48,14 @@
     /// Its refutation counter.
     pub refutation: u32,
     /// News.
-    pub news: Vec<Update>,
+    #[serde(rename = "news")]
+    pub updates: Vec<Update>,
     /// Its copies.
     pub digest: Digest,
     /// VMs of configured endpoints that its list shows as leaving or gone.
     pub closed_vms: Vec<String>,
     /// Load that it has seen or put on endpoints lately.
-    pub loads: Vec<LoadNews>,
+    pub loads: Vec<EndpointLoad>,
 }
 
 /// The load of an endpoint as one daemon saw it.
@@ -61,7 +63,7 @@
 /// A tuple on the wire, since these make up most of what daemons send each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "LoadTuple", into = "LoadTuple")]
-pub struct LoadNews {
+pub struct EndpointLoad {
     /// Hash of the endpoint's name.
     pub endpoint: u64,
     /// Milliseconds since it was true.
@@ -78,14 +80,14 @@
 
 type LoadTuple = (u64, u64, u32, u32, u32, u32);
 
-impl From<LoadTuple> for LoadNews {
+impl From<LoadTuple> for EndpointLoad {
     fn from(t: LoadTuple) -> Self {
         Self { endpoint: t.0, age_ms: t.1, queued_prefill: t.2, running: t.3, waiting: t.4, own_prefill: t.5 }
     }
 }
 
-impl From<LoadNews> for LoadTuple {
-    fn from(n: LoadNews) -> Self {
+impl From<EndpointLoad> for LoadTuple {
+    fn from(n: EndpointLoad) -> Self {
         (n.endpoint, n.age_ms, n.queued_prefill, n.running, n.waiting, n.own_prefill)
     }
 }
--- a/crates/wire/src/resource.rs
+++ b/crates/wire/src/resource.rs
@@ -271,7 +271,7 @@
 impl ResourceKind {
     /// The kind with this singular or plural name.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let singular = name.strip_suffix('s').unwrap_or(name);
         Self::ALL.iter().copied().find(|kind| kind.plural().strip_suffix('s') == Some(singular))
     }
@@ -309,7 +309,7 @@
     ///
     /// # Errors
     /// Why the changes do not apply; then none of them does.
-    pub fn changed(&self, changes: &[Change], token: &str) -> Result<Self, Refused> {
+    pub fn with_changes(&self, changes: &[Change], token: &str) -> Result<Self, Refused> {
         let mut next = self.clone();
         next.generation += 1;
         for change in changes {
@@ -320,14 +320,14 @@
             return Err(Refused::Invalid(problems));
         }
         next.writes.push(Write { token: token.to_owned(), generation: next.generation });
-        let over = next.writes.len().saturating_sub(MAX_WRITES);
-        next.writes.drain(..over);
+        let excess = next.writes.len().saturating_sub(MAX_WRITES);
+        next.writes.drain(..excess);
         Ok(next)
     }
 
     /// The generation that the write under `token` made, if it took effect.
     #[must_use]
-    pub fn written(&self, token: &str) -> Option<u64> {
+    pub fn generation_of_write(&self, token: &str) -> Option<u64> {
         self.writes.iter().find(|w| w.token == token).map(|w| w.generation)
     }
 
@@ -337,7 +337,7 @@
             return Err(Refused::Conflict { present });
         }
         match &change.spec {
-            Some(spec) => self.insert(change.kind, &change.name, spec.clone()).map_err(invalid),
+            Some(spec) => self.insert(change.kind, &change.name, spec.clone()).map_err(invalid_spec),
             None if present == 0 => Err(Refused::NotFound),
             None => {
                 self.remove(change.kind, &change.name);
@@ -347,7 +347,7 @@
     }
 }
 
-fn invalid(error: ReadError) -> Refused {
+fn invalid_spec(error: ReadError) -> Refused {
     let ReadError::Invalid(path, expected) = error;
     Refused::Invalid(vec![crate::validate::Problem { path: format!("spec.{path}"), expected }])
 }
--- a/experiments/examples/footprint.rs
+++ b/experiments/examples/footprint.rs
@@ -7,7 +7,7 @@
     time::Time,
 };
 use dahliaseam_wire::{
-    peer::{Digest, LoadNews, Probe},
+    peer::{Digest, EndpointLoad, Probe},
     resource::{Change, Document, ResourceKind},
 };
 use serde_json::json;
@@ -26,7 +26,7 @@
 
 fn probe(news: usize, loads: usize) -> Probe {
     let update = |n| Update { contact: contact(n), start: 1_796_000_000_000, refutation: 0, health: Health::Alive };
-    let load = |n: usize| LoadNews {
+    let load = |n: usize| EndpointLoad {
         endpoint: dahliaseam_core::hash::bytes(format!("engine-{n}").as_bytes()),
         age_ms: 1_200,
         queued_prefill: 12_000,
@@ -36,7 +36,7 @@
     };
     Probe {
         from: contact(0),
-        news: (0..news).map(update).collect(),
+        updates: (0..news).map(update).collect(),
         digest: Digest::default(),
         closed_vms: Vec::new(),
         loads: (0..loads).map(load).collect(),
@@ -70,7 +70,7 @@
             "vm": format!("vm-{n}"), "hall": "hall-1",
         })),
     }));
-    Document::default().changed(&changes, "footprint").expect("the document is valid")
+    Document::default().with_changes(&changes, "footprint").expect("the document is valid")
 }
 
 fn main() {
--- a/stand-ins/src/engine.rs
+++ b/stand-ins/src/engine.rs
@@ -21,8 +21,8 @@
     lease::Fence,
 };
 use dahliaseam_wire::engine::{
-    Ask, CACHE_PATH, CacheEvent, EXTENSION, Import, Mark, NOT_RUN, ORDER_PATH, OrderAnswer, OrderRequest, RELEASE_PATH,
-    STATUS_PATH, StatusReport,
+    CACHE_PATH, CacheEvent, EXTENSION, FrameExtension, Import, NOT_RUN, ORDER_PATH, OrderAnswer, OrderRequest,
+    RELEASE_PATH, RequestExtension, STATUS_PATH, StatusReport,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -80,7 +80,7 @@
 
 struct Sink {
     tx: mpsc::UnboundedSender<std::io::Result<Bytes>>,
-    ask: Ask,
+    ask: RequestExtension,
     prompt: String,
     chat: bool,
     position: u32,
@@ -279,14 +279,14 @@
 }
 
 /// A server-sent event.
-fn frame(ask: &Ask, position: u32, tokens: u32, text: &str, chat: bool, end: Option<&End>) -> Bytes {
+fn frame(ask: &RequestExtension, position: u32, tokens: u32, text: &str, chat: bool, end: Option<&End>) -> Bytes {
     let finish = if end.is_some() { json!("length") } else { Value::Null };
     let choice = if chat {
         json!({ "index": 0, "delta": { "content": text }, "finish_reason": finish })
     } else {
         json!({ "index": 0, "text": text, "finish_reason": finish })
     };
-    let mark = Mark {
+    let mark = FrameExtension {
         id: FrameId { request: ask.request.clone(), attempt: ask.attempt, position },
         tokens,
         end: end.is_some(),
@@ -340,7 +340,8 @@
 }
 
 async fn run(engine: &Shared, body: &Value, prompt: String, chat: bool) -> Response {
-    let ask: Ask = body.get(EXTENSION).and_then(|v| serde_json::from_value(v.clone()).ok()).unwrap_or_else(direct_ask);
+    let ask: RequestExtension =
+        body.get(EXTENSION).and_then(|v| serde_json::from_value(v.clone()).ok()).unwrap_or_else(direct_ask);
     if let Some(import) = &ask.import
         && !fetch_export(import).await
     {
@@ -362,7 +363,7 @@
 impl Inner {
     fn take_in(
         &mut self,
-        ask: Ask,
+        ask: RequestExtension,
         prompt: String,
         output: u32,
         chat: bool,
@@ -393,8 +394,15 @@
     }
 }
 
-fn direct_ask() -> Ask {
-    Ask { request: "direct".to_owned(), attempt: 0, priority: 0, resume_at: 0, export: false, import: None }
+fn direct_ask() -> RequestExtension {
+    RequestExtension {
+        request: "direct".to_owned(),
+        attempt: 0,
+        priority: 0,
+        resume_at: 0,
+        export: false,
+        import: None,
+    }
 }
 
 /// Take an exported KV cache over from the engine that has it.
