--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -164,8 +164,11 @@
     // The wall clock orders the runs of a VM that is replaced under its name.
     let start = wall_millis();
     let me = Incarnation { vm: settings.vm.clone(), start };
-    let contact =
-        Contact { vm: settings.vm.clone(), hall: settings.hall.clone(), address: settings.advertised().to_owned() };
+    let contact = Contact {
+        vm: settings.vm.clone(),
+        hall: settings.hall.clone(),
+        address: settings.advertised_address().to_owned(),
+    };
     let seed = hash::bytes(format!("{}{start}", settings.vm).as_bytes());
     let members = MemberSettings {
         probe_period: Span::millis(settings.timing.probe_ms),
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -175,7 +175,7 @@
 }
 
 /// Files that are kept for other things than connections.
-const SPARE_FILES: u32 = 256;
+const RESERVED_FILES: u32 = 256;
 
 impl GatewaySettings {
     /// Read and check a settings file.
@@ -196,7 +196,7 @@
         expect(!self.vm.is_empty(), "vm", "the VM's name")?;
         expect(!self.hall.is_empty(), "hall", "the hall's name")?;
         expect(self.keyspace.ends_with('/'), "keyspace", "a prefix that ends with '/'")?;
-        expect(self.max_files > 2 * SPARE_FILES, "max_files", "512 at least")?;
+        expect(self.max_files > 2 * RESERVED_FILES, "max_files", "512 at least")?;
         expect(self.link_mbps > 0.0, "link_mbps", "a number above 0")?;
         expect(self.retries.ratio >= 0.0, "retries.ratio", "0 at least")?;
         expect(self.retries.slack >= 0.0, "retries.slack", "0 at least")?;
@@ -220,6 +220,6 @@
     /// Connections of callers at once at most: half of the files, the rest goes to endpoints.
     #[must_use]
     pub const fn caller_connections(&self) -> usize {
-        (self.max_files.saturating_sub(SPARE_FILES) / 2) as usize
+        (self.max_files.saturating_sub(RESERVED_FILES) / 2) as usize
     }
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -234,7 +234,7 @@
 }
 
 /// Shortest secret, in bytes.
-const MIN_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 impl Settings {
     /// Read and check a settings file.
@@ -253,9 +253,9 @@
     /// The first field that cannot be used, and what is expected there.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_addresses()?;
-        let long = |secret: &Secret| secret.len() >= MIN_SECRET;
-        expect(long(&self.peer_secret), "peer_secret", "16 bytes at least")?;
-        expect(long(&self.operator_token), "operator_token", "16 bytes at least")?;
+        let long_enough = |secret: &Secret| secret.len() >= MIN_SECRET_BYTES;
+        expect(long_enough(&self.peer_secret), "peer_secret", "16 bytes at least")?;
+        expect(long_enough(&self.operator_token), "operator_token", "16 bytes at least")?;
         expect(!self.vm.is_empty(), "vm", "the VM's name")?;
         expect(!self.hall.is_empty(), "hall", "the hall's name")?;
         expect(self.keyspace.ends_with('/'), "keyspace", "a prefix that ends with '/'")?;
@@ -265,8 +265,8 @@
         expect(timing.control_ms >= 10, "timing.control_ms", "10 at least")?;
         expect(timing.observe_ms >= 10, "timing.observe_ms", "10 at least")?;
         expect(timing.list_ms >= 10, "timing.list_ms", "10 at least")?;
-        let confirms = timing.confirm_ms >= 2 * timing.probe_ms;
-        expect(confirms, "timing.confirm_ms", "twice timing.probe_ms at least")?;
+        let confirm_ok = timing.confirm_ms >= 2 * timing.probe_ms;
+        expect(confirm_ok, "timing.confirm_ms", "twice timing.probe_ms at least")?;
         expect(self.limits.connections > 0, "limits.connections", "1 at least")?;
         expect(self.limits.header_bytes >= 8_192, "limits.header_bytes", "8192 at least")?;
         expect(self.loads_per_minute > 0.0, "loads_per_minute", "a number above 0")?;
@@ -276,20 +276,20 @@
 
     /// The address that other daemons use.
     #[must_use]
-    pub fn advertised(&self) -> &str {
+    pub fn advertised_address(&self) -> &str {
         self.peer_advertise.as_deref().unwrap_or(&self.peer_address)
     }
 
     fn check_addresses(&self) -> Result<(), SettingsError> {
-        let mut all = vec![
+        let mut addresses = vec![
             ("caller_address", &self.caller_address),
             ("operator_address", &self.operator_address),
             ("peer_address", &self.peer_address),
             ("kv_address", &self.kv_address),
             ("vm_list_address", &self.vm_list_address),
         ];
-        all.extend(self.peer_advertise.iter().map(|a| ("peer_advertise", a)));
-        for (field, address) in all {
+        addresses.extend(self.peer_advertise.iter().map(|a| ("peer_advertise", a)));
+        for (field, address) in addresses {
             let ok = address.parse::<SocketAddr>().is_ok();
             expect(ok, field, "an IP number and a port, as in 10.0.0.1:8000")?;
         }
@@ -303,8 +303,8 @@
     dahliaseam_wire::error::from_json(&text).map_err(|e| SettingsError::Read(path.to_owned(), e))
 }
 
-pub(crate) fn expect(holds: bool, path: &str, expected: &str) -> Result<(), SettingsError> {
-    if holds {
+pub(crate) fn expect(ok: bool, path: &str, expected: &str) -> Result<(), SettingsError> {
+    if ok {
         return Ok(());
     }
     Err(SettingsError::Value(path.to_owned(), expected.to_owned()))
