--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -15,7 +15,7 @@
 use crate::error::CommandError;
 
 /// Time for one call.
-const CALL: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Where a daemon is and how operators prove themselves.
 #[derive(Clone, Debug)]
@@ -51,11 +51,11 @@
         body: Option<&A>,
     ) -> Result<B, CommandError> {
         let req = self.request(method, path, body)?;
-        let (status, body) = self.http.fetch(req, CALL).await?;
+        let (status, body) = self.http.fetch(req, CALL_TIMEOUT).await?;
         if status.is_success() {
             return serde_json::from_slice(&body).map_err(|e| CommandError::Answer(e.to_string()));
         }
-        Err(refused(&body))
+        Err(api_error(&body))
     }
 
     /// Get a JSON answer.
@@ -76,7 +76,7 @@
             return Ok(Lines { resp, buf: BytesMut::new() });
         }
         let body = resp.into_body().collect().await.map_err(|e| CallError::Lost(e.to_string()))?;
-        Err(refused(&body.to_bytes()))
+        Err(api_error(&body.to_bytes()))
     }
 
     fn request<A: Serialize>(
@@ -99,7 +99,7 @@
     }
 }
 
-fn refused(body: &[u8]) -> CommandError {
+fn api_error(body: &[u8]) -> CommandError {
     match serde_json::from_slice::<ApiError>(body) {
         Ok(error) => CommandError::Api(Box::new(error)),
         Err(e) => CommandError::Answer(e.to_string()),
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -24,7 +24,7 @@
 };
 
 /// Time between two looks at a drain.
-const DRAIN_LOOK: Duration = Duration::from_millis(250);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is asked of the command.
 #[derive(Clone, Debug)]
@@ -105,23 +105,23 @@
             let list: ResourceList = client.get(&format!("/v1/{}", kind.plural())).await?;
             output.text(&list.items)
         }
-        Command::Get { kind, name: Some(name) } => output.text(&read(&client, kind, &name).await?),
+        Command::Get { kind, name: Some(name) } => output.text(&get_resource(&client, kind, &name).await?),
         Command::Apply { file } => {
-            let body = resources(&file)?;
-            accepted(client.call(Method::POST, "/v1/apply", Some(&body)).await?)
+            let body = read_resources(&file)?;
+            accepted_text(client.call(Method::POST, "/v1/apply", Some(&body)).await?)
         }
-        Command::Edit { kind, name, set } => accepted(edit(&client, kind, &name, &set).await?),
+        Command::Edit { kind, name, set } => accepted_text(edit(&client, kind, &name, &set).await?),
         Command::Delete { kind, name, version } => {
             let query = version.map(|v| format!("?resource_version={v}")).unwrap_or_default();
             let path = format!("/v1/{}/{name}{query}", kind.plural());
-            accepted(client.call::<(), _>(Method::DELETE, &path, None).await?)
+            accepted_text(client.call::<(), _>(Method::DELETE, &path, None).await?)
         }
         Command::Watch { kind } => return watch(&client, kind, output, out).await,
         Command::Explain { request, log: Some(file) } => log::explain(&file, &request)?,
         Command::Explain { request, log: None } => {
             output.text(&client.get::<RequestRecord>(&format!("/v1/requests/{request}")).await?)
         }
-        Command::Streams { log } => streams::streams(&log)?,
+        Command::Streams { log } => streams::table(&log)?,
         Command::Drain { endpoint, undo, wait_seconds } => drain(&client, &endpoint, undo, wait_seconds).await?,
         Command::Check { file } => check(&file)?,
         Command::Status => output.text(&client.get::<StatusReport>("/v1/status").await?),
@@ -131,16 +131,16 @@
     Ok(())
 }
 
-async fn read(client: &Client, kind: ResourceKind, name: &str) -> Result<Resource, CommandError> {
+async fn get_resource(client: &Client, kind: ResourceKind, name: &str) -> Result<Resource, CommandError> {
     client.get(&format!("/v1/{}/{name}", kind.plural())).await
 }
 
-fn accepted(accepted: Accepted) -> String {
+fn accepted_text(accepted: Accepted) -> String {
     format!("accepted as generation {}\n", accepted.generation)
 }
 
 async fn edit(client: &Client, kind: ResourceKind, name: &str, set: &[String]) -> Result<Accepted, CommandError> {
-    let resource = read(client, kind, name).await?;
+    let resource = get_resource(client, kind, name).await?;
     let mut spec = resource.spec;
     for assignment in set {
         patch::set(&mut spec, assignment)?;
@@ -171,21 +171,21 @@
     if undo {
         return Ok(format!("{endpoint} is back in service as of generation {}\n", accepted.generation));
     }
-    let until = tokio::time::Instant::now() + Duration::from_secs(wait_seconds);
-    while tokio::time::Instant::now() < until {
-        let resource = read(client, ResourceKind::Endpoint, endpoint).await?;
+    let deadline = tokio::time::Instant::now() + Duration::from_secs(wait_seconds);
+    while tokio::time::Instant::now() < deadline {
+        let resource = get_resource(client, ResourceKind::Endpoint, endpoint).await?;
         let count = |pointer: &str| resource.status.pointer(pointer).and_then(Value::as_u64);
         let closed = resource.status.get("open") == Some(&Value::Bool(false));
         let empty = count("/in_flight") == Some(0) && count("/load/running") == Some(0);
         if closed && empty {
             return Ok(format!("{endpoint} is drained as of generation {}\n", accepted.generation));
         }
-        tokio::time::sleep(DRAIN_LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    Err(CommandError::Late(format!("{endpoint} gets no new work, and still works on what it has")))
+    Err(CommandError::TimedOut(format!("{endpoint} gets no new work, and still works on what it has")))
 }
 
-fn resources(file: &Path) -> Result<ApplyBody, CommandError> {
+fn read_resources(file: &Path) -> Result<ApplyBody, CommandError> {
     let text = std::fs::read(file).map_err(|e| CommandError::Open(file.to_owned(), e))?;
     from_json(&text).map_err(|e| CommandError::Read(file.to_owned(), e))
 }
@@ -201,7 +201,7 @@
         }
         return Ok(format!("{}: the settings are good\n", file.display()));
     }
-    let body = resources(file)?;
+    let body = read_resources(file)?;
     let count = body.resources.len();
     let changes: Vec<_> = body
         .resources
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -35,7 +35,7 @@
         }
         /// A resource file would not be valid.
         Invalid(path: PathBuf, problems: Vec<dahliaseam_wire::validate::Problem>) {
-            display("{}: not valid{}", path.display(), list(problems))
+            display("{}: not valid{}", path.display(), problem_lines(problems))
         }
         /// The answer cannot be understood.
         Answer(why: String) {
@@ -46,7 +46,7 @@
             display("{}", why)
         }
         /// It did not come about in time.
-        Late(what: String) {
+        TimedOut(what: String) {
             display("not in time: {}", what)
         }
     }
@@ -59,7 +59,7 @@
 /// Exit code: nothing took effect, or that is not known; try again.
 pub const UNAVAILABLE: u8 = 3;
 /// Exit code: it did not come about in time.
-pub const LATE: u8 = 4;
+pub const TIMED_OUT: u8 = 4;
 
 impl CommandError {
     /// The exit code.
@@ -70,22 +70,22 @@
             Self::Api(_) | Self::Read(..) | Self::Settings(_) | Self::Invalid(..) => REFUSED,
             Self::Call(_) | Self::Answer(_) => UNAVAILABLE,
             Self::Open(..) | Self::Usage(_) => USAGE,
-            Self::Late(_) => LATE,
+            Self::TimedOut(_) => TIMED_OUT,
         }
     }
 }
 
 /// Print why a command failed.
-pub fn report(error: &CommandError) {
+pub fn print_error(error: &CommandError) {
     eprintln!("dahliaseam: {error}");
 }
 
 fn details(e: &ApiError) -> String {
     let version = e.present_version.map(|v| format!(" (present version {v})")).unwrap_or_default();
-    version + &list(&e.problems)
+    version + &problem_lines(&e.problems)
 }
 
-fn list(problems: &[dahliaseam_wire::validate::Problem]) -> String {
+fn problem_lines(problems: &[dahliaseam_wire::validate::Problem]) -> String {
     let lines = problems.iter().map(|p| format!("\n  {}: expected {}", p.path, p.expected));
     lines.collect::<Vec<_>>().concat()
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -38,7 +38,7 @@
     pub fn text(self, result: &impl Show) -> String {
         match self {
             Self::Json => serde_json::to_string_pretty(result).unwrap_or_default() + "\n",
-            Self::Table => columns(&result.rows()),
+            Self::Table => align_columns(&result.rows()),
         }
     }
 
@@ -48,14 +48,14 @@
         match (self, event) {
             (Self::Json, _) => serde_json::to_string(event).unwrap_or_default(),
             (Self::Table, WatchEvent::Put { resource }) => {
-                format!("{} {} {}", resource.name, resource.resource_version, brief(&resource.status))
+                format!("{} {} {}", resource.name, resource.resource_version, summary(&resource.status))
             }
             (Self::Table, WatchEvent::Delete { name, generation, .. }) => format!("{name} {generation} deleted"),
         }
     }
 }
 
-fn columns(rows: &[Vec<String>]) -> String {
+fn align_columns(rows: &[Vec<String>]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |i: usize| rows.iter().filter_map(|row| row.get(i)).map(String::len).max().unwrap_or(0);
     let widths: Vec<_> = (0..count).map(width).collect();
@@ -67,14 +67,14 @@
 }
 
 /// A status in a few words: its plain fields.
-fn brief(status: &Value) -> String {
+fn summary(status: &Value) -> String {
     let Some(fields) = status.as_object() else { return String::new() };
-    let plain = fields.iter().filter(|(_, v)| !v.is_object() && !v.is_array() && !v.is_null());
-    let words = plain.map(|(name, value)| match value {
+    let scalars = fields.iter().filter(|(_, v)| !v.is_object() && !v.is_array() && !v.is_null());
+    let pairs = scalars.map(|(name, value)| match value {
         Value::String(text) => format!("{name}={text}"),
         other => format!("{name}={other}"),
     });
-    words.collect::<Vec<_>>().join(" ")
+    pairs.collect::<Vec<_>>().join(" ")
 }
 
 fn row(cells: &[&str]) -> Vec<String> {
@@ -84,7 +84,7 @@
 impl Show for Vec<Resource> {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["NAME", "VERSION", "STATUS"])];
-        rows.extend(self.iter().map(|r| vec![r.name.clone(), r.resource_version.to_string(), brief(&r.status)]));
+        rows.extend(self.iter().map(|r| vec![r.name.clone(), r.resource_version.to_string(), summary(&r.status)]));
         rows
     }
 }
@@ -92,9 +92,9 @@
 impl Show for Resource {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["name", &self.name]), row(&["version", &self.resource_version.to_string()])];
-        for (part, value) in [("spec", &self.spec), ("status", &self.status)] {
+        for (section, value) in [("spec", &self.spec), ("status", &self.status)] {
             let fields = value.as_object().into_iter().flatten();
-            rows.extend(fields.map(|(field, value)| vec![format!("{part}.{field}"), value.to_string()]));
+            rows.extend(fields.map(|(field, value)| vec![format!("{section}.{field}"), value.to_string()]));
         }
         rows
     }
@@ -127,7 +127,7 @@
         let mut rows = vec![
             row(&["request", &self.request]),
             row(&["kind", &self.kind, "team", &self.team, "pool", &self.pool]),
-            vec!["outcome".into(), word(&self.outcome), word(&self.refusal)],
+            vec!["outcome".into(), variant_name(&self.outcome), variant_name(&self.refusal)],
             vec![
                 "took".into(),
                 ms(self.took_ms.map(|ms| ms as f64)),
@@ -141,20 +141,20 @@
             rows.push(vec![
                 format!("attempt {}", a.attempt),
                 a.endpoint.clone(),
-                word(&a.reason),
+                variant_name(&a.reason),
                 format!("predicted {:.1} ms, first token {}", a.predicted_first_ms, ms(a.first_ms)),
-                format!("{} tokens, {}", a.tokens, word(&a.end)),
+                format!("{} tokens, {}", a.tokens, variant_name(&a.end)),
                 via,
             ]);
-            rows.extend(a.candidates.iter().map(candidate));
+            rows.extend(a.candidates.iter().map(candidate_row));
         }
-        rows.extend(self.seen.iter().map(candidate));
+        rows.extend(self.seen.iter().map(candidate_row));
         rows
     }
 }
 
-fn candidate(c: &dahliaseam_wire::operator::CandidateRecord) -> Vec<String> {
-    let skipped = c.skipped.map(|s| format!("passed over: {}", word(&s))).unwrap_or_default();
+fn candidate_row(c: &dahliaseam_wire::operator::CandidateRecord) -> Vec<String> {
+    let skipped = c.skipped.map(|s| format!("passed over: {}", variant_name(&s))).unwrap_or_default();
     vec![
         "  candidate".into(),
         c.endpoint.clone(),
@@ -165,7 +165,7 @@
 }
 
 /// A unit variant as its word.
-fn word<T: Serialize>(value: &T) -> String {
+fn variant_name<T: Serialize>(value: &T) -> String {
     match serde_json::to_value(value) {
         Ok(Value::String(text)) => text,
         _ => "-".to_owned(),
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -11,15 +11,15 @@
 use crate::{error::CommandError, log};
 
 /// The event of a request that is over.
-const OVER: &str = "ROUTED_OVER";
+const REQUEST_OVER: &str = "ROUTED_OVER";
 /// How it ends if the caller got all of it.
-const ANSWERED: &str = "answered";
-/// Long answers beside a stream at which each column begins.
-const BESIDE: [u32; 5] = [0, 20, 40, 60, 80];
+const OUTCOME_ANSWERED: &str = "answered";
+/// Long answers beside a stream at which each bucket begins.
+const CONCURRENCY_BUCKETS: [u32; 5] = [0, 20, 40, 60, 80];
 
 /// A line of the log that tells of a stream.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     event: String,
     outcome: String,
     replica: String,
@@ -30,27 +30,27 @@
 
 /// The streams of one replica.
 #[derive(Debug, Default)]
-struct Streams {
-    all: usize,
+struct ReplicaStreams {
+    total: usize,
     unfinished: usize,
-    most_events: u64,
-    /// Microseconds between two events, by [`BESIDE`].
-    intervals: [Vec<u64>; BESIDE.len()],
+    max_events: u64,
+    /// Microseconds between two events, by [`CONCURRENCY_BUCKETS`].
+    intervals: [Vec<u64>; CONCURRENCY_BUCKETS.len()],
 }
 
-impl Streams {
-    fn add(&mut self, line: &Line) {
-        self.all += 1;
-        self.unfinished += usize::from(line.outcome != ANSWERED);
-        self.most_events = self.most_events.max(line.events);
-        let column = BESIDE.iter().rposition(|from| line.beside >= *from).unwrap_or(0);
-        self.intervals[column].extend(line.interval_us);
+impl ReplicaStreams {
+    fn add(&mut self, line: &LogLine) {
+        self.total += 1;
+        self.unfinished += usize::from(line.outcome != OUTCOME_ANSWERED);
+        self.max_events = self.max_events.max(line.events);
+        let bucket = CONCURRENCY_BUCKETS.iter().rposition(|from| line.beside >= *from).unwrap_or(0);
+        self.intervals[bucket].extend(line.interval_us);
     }
 
     fn row(&mut self, replica: &str) -> String {
-        let mut row = format!("{replica:<20} {:>7} {:>10} {:>6}", self.all, self.unfinished, self.most_events);
-        for column in &mut self.intervals {
-            row.push_str(&median(column).map_or_else(|| format!("{:>7}", "-"), |us| format!("{:>7}", us / 1_000)));
+        let mut row = format!("{replica:<20} {:>7} {:>10} {:>6}", self.total, self.unfinished, self.max_events);
+        for bucket in &mut self.intervals {
+            row.push_str(&median(bucket).map_or_else(|| format!("{:>7}", "-"), |us| format!("{:>7}", us / 1_000)));
         }
         row.push('\n');
         row
@@ -63,11 +63,11 @@
 ///
 /// # Errors
 /// The file cannot be read, or tells of no stream.
-pub fn streams(file: &Path) -> Result<String, CommandError> {
-    let mut replicas: BTreeMap<String, Streams> = BTreeMap::new();
-    log::each_line(file, |json| {
-        let line: Option<Line> = serde_json::from_str(json).ok();
-        if let Some(line) = line.filter(|line| line.event == OVER) {
+pub fn table(file: &Path) -> Result<String, CommandError> {
+    let mut replicas: BTreeMap<String, ReplicaStreams> = BTreeMap::new();
+    log::for_each_line(file, |json| {
+        let line: Option<LogLine> = serde_json::from_str(json).ok();
+        if let Some(line) = line.filter(|line| line.event == REQUEST_OVER) {
             replicas.entry(line.replica.clone()).or_default().add(&line);
         }
     })?;
@@ -75,7 +75,7 @@
         return Err(CommandError::Answer(format!("no line of {} tells of a stream", file.display())));
     }
     let mut text = format!("{:<20} {:>7} {:>10} {:>6}", "REPLICA", "STREAMS", "UNFINISHED", "EVENTS");
-    text.extend(BESIDE.map(|from| format!("{:>7}", format!("MS@{from}"))));
+    text.extend(CONCURRENCY_BUCKETS.map(|from| format!("{:>7}", format!("MS@{from}"))));
     text.push('\n');
     for (replica, streams) in &mut replicas {
         text.push_str(&streams.row(replica));
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -19,21 +19,21 @@
     format!("exit {}\n{}{}", out.status.code().unwrap_or(-1), text(&out.stdout), text(&out.stderr))
 }
 
-fn check(args: &[&str], expected: &Expect) {
+fn expect_output(args: &[&str], expected: &Expect) {
     expected.assert_eq(&run(args));
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("dahliaseam-command-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("the folder can be written");
     path.display().to_string()
 }
 
 #[test]
-fn the_committed_examples_are_good() {
-    for user in ["fjordkjede", "portalinea"] {
-        for part in ["settings", "resources"] {
-            let path = format!("deploy/{user}/{part}.json");
+fn committed_example_files_pass_check() {
+    for deployment in ["fjordkjede", "portalinea"] {
+        for file in ["settings", "resources"] {
+            let path = format!("deploy/{deployment}/{file}.json");
             let out = run(&["check", &path]);
             assert!(out.starts_with("exit 0"), "{out}");
         }
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn help() {
-    check(
+fn drain_help() {
+    expect_output(
         &["drain", "--help"],
         &expect![[r#"
         exit 0
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn a_resource_file_with_faults() {
-    let path = file(
+fn check_lists_all_invalid_resource_fields() {
+    let path = write_temp_file(
         "resources.json",
         r#"{ "resources": [
             { "kind": "team", "name": "t", "spec": { "rate": 0 } },
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn a_settings_file_with_a_fault() {
-    let path = file("settings.json", r#"{ "vm": "a", "colour": 1 }"#);
+fn check_names_unknown_settings_field() {
+    let path = write_temp_file("settings.json", r#"{ "vm": "a", "colour": 1 }"#);
     let out = run(&["check", &path]).replace(&path, "FILE");
     expect![[r#"
         exit 1
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn no_such_kind() {
-    check(
+fn unknown_kind_is_usage_error() {
+    expect_output(
         &["get", "engines"],
         &expect![[r#"
         exit 2
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn no_daemon() {
+fn unreachable_daemon_exits_with_unavailable() {
     let out = run(&["--address", "127.0.0.1:1", "status"]);
     assert!(out.starts_with("exit 3\ndahliaseam: the daemon does not answer: not sent"), "{out}");
 }
 
 #[test]
-fn a_change_needs_a_path_and_a_value() {
+fn set_requires_path_and_value() {
     let mut spec = serde_json::json!({ "a": { "b": 1 }, "c": 2 });
     dahliaseam::patch::set(&mut spec, "a.b=[3]").expect("it is set");
     dahliaseam::patch::set(&mut spec, "d.e=words").expect("it is made");
@@ -119,22 +119,22 @@
 }
 
 #[test]
-fn streams_are_summed_up_by_replica_from_the_logs_of_all_daemons() {
-    let over = |replica: &str, outcome: &str, beside: u32, events: u64, interval_us: u64| {
+fn streams_are_summarized_by_replica() {
+    let log_line = |replica: &str, outcome: &str, beside: u32, events: u64, interval_us: u64| {
         format!(
             r#"12.1 entry-1 {{"event":"ROUTED_OVER","request":"r","outcome":"{outcome}","replica":"{replica}","beside":{beside},"events":{events},"interval_us":{interval_us}}}"#
         )
     };
     let lines = [
-        over("i-slow", "answered", 3, 40, 57_000),
-        over("i-slow", "timed_out", 76, 176, 81_000),
-        over("i-slow", "timed_out", 70, 180, 83_000),
-        over("i-usual", "answered", 30, 214, 54_000),
+        log_line("i-slow", "answered", 3, 40, 57_000),
+        log_line("i-slow", "timed_out", 76, 176, 81_000),
+        log_line("i-slow", "timed_out", 70, 180, 83_000),
+        log_line("i-usual", "answered", 30, 214, 54_000),
         "12.2 entry-1 a line of something else".to_owned(),
         r#"12.3 entry-1 {"event":"ROUTED_OVER","request":"plain","outcome":"answered"}"#.to_owned(),
     ];
-    let log = file("streams.log", &lines.join("\n"));
-    check(
+    let log = write_temp_file("streams.log", &lines.join("\n"));
+    expect_output(
         &["streams", "--log", &log],
         &expect![[r#"
         exit 0
@@ -143,6 +143,6 @@
         i-usual                    1          0    214      -     54      -      -      -
     "#]],
     );
-    let none = run(&["streams", "--log", &file("no-streams.log", "")]);
-    assert!(none.starts_with("exit 3") && none.contains("tells of a stream"), "{none}");
+    let empty = run(&["streams", "--log", &write_temp_file("no-streams.log", "")]);
+    assert!(empty.starts_with("exit 3") && empty.contains("tells of a stream"), "{empty}");
 }
