--- a/crates/border/src/dialect.rs
+++ b/crates/border/src/dialect.rs
@@ -1,7 +1,7 @@
-//! How callers, endpoints and the stored configuration are spoken to.
+//! Conversion between a platform's formats and dahliaseam's types.
 //!
-//! A deployment's platform has its own header names, paths and documents. A [`Dialect`] turns
-//! them into the product's types and back, and decides nothing.
+//! Each platform has its own header names, paths and documents for callers, endpoints and the stored configuration.
+//! A [`Dialect`] decodes and encodes them, and makes no decisions.
 
 use std::{fmt::Debug, net::SocketAddr, sync::Arc};
 
@@ -20,83 +20,83 @@
 
 use crate::error::DecodeError;
 
-/// What a caller's request says of itself.
+/// Data from the head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Its identifier, which an answer must repeat.
+    /// Its identifier, which must be repeated in the answer.
     pub id: String,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits for the answer, if it states that.
     pub timeout: Option<Span>,
-    /// The prompt, if it names one.
+    /// The prompt, if the head describes one.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller already has, of a stream that it resumes.
+    /// Identifier of the last event that the caller has received, if it resumes a stream.
     pub last_event: Option<String>,
-    /// Its key.
+    /// The key that the caller presented.
     pub key: PresentedKey,
 }
 
 /// What an endpoint is to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// Serve it as a whole.
+    /// Serve it completely.
     Serve {
-        /// An endpoint that holds more of the prompt, to copy that from.
+        /// An endpoint from which to copy the KV cache of the prompt, since it holds more of it.
         copy_from: Option<SocketAddr>,
     },
-    /// Only read its prompt and keep that in memory.
+    /// Only prefill the prompt and keep its KV cache.
     Prefill {
-        /// An endpoint that holds more of the prompt, to copy that from.
+        /// An endpoint from which to copy the KV cache of the prompt, since it holds more of it.
         copy_from: Option<SocketAddr>,
     },
-    /// Answer it from a prompt that another endpoint has read.
+    /// Generate the answer from the KV cache of a prompt that another endpoint has prefilled.
     Decode {
-        /// The endpoint that read it.
+        /// Address of the endpoint that prefilled it.
         prefill_address: SocketAddr,
-        /// The name of the memory there.
+        /// Handle of the KV cache at that endpoint.
         handle: String,
     },
 }
 
-/// A request as it goes to one endpoint.
+/// Data of a request that is forwarded to one endpoint.
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
-    /// The caller's head.
+    /// Head of the caller's request.
     pub head: &'a request::Parts,
-    /// The whole body.
+    /// Complete body of the caller's request.
     pub body: Bytes,
-    /// The replica that must serve it.
+    /// The only replica that may serve it.
     pub replica: &'a ReplicaFacts,
-    /// Time left.
+    /// Time left until the deadline.
     pub time_left: Span,
-    /// Rank, 0 the most urgent.
+    /// Priority at the replica; 0 is the most urgent.
     pub priority: u8,
-    /// What to do.
+    /// What the endpoint is to do.
     pub task: &'a Task,
-    /// The last event that the caller has, if the answer goes on from there.
+    /// Identifier of the last event that the caller has received, if the answer is to resume after it.
     pub last_event: Option<&'a str>,
-    /// On whose behalf it runs.
+    /// Identity on whose behalf it runs.
     pub identity: &'a Identity,
 }
 
 /// Whether an endpoint ran a request that it answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunStatus {
-    /// It did, or nothing says that it did not.
+    /// It ran the request, or did not state otherwise.
     MayHaveRun,
-    /// It vouches that it did not.
+    /// It states that it did not run the request.
     NotRun,
-    /// It did not: it is not the replica that was named.
+    /// It did not run the request, since it is not the replica that was addressed.
     OtherReplica,
 }
 
-/// What the head of an endpoint's answer says.
+/// Data from the head of an endpoint's answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerFacts {
-    /// The request that it answers.
+    /// Identifier of the request that it answers.
     pub request_id: Option<String>,
-    /// Whether the request ran.
+    /// Whether the endpoint ran the request.
     pub run: RunStatus,
-    /// Whether it carries the endpoint's proof of a whole answer.
+    /// Whether it carries the endpoint's seal, its proof of a complete answer.
     pub sealed: bool,
     /// Requests per second that the endpoint accepts from all daemons combined, or `None` if it states no limit.
     pub rate_limit: Option<f64>,
@@ -106,63 +106,63 @@
     pub draining: bool,
 }
 
-/// A prompt that an endpoint has read and holds.
+/// A prefilled prompt whose KV cache an endpoint holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handle {
-    /// Its name at that endpoint.
+    /// Name of the handle at that endpoint.
     pub name: String,
-    /// Tokens that it holds.
+    /// Number of tokens in the KV cache.
     pub tokens: u64,
 }
 
 /// An order to change an engine's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleOrder {
-    /// The role to take.
+    /// The new role.
     pub role: Role,
-    /// Name of the daemon that gives it.
+    /// Name of the daemon that sends the order.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing number of that daemon.
     pub fence: u64,
-    /// Orders that the engine must have taken before, no more and no fewer.
+    /// Number of orders that the engine must have accepted before; it refuses this one if the number differs.
     pub expected_orders: u64,
 }
 
-/// In whose name a duty that one daemon has at a time is done.
+/// The daemon in whose name a duty is carried out that only one daemon may have at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
     /// Name of the daemon.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing number of that daemon.
     pub fence: u64,
 }
 
-/// An order how many engines a service is to have in a hall.
+/// An order to set the number of engines of a service in a hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SizeOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The hall.
+    /// Name of the hall.
     pub hall: String,
-    /// Whether it is about those that may be taken away.
+    /// Whether it concerns the engines that the platform may reclaim at any time, rather than the others.
     pub reclaimable: bool,
-    /// How many.
+    /// Desired number of engines.
     pub desired: u32,
 }
 
-/// What the platform answered to a call of a duty.
+/// The platform's answer to a duty call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// It is done.
+    /// The call was accepted.
     Taken,
-    /// Not now.
+    /// The call was not accepted, but may be if it is repeated later.
     Later,
-    /// It can never be.
+    /// The call can never be accepted.
     Refused,
 }
 
 impl DutyAnswer {
-    /// Short name, for metrics.
+    /// Name used in metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -173,112 +173,112 @@
     }
 }
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is under way.
+    /// The order is being carried out.
     Accepted,
-    /// It already is so.
+    /// The engine already has the ordered role.
     Holds,
-    /// Another order is under way, or others came before.
+    /// Another order is being carried out, or the number of earlier orders is not the expected one.
     Conflict,
-    /// A higher fencing number was seen.
+    /// The engine has seen a higher fencing number.
     Fenced,
-    /// It cannot be done.
+    /// The order cannot be carried out.
     Refused,
-    /// The engine is another replica.
+    /// Another replica listens at the address.
     OtherReplica,
 }
 
-/// What an engine says of its state.
+/// State reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Unix millisecond of its start, if it says that.
+    /// Unix time of its start in milliseconds, if it states that.
     pub start_time_ms: Option<u64>,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// Whether an order is under way.
+    /// Whether an order is being carried out.
     pub changing: bool,
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub orders: u64,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// The language of one platform.
+/// Encoder and decoder of one platform's formats.
 pub trait Dialect: Debug + Send + Sync {
-    /// Path at which the balancer asks whether this VM is ready.
+    /// Path at which the load balancer checks whether this VM is ready.
     fn ready_path(&self) -> &'static str;
 
     /// Key of the configuration in the store.
     fn configuration_key(&self) -> &'static str;
 
-    /// Prefix of the replicas' keys in the store; the rest of such a key is the replica's id.
+    /// Prefix of the replicas' keys in the store; the rest of such a key is the replica's identifier.
     fn replica_prefix(&self) -> &'static str;
 
-    /// Read the stored configuration.
+    /// Decodes the stored configuration.
     ///
     /// # Errors
-    /// What cannot be read.
+    /// Names the field that is missing or invalid.
     fn configuration(&self, text: &str) -> Result<RouteTable, DecodeError>;
 
-    /// Read a replica's stored entry; also returns how many orders it has taken.
+    /// Decodes a replica's stored entry; also returns the number of orders that it has accepted.
     ///
     /// # Errors
-    /// What cannot be read.
+    /// Names the field that is missing or invalid.
     fn replica(&self, id: &str, text: &str) -> Result<(ReplicaFacts, u64), DecodeError>;
 
-    /// Read a caller's head.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
-    /// What is missing or cannot be read.
+    /// Names the header that is missing or invalid.
     fn caller(&self, head: &request::Parts) -> Result<CallerRequest, DecodeError>;
 
-    /// The request that goes to an endpoint.
+    /// Builds the request to an endpoint.
     ///
     /// # Errors
-    /// What of the caller's head cannot be sent on.
+    /// Returns an error if a part of the head cannot be encoded.
     fn forward(&self, forward: &Forward<'_>) -> Result<Request<Full<Bytes>>, DecodeError>;
 
-    /// Read the head of an endpoint's answer.
+    /// Decodes the head of an endpoint's answer.
     fn answer(&self, head: &response::Parts) -> AnswerFacts;
 
-    /// Read the answer to [`Task::Prefill`].
+    /// Decodes the body of the answer to [`Task::Prefill`].
     ///
     /// # Errors
-    /// What cannot be read.
+    /// Names the field that is missing or invalid.
     fn handle(&self, body: &[u8]) -> Result<Handle, DecodeError>;
 
-    /// The call that frees a handle.
+    /// Builds the call that frees a handle.
     ///
     /// # Errors
-    /// Why it cannot be made.
+    /// Returns an error if the call cannot be encoded.
     fn free_handle(&self, replica: &ReplicaFacts, handle: &str) -> Result<Request<Full<Bytes>>, DecodeError>;
 
-    /// The call that orders a role.
+    /// Builds the call that orders a role.
     ///
     /// # Errors
-    /// Why it cannot be made.
+    /// Returns an error if the call cannot be encoded.
     fn order_role(&self, replica: &ReplicaFacts, order: &RoleOrder) -> Result<Request<Full<Bytes>>, DecodeError>;
 
-    /// Read the status of an order's answer; absent if it says nothing.
+    /// Interprets the status of the answer to an order; `None` for statuses without a defined meaning.
     fn order_answer(&self, status: u16) -> Option<OrderAnswer>;
 
-    /// The call that asks an engine for its state.
+    /// Builds the call that asks an engine for its state.
     ///
     /// # Errors
-    /// Why it cannot be made.
+    /// Returns an error if the call cannot be encoded.
     fn ask_report(&self, replica: &ReplicaFacts) -> Result<Request<Full<Bytes>>, DecodeError>;
 
-    /// Whether the platform asks for reports of usage, by the names of the duties in the settings.
+    /// Whether the platform requires usage reports, according to the names of duties in the settings.
     fn wants_usage_reports(&self, duties: &[String]) -> bool;
 
-    /// The call that reports usage to the platform at an address.
+    /// Builds the call that reports usage to the platform at `address`.
     ///
     /// # Errors
-    /// Why it cannot be made.
+    /// Returns an error if the call cannot be encoded.
     fn report_usage(
         &self,
         address: SocketAddr,
@@ -286,13 +286,13 @@
         report: &Report,
     ) -> Result<Request<Full<Bytes>>, DecodeError>;
 
-    /// Whether the platform takes orders for sizes, by the names of the duties in the settings.
+    /// Whether the platform accepts orders for the number of engines, according to the names of duties in the settings.
     fn accepts_size_orders(&self, duties: &[String]) -> bool;
 
-    /// The call that orders how many engines a hall is to have.
+    /// Builds the call to the platform at `address` that orders the number of engines of a service in a hall.
     ///
     /// # Errors
-    /// Why it cannot be made.
+    /// Returns an error if the call cannot be encoded.
     fn order_size(
         &self,
         address: SocketAddr,
@@ -300,15 +300,15 @@
         order: &SizeOrder,
     ) -> Result<Request<Full<Bytes>>, DecodeError>;
 
-    /// Read the status of an answer to a call of a duty.
+    /// Interprets the status of the answer to a duty call.
     fn duty_answer(&self, status: u16) -> DutyAnswer;
 
-    /// Read an engine's report.
+    /// Decodes an engine's report.
     ///
     /// # Errors
-    /// What cannot be read.
+    /// Names the field that is missing or invalid.
     fn report(&self, body: &[u8]) -> Result<EngineReport, DecodeError>;
 }
 
-/// A dialect that tasks share.
+/// A dialect shared between tasks.
 pub type SharedDialect = Arc<dyn Dialect>;
--- a/crates/border/src/error.rs
+++ b/crates/border/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors at the platform's borders.
+//! Errors of the interfaces to the platform.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a call gave no answer. The difference matters: only some of them are surely not run.
+    /// Why a call failed. The variants differ in whether the call may have taken effect.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum CallError {
-        /// No connection was made, so no byte of the call was written.
+        /// No connection was established, so nothing of the call was sent.
         NotSent(why: String) {
             display("not sent: {}", why)
         }
-        /// The call may have taken effect.
+        /// No valid answer arrived; the call may have taken effect.
         Lost(why: String) {
             display("no answer, may have taken effect: {}", why)
         }
-        /// The other side answered with an error, and nothing took effect.
+        /// The other side answered with an error, and the call had no effect.
         Refused(status: u16, body: String) {
             display("refused with status {}: {}", status, body)
         }
@@ -22,7 +22,7 @@
 }
 
 impl CallError {
-    /// Whether it is certain that the call had no effect.
+    /// Whether the call certainly had no effect.
     #[must_use]
     pub const fn had_no_effect(&self) -> bool {
         !matches!(self, Self::Lost(_))
@@ -30,14 +30,14 @@
 }
 
 quick_error! {
-    /// Why something of the outside could not be read or written.
+    /// Why data in the platform's format could not be decoded or encoded.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DecodeError {
-        /// Something that must be there is missing.
+        /// A required part is missing.
         Missing(what: &'static str) {
             display("{} is missing", what)
         }
-        /// Something is not as expected.
+        /// A part is not as expected.
         Invalid(what: &'static str, why: String) {
             display("{}: {}", what, why)
         }
--- a/crates/border/src/etcd.rs
+++ b/crates/border/src/etcd.rs
@@ -1,7 +1,7 @@
-//! The key-value service over the JSON gateway of etcd's v3 protocol.
+//! Client of an etcd key-value service, over the JSON gateway of its v3 protocol.
 //!
-//! Keys and values are base64, 64-bit numbers are strings, as the gateway has them. Source: the
-//! API reference of etcd 3.5, `etcdserverpb.KV`, `Lease` and `Watch`.
+//! The gateway encodes keys and values in base64 and 64-bit numbers as strings. See the API reference of etcd 3.5,
+//! `etcdserverpb.KV`, `Lease` and `Watch`.
 
 use std::time::Duration;
 
@@ -20,14 +20,14 @@
     kv::{Entry, KeyValue, LeaseId, Swap, Swapped, WatchEvent, WatchStream},
 };
 
-/// Time for one call.
+/// Time limit for one call, except watches.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Silence of a watch after which it counts as broken.
+/// Time without data after which a watch counts as broken.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of one watch message at most.
+/// Maximum size of one watch message.
 const MAX_WATCH_MESSAGE_BYTES: usize = 4 << 20;
 
-/// The adapter.
+/// Client of the service at one address.
 #[derive(Debug)]
 pub struct Etcd {
     base: String,
@@ -36,7 +36,7 @@
 }
 
 impl Etcd {
-    /// An adapter for the service at `address`, `IP:port`.
+    /// Creates a client for the service at `address`, given as `IP:port`.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -159,7 +159,7 @@
     json!({ "request_range": { "key": BASE64.encode(&swap.key) } })
 }
 
-/// The key after the last one that begins with `prefix`.
+/// The first key after all keys that begin with `prefix`.
 fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -251,7 +251,9 @@
     }
 }
 
-/// A watch being read: one JSON object a line.
+/// An open watch, whose body consists of one JSON object per line.
+///
+/// Events that were parsed but not yet returned are in `pending`, the oldest last.
 struct Watch {
     body: Incoming,
     buf: BytesMut,
@@ -284,7 +286,7 @@
     }
 }
 
-/// The news in one message, the latest first.
+/// Parses one message into its events, the latest first.
 fn parse_watch_message(line: &[u8]) -> Result<Vec<WatchEvent>, CallError> {
     let answer: WatchAnswer = serde_json::from_slice(line).map_err(|e| CallError::Lost(e.to_string()))?;
     if answer.result.events.is_empty() {
--- a/crates/border/src/feed.rs
+++ b/crates/border/src/feed.rs
@@ -1,4 +1,4 @@
-//! Ordered changes of a key-value service's keys, for those that keep a copy of many.
+//! Ordered change feed of a key-value service, for clients that keep a local copy of many keys.
 
 use std::fmt::Debug;
 
@@ -7,62 +7,64 @@
 
 use crate::{error::CallError, kv::Entry};
 
-/// All keys below a prefix.
+/// All entries whose keys begin with a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// The entries.
     pub entries: Vec<Entry>,
-    /// A revision from which on following the changes misses none.
+    /// Revision from which the changes can be followed without missing any.
     pub revision: i64,
 }
 
 /// One change of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The key has this entry.
+    /// The key was created or changed to this entry.
     Put(Entry),
-    /// The key is gone.
+    /// The key was removed.
     Removed {
         /// The key.
         key: String,
-        /// The revision at which it went.
+        /// Revision at which it was removed.
         revision: i64,
     },
 }
 
-/// What a wait for changes brought.
+/// Result of a wait for changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Changes {
-    /// The changes, none when the wait ended first.
+    /// The changes since the given revision.
     Next {
-        /// In the order in which they happened.
+        /// The changes in the order in which they happened; empty if the wait ended before any.
         changes: Vec<Change>,
-        /// The revision to go on from.
+        /// Revision from which to continue.
         revision: i64,
     },
-    /// The service no longer has the changes since then; a new snapshot is needed.
+    /// The service no longer has the changes since the given revision; a new snapshot is required.
     HistoryGone,
 }
 
-/// A key-value service whose changes can be followed.
+/// Interface to a key-value service whose changes can be followed.
 #[async_trait]
 pub trait ChangeFeed: Debug + Send + Sync {
-    /// Read all keys that begin with `prefix`, no older than this call unless it `allow_stale`: such
-    /// a read costs less and may be some seconds behind, so that the changes since must be followed.
+    /// Reads all keys that begin with `prefix`.
+    ///
+    /// With `allow_stale`, the read costs less, but its result may be some seconds old, so the changes since must
+    /// be followed. Otherwise the result is no older than the call.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn snapshot(&self, prefix: &str, allow_stale: bool) -> Result<Snapshot, CallError>;
 
-    /// Ask at the lowest cost whether the service answers at all.
+    /// Checks at the lowest cost whether the service answers.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn probe(&self) -> Result<(), CallError>;
 
-    /// Wait up to `wait` for changes after `revision` of keys that begin with `prefix`.
+    /// Waits up to `wait` for changes after `revision` to keys that begin with `prefix`.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn changes(&self, prefix: &str, revision: i64, wait: Span) -> Result<Changes, CallError>;
 }
--- a/crates/border/src/http.rs
+++ b/crates/border/src/http.rs
@@ -1,4 +1,4 @@
-//! An HTTP client that never sends a request twice by itself.
+//! HTTP client that never retries a request by itself.
 
 use std::time::Duration;
 
@@ -15,33 +15,34 @@
 
 pub use hyper::body::Incoming;
 
-/// Bytes of an answer that are read at most.
+/// Maximum size of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Time to make a connection.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which bytes that the other side's kernel has not acknowledged are given up. It
-/// bounds how long a dead process's bytes can still arrive.
+/// Time after which a connection is closed if sent data has not been acknowledged by the other side's kernel.
+///
+/// It bounds how long data of a terminated process can still arrive.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for which an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether connections are kept for further calls.
+/// Whether connections are reused for further calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// They are.
+    /// Idle connections are kept and reused.
     Keep,
-    /// Each call has its own, so that it cannot fall into one that is just being closed.
+    /// Each call opens a new connection, so that it cannot be sent on one that the other side is just closing.
     Fresh,
 }
 
-/// The client.
+/// HTTP client.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client.
+    /// Creates a client.
     #[must_use]
     pub fn new(reuse: Reuse) -> Self {
         let mut connector = HttpConnector::new();
@@ -61,20 +62,20 @@
         Self { inner }
     }
 
-    /// Send a request and return the answer's head, its body still to come.
+    /// Sends a request and returns once the head of the answer has arrived; the body is still to be read.
     ///
     /// # Errors
-    /// [`CallError::NotSent`] when no connection was made, else [`CallError::Lost`].
+    /// [`CallError::NotSent`] if no connection was established, otherwise [`CallError::Lost`].
     pub async fn send(&self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
         self.inner.request(req).await.map_err(|e| {
             if e.is_connect() { CallError::NotSent(e.to_string()) } else { CallError::Lost(error_chain(&e)) }
         })
     }
 
-    /// Send a request and read the whole answer, within `timeout`.
+    /// Sends a request and reads the complete answer, within `timeout`.
     ///
     /// # Errors
-    /// As [`HttpClient::send`]; an answer that comes late or is too large counts as lost.
+    /// As [`HttpClient::send`]; an answer that arrives late or is too large counts as [`CallError::Lost`].
     pub async fn fetch(&self, req: Request<Full<Bytes>>, timeout: Duration) -> Result<(StatusCode, Bytes), CallError> {
         let answer = async {
             let resp = self.send(req).await?;
@@ -90,10 +91,11 @@
             .unwrap_or_else(|_| Err(CallError::Lost("no answer in time".to_owned())))
     }
 
-    /// Post a JSON value and read a JSON answer.
+    /// Posts a JSON value and parses the JSON answer.
     ///
     /// # Errors
-    /// As [`HttpClient::fetch`]; an error status is [`CallError::Refused`].
+    /// As [`HttpClient::fetch`]. An answer with an error status is [`CallError::Refused`], except that server errors
+    /// other than 503 are [`CallError::Lost`], as is an answer that cannot be parsed.
     pub async fn post<A: Serialize, B: DeserializeOwned>(
         &self,
         url: &str,
@@ -108,7 +110,7 @@
         parse_response(self.fetch(req, timeout).await?)
     }
 
-    /// Get a JSON answer.
+    /// Sends a GET request and parses the JSON answer.
     ///
     /// # Errors
     /// As [`HttpClient::post`].
--- a/crates/border/src/kv.rs
+++ b/crates/border/src/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service: compare-and-swap, leases and watches.
+//! Interface to the key-value service: compare-and-swap, leases and watches.
 
 use std::fmt::Debug;
 
@@ -7,105 +7,105 @@
 
 use crate::error::CallError;
 
-/// A lease's identifier.
+/// Identifier of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub i64);
 
-/// A stored value.
+/// A key with its stored value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value.
+    /// The value.
     pub value: String,
-    /// The service's revision at which it last changed.
+    /// Revision of the service at which the key last changed.
     pub revision: i64,
 }
 
-/// A compare-and-swap of one key.
+/// A compare-and-swap operation on one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Swap {
     /// The key.
     pub key: String,
-    /// The revision that it must have; zero for absent.
+    /// Revision that the key must have; zero if it must be absent.
     pub expect: i64,
-    /// The new value; absent to delete.
+    /// New value; `None` to delete the key.
     pub value: Option<String>,
-    /// The lease that the value ends with.
+    /// Lease that the key is attached to; the key is deleted when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// What became of one swap.
+/// Result of one compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Swapped {
-    /// It took effect at this revision.
+    /// The operation took effect at this revision.
     Done(i64),
-    /// The key had another revision; this is what is there.
+    /// The key had another revision, so nothing changed; contains the present entry, if any.
     Differs(Option<Entry>),
 }
 
-/// A change that a watch saw.
+/// An event of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The key has this entry now.
+    /// The key was created or changed to this entry.
     Put(Entry),
-    /// The key is gone.
+    /// The key was removed.
     Removed,
-    /// Nothing changed, and the watch is alive.
+    /// Nothing changed, and the watch still works.
     Alive,
 }
 
-/// The news of one watch, until it breaks.
+/// Events of one watch, until it breaks.
 pub type WatchStream = BoxStream<'static, Result<WatchEvent, CallError>>;
 
-/// The key-value service.
+/// Client of a key-value service.
 #[async_trait]
 pub trait KeyValue: Debug + Send + Sync {
-    /// Read one key.
+    /// Reads one key.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn read(&self, key: &str) -> Result<Option<Entry>, CallError>;
 
-    /// Read all keys that begin with `prefix`.
+    /// Reads all keys that begin with `prefix`.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn list(&self, prefix: &str) -> Result<Vec<Entry>, CallError>;
 
-    /// Do several swaps in one call, each for itself.
+    /// Performs several swaps in one call, each independent of the others; returns their results in the same order.
     ///
     /// # Errors
-    /// Why there is no answer; on [`CallError::Lost`] the swaps may have taken effect.
+    /// Returns an error if no valid answer arrives; on [`CallError::Lost`] the swaps may have taken effect.
     async fn swap_each(&self, swaps: Vec<Swap>) -> Result<Vec<Swapped>, CallError>;
 
-    /// Do several swaps as one; returns whether they took effect.
+    /// Performs several swaps atomically, all or none; returns whether they took effect.
     ///
     /// # Errors
-    /// Why there is no answer; on [`CallError::Lost`] the swaps may have taken effect.
+    /// Returns an error if no valid answer arrives; on [`CallError::Lost`] the swaps may have taken effect.
     async fn swap_all(&self, swaps: Vec<Swap>) -> Result<bool, CallError>;
 
-    /// Get a lease of `ttl_seconds`.
+    /// Creates a lease that ends `ttl_seconds` after its last renewal.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn grant(&self, ttl_seconds: u64) -> Result<LeaseId, CallError>;
 
-    /// Renew a lease; returns whether it still existed.
+    /// Renews a lease; returns whether it still existed.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn keep_alive(&self, lease: LeaseId) -> Result<bool, CallError>;
 
-    /// Give a lease up, and all values that end with it.
+    /// Revokes a lease, which deletes all keys attached to it.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn revoke(&self, lease: LeaseId) -> Result<(), CallError>;
 
-    /// Watch one key from now on.
+    /// Watches one key from now on.
     ///
     /// # Errors
-    /// Why there is no watch.
+    /// Returns an error if the watch cannot be opened.
     async fn watch(&self, key: &str) -> Result<WatchStream, CallError>;
 }
--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,10 +1,10 @@
-//! The borders to the outside, each a trait object.
+//! Interfaces to external services, each of them a trait.
 //!
-//! [`kv`] is the key-value service, spoken to by [`etcd`] over the JSON gateway of etcd's v3
-//! protocol, and [`feed`] one whose changes can be followed. [`vms`] is the platform's list of
-//! VMs. [`dialect`] is how callers, endpoints and the stored configuration are spoken to where a
-//! platform has its own way. [`http`] is the client under all calls but
-//! those of [`once`], which must be over when they are given up.
+//! - [`kv`]: the key-value service; [`etcd`] implements it over the JSON gateway of etcd's v3 protocol.
+//! - [`feed`]: a key-value service whose changes can be followed.
+//! - [`vms`]: the platform's list of VMs.
+//! - [`dialect`]: the formats of a platform for callers, endpoints and the stored configuration.
+//! - [`http`]: the HTTP client of all calls except those of [`once`], of which nothing may arrive after their timeout.
 
 pub mod dialect;
 pub mod error;
--- a/crates/border/src/once.rs
+++ b/crates/border/src/once.rs
@@ -1,8 +1,8 @@
-//! Calls that must be over when they are given up.
+//! Calls of which nothing arrives after they have ended.
 //!
-//! A call that is only given up may still lie in buffers, and arrive when a link is whole again, after
-//! somebody else has the right to make such calls. Here each call has a connection of its own, which is
-//! reset when it ends, so that nothing of it arrives later.
+//! A call that merely timed out may still be in send buffers and arrive once a broken link works again, when another
+//! daemon may already have the right to make such calls. Each call here therefore uses its own connection, which is
+//! reset when the call ends.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,13 +16,13 @@
 
 use crate::error::CallError;
 
-/// Bytes of an answer that are read at most.
+/// Maximum size of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Make one call within `timeout`.
+/// Makes one call within `timeout`.
 ///
 /// # Errors
-/// [`CallError::NotSent`] when no connection was made, else [`CallError::Lost`].
+/// [`CallError::NotSent`] if no connection was established, otherwise [`CallError::Lost`].
 pub async fn call(
     address: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -32,7 +32,7 @@
     let lost = |e: &dyn std::error::Error| CallError::Lost(e.to_string());
     let call = async {
         let stream = TcpStream::connect(address).await.map_err(|e| not_sent(&e))?;
-        // Closing discards what was not sent yet and resets the connection.
+        // With a linger time of zero, closing the socket discards unsent data and resets the connection.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).map_err(|e| not_sent(&e))?;
         let (mut conn, driver) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| not_sent(&e))?;
         let answer = async {
@@ -42,7 +42,7 @@
             let body = body.map_err(|e| CallError::Lost(e.to_string()))?;
             Ok((status, body.to_bytes()))
         };
-        // Driven here and not in a task, so that the connection ends with the call.
+        // The connection is driven here and not in a separate task, so that it is closed when the call ends.
         let mut driver = std::pin::pin!(driver);
         let mut answer = std::pin::pin!(answer);
         tokio::select! {
--- a/crates/border/src/vms.rs
+++ b/crates/border/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags.
+//! The platform's list of VMs, which lags behind their actual state.
 
 use std::{fmt::Debug, time::Duration};
 
@@ -10,47 +10,47 @@
     http::{HttpClient, Reuse},
 };
 
-/// Time for one call.
+/// Time limit for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A VM as the platform lists it.
+/// A VM as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
-    /// Its hall.
+    /// Hall of the VM.
     pub hall: String,
-    /// For an entry VM, `IP:port` of its peer address.
+    /// Peer address of an entry VM as `IP:port`.
     #[serde(default)]
     pub address: String,
-    /// What it is for.
+    /// Purpose of the VM.
     pub part: VmPart,
-    /// Whether it is about to go.
+    /// Whether it is about to be removed.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What a VM is for.
+/// Purpose of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmPart {
-    /// It runs a daemon of the system.
+    /// It runs a dahliaseam daemon.
     Entry,
     /// It runs endpoints.
     Endpoint,
 }
 
-/// The list.
+/// Source of the VM list.
 #[async_trait]
 pub trait VmList: Debug + Send + Sync {
-    /// The VMs that are live or leaving.
+    /// Fetches the VMs that are live or leaving.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Returns an error if no valid answer arrives.
     async fn vms(&self) -> Result<Vec<ListedVm>, CallError>;
 }
 
-/// The list by HTTP, as a JSON array.
+/// The list as a JSON array, fetched over HTTP.
 #[derive(Debug)]
 pub struct HttpVmList {
     url: String,
@@ -58,7 +58,7 @@
 }
 
 impl HttpVmList {
-    /// The list served at `address`, `IP:port`, under `/vms`.
+    /// Creates a client of the list at `/vms` of `address`, given as `IP:port`.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self { url: format!("http://{address}/vms"), client: HttpClient::new(Reuse::Keep) }
