--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,8 +1,8 @@
-//! What endpoints understand beyond the usual protocols.
+//! Extensions to the protocols of endpoints.
 //!
-//! A model engine speaks the `OpenAI` completions API with server-sent events. Its requests carry
-//! an [`RequestExtension`] under [`EXTENSION`], its frames a [`FrameExtension`]. Orders, status and cache events have
-//! paths of their own. A plain service gets the [`REQUEST`] and [`ATTEMPT`] headers.
+//! A model engine implements the `OpenAI` completions API with server-sent events. The member [`EXTENSION`] holds a
+//! [`RequestExtension`] in requests to it and a [`FrameExtension`] in its frames. Orders, status and cache events have
+//! separate paths. A plain service gets the [`REQUEST`] and [`ATTEMPT`] headers.
 
 use dahliaseam_core::{
     custody::{EngineStatus, Order},
@@ -11,113 +11,113 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Member of a request's and a frame's JSON object that holds our extension.
+/// Member of the JSON objects of requests and frames that holds the extension.
 pub const EXTENSION: &str = "dahliaseam";
 /// Header with the request's identifier.
 pub const REQUEST: &str = "x-dahliaseam-request";
 /// Header with the attempt's number.
 pub const ATTEMPT: &str = "x-dahliaseam-attempt";
-/// Header of a refusal by which an endpoint vouches that nothing ran.
+/// Header by which an endpoint states in a refusal that it ran no part of the request.
 pub const NOT_RUN: &str = "x-dahliaseam-not-run";
-/// Path of orders, by POST.
+/// Path for orders (POST).
 pub const ORDER_PATH: &str = "/control/order";
-/// Path of the status, by GET.
+/// Path of the status (GET).
 pub const STATUS_PATH: &str = "/control/status";
-/// Path of cache events, by GET with `?after=N`.
+/// Path of cache events (GET with `?after=N`).
 pub const CACHE_PATH: &str = "/control/cache";
-/// Path that drops an exported KV cache, by POST.
+/// Path for releasing an exported KV cache (POST).
 pub const RELEASE_PATH: &str = "/control/release";
 
-/// Our part of a request to an engine.
+/// Extension of a request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestExtension {
-    /// The request's identifier.
+    /// Identifier of the request.
     pub request: String,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Higher goes first in the engine's own queue.
+    /// Priority in the engine's queue; higher goes first.
     pub priority: u8,
-    /// Tokens that the caller has, where generation goes on.
+    /// Number of tokens that the caller already has, after which generation resumes.
     #[serde(default)]
     pub resume_at: u32,
-    /// Only process the prompt and keep its KV cache for export.
+    /// Whether to only process the prompt and keep its KV cache for export.
     #[serde(default)]
     pub export: bool,
-    /// Take the prompt's KV cache from another engine.
+    /// Where to import the prompt's KV cache from, instead of processing the prompt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub import: Option<Import>,
 }
 
-/// Where an exported KV cache is.
+/// Location of an exported KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Import {
-    /// `IP:port` of the engine that has it.
+    /// Address of the engine that holds it, as `IP:port`.
     pub from: String,
-    /// Its identifier there.
+    /// Handle of the KV cache at that engine.
     pub handle: String,
 }
 
-/// Our part of a frame.
+/// Extension of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FrameExtension {
-    /// Which frame this is.
+    /// Identifier of the frame.
     #[serde(flatten)]
     pub id: FrameId,
-    /// Tokens in the frame.
+    /// Number of tokens in the frame.
     pub tokens: u32,
-    /// Whether the answer ends here; `position` is then its whole length.
+    /// Whether this is the last frame; its `position` is then the length of the whole answer.
     #[serde(default)]
     pub end: bool,
-    /// The exported KV cache, on the end of an export.
+    /// Handle of the exported KV cache, in the last frame of an export.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub handle: Option<String>,
 }
 
-/// An order with its last moment, by the wall clock.
+/// An order with its expiry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
     /// The order.
     pub order: Order,
-    /// Milliseconds since 1970 after which the engine is to refuse it.
+    /// Unix time in milliseconds after which the engine must refuse the order.
     pub not_after_ms: u64,
 }
 
-/// What an engine answers to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
 pub enum OrderAnswer {
-    /// It took the order.
+    /// It accepted the order.
     Taken,
-    /// It refused: a higher fencing number was seen.
+    /// It refused the order, since it has seen a higher fencing number.
     Fenced {
-        /// The highest number seen.
+        /// Highest fencing number that it has seen.
         highest: u64,
     },
-    /// It refused for another reason.
+    /// It refused the order for another reason.
     Refused {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// A status with the load.
+/// Status and load of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
     /// The status.
     pub status: EngineStatus,
     /// The load.
     pub load: LoadReport,
-    /// How old the load is, in milliseconds.
+    /// Age of the load in milliseconds.
     pub load_age_ms: u64,
 }
 
-/// One change of an engine's prefix cache.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one with each event; a gap means that events were lost.
+    /// Sequence number, which grows by one with each event; a gap means that events were lost.
     pub number: u64,
-    /// The prefix's hash.
+    /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it is cached now.
+    /// Whether it is now cached.
     pub cached: bool,
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors of reading a message or a file.
+//! Parsing of JSON messages and files, with errors that name the invalid field.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a text could not be read.
+    /// Why a JSON text could not be parsed.
     #[derive(Debug)]
     pub enum ReadError {
-        /// The text is not what is expected at `path`.
+        /// The value at `path` is not as expected.
         Invalid(path: String, expected: String) {
             display("{}: {}", path, expected)
         }
     }
 }
 
-/// Read JSON; the error names the field.
+/// Parses JSON.
 ///
 /// # Errors
-/// The path of the first field that is wrong, and what was expected there.
+/// Returns the path of the first invalid field and what was expected there.
 pub fn from_json<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, ReadError> {
     let mut de = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut de)
@@ -25,10 +25,10 @@
     Ok(value)
 }
 
-/// Read a JSON value that is already parsed; the error names the field.
+/// Converts a JSON value that is already parsed.
 ///
 /// # Errors
-/// The path of the first field that is wrong, and what was expected there.
+/// Returns the path of the first invalid field and what was expected there.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: serde_json::Value) -> Result<T, ReadError> {
     serde_path_to_error::deserialize(value).map_err(|e| ReadError::Invalid(e.path().to_string(), e.inner().to_string()))
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,10 @@
-//! The typed messages that cross process borders.
+//! Types of the messages between processes.
 //!
-//! [`caller`] is what callers send and get, [`engine`] what endpoints do, [`operator`] the
-//! resource API, [`peer`] the calls between daemons, and [`resource`] the configuration document.
+//! - [`caller`]: headers and errors of the callers' API.
+//! - [`engine`]: extensions to the protocols of endpoints.
+//! - [`operator`]: the operators' resource API.
+//! - [`peer`]: calls between daemons.
+//! - [`resource`]: the configuration document.
 
 pub mod caller;
 pub mod engine;
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' resource API: what is declared, and what is seen.
+//! The operators' resource API: declared specifications and observed status.
 
 use dahliaseam_core::{
     choose::{Reason, Skip},
@@ -13,23 +13,23 @@
 
 use crate::resource::ResourceKind;
 
-/// A resource as it is read.
+/// A resource as returned by the API.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resource {
     /// Its kind.
     pub kind: ResourceKind,
     /// Its name.
     pub name: String,
-    /// Generation at which it last changed; a change must name it.
+    /// Generation at which it last changed; a change that is based on it names this version.
     pub resource_version: u64,
-    /// What is wanted.
+    /// Declared specification.
     pub spec: Value,
-    /// What is seen.
+    /// Observed status.
     #[serde(default, skip_serializing_if = "Value::is_null")]
     pub status: Value,
 }
 
-/// A resource as it is written.
+/// A resource as declared in a file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceFile {
@@ -37,28 +37,28 @@
     pub kind: ResourceKind,
     /// Its name.
     pub name: String,
-    /// The version that the change is based on; zero to create, absent to take any.
+    /// Version that the change is based on; zero to create the resource, absent to accept any version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resource_version: Option<u64>,
-    /// What is wanted.
+    /// Declared specification.
     pub spec: Value,
-    /// What was seen; ignored when written.
+    /// Observed status; ignored.
     #[serde(default, skip_serializing)]
     pub status: Value,
 }
 
-/// The body of a put.
+/// Body of a PUT request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PutBody {
-    /// The version that the change is based on; zero to create, absent to take any.
+    /// Version that the change is based on; zero to create the resource, absent to accept any version.
     #[serde(default)]
     pub resource_version: Option<u64>,
-    /// What is wanted.
+    /// Declared specification.
     pub spec: Value,
 }
 
-/// The body of an apply: changes that are made as one.
+/// Body of an apply request, whose changes take effect all together or not at all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyBody {
@@ -66,135 +66,135 @@
     pub resources: Vec<ResourceFile>,
 }
 
-/// The answer to an accepted change.
+/// Answer to an accepted change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Generation that the change made.
+    /// Generation that the change created.
     pub generation: u64,
 }
 
-/// A list of resources of one kind.
+/// List of the resources of one kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResourceList {
-    /// Generation of the configuration that was read.
+    /// Generation of the configuration that the list was read from.
     pub generation: u64,
-    /// The resources, by name.
+    /// The resources, ordered by name.
     pub items: Vec<Resource>,
 }
 
-/// One line of a watch.
+/// One line of a watch stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum WatchEvent {
-    /// It is there, or was changed.
+    /// The resource exists, or was created or changed.
     Put {
         /// The resource.
         resource: Resource,
     },
-    /// It is gone.
+    /// The resource was deleted.
     Delete {
         /// Its kind.
         kind: ResourceKind,
         /// Its name.
         name: String,
-        /// Generation at which it went.
+        /// Generation at which it was deleted.
         generation: u64,
     },
 }
 
-/// The body of an error of this API.
+/// Body of an error answer of this API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiError {
-    /// A stable word: `invalid`, `conflict`, `not_found`, `unauthorized`, `unavailable`, `unknown`.
+    /// Stable identifier: `invalid`, `conflict`, `not_found`, `unauthorized`, `unavailable` or `unknown`.
     pub code: String,
-    /// A sentence.
+    /// Explanation in plain words.
     pub message: String,
-    /// Fields that are wrong.
+    /// Invalid fields.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<crate::validate::Problem>,
-    /// On a conflict, the present version.
+    /// Present version of the resource, in case of a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub present_version: Option<u64>,
 }
 
-/// What one endpoint looks like from one daemon.
+/// State of one endpoint as seen by one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// Its role.
     pub role: Role,
-    /// Whether new work goes there.
+    /// Whether this daemon sends new work there.
     pub open: bool,
-    /// Why not, in words.
+    /// Why it does not, in plain words.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub closed_why: Option<String>,
-    /// The last load report.
+    /// Last load report.
     pub load: LoadReport,
-    /// Its age in milliseconds.
+    /// Age of the load report in milliseconds.
     pub load_age_ms: u64,
-    /// Attempts of this daemon there.
+    /// Number of this daemon's attempts that are in flight there.
     pub in_flight: u32,
-    /// This daemon's window.
+    /// This daemon's adaptive limit on attempts in flight there.
     pub window: f64,
-    /// Whether it checks fencing numbers.
+    /// Whether it rejects orders with an old fencing number.
     pub fencing: Fencing,
-    /// What control waits for, if it does.
+    /// Why its next order has to wait, if it does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waits_for: Option<WaitReason>,
 }
 
-/// The state of one daemon.
+/// State of one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmStatus {
-    /// The VM.
+    /// Name of the VM.
     pub vm: String,
-    /// Its hall.
+    /// Hall of the VM.
     pub hall: String,
-    /// Stamp of its start.
+    /// Start number of the daemon's run.
     pub start: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub ready: bool,
-    /// Why not, or on what footing.
+    /// Why it does not, or on what basis it does.
     pub standing: String,
     /// Generation of the configuration in force.
     pub generation: u64,
-    /// Milliseconds since that was confirmed.
+    /// Milliseconds since that configuration was last confirmed to be current; `u64::MAX` if never.
     pub confirmed_ms: u64,
-    /// Shards that it holds, with the fencing numbers.
+    /// Shards that it holds, each with its fencing number.
     pub shards: Vec<(String, u64)>,
-    /// Requests that it holds.
+    /// Number of requests that it is handling.
     pub held: usize,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// What it believes of the other entry VMs.
+    /// State of the other entry VMs, as this daemon believes it.
     pub members: Vec<MemberStatus>,
 }
 
-/// What a daemon believes of another.
+/// State of a daemon, as another one believes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The VM.
+    /// Name of the VM.
     pub vm: String,
-    /// Its hall.
+    /// Hall of the VM.
     pub hall: String,
-    /// What is believed.
+    /// Believed state.
     pub health: Health,
-    /// Stamp of its start.
+    /// Start number of the daemon's run.
     pub start: u64,
 }
 
-/// The state of the deployment, as one daemon gathered it.
+/// State of the deployment, as gathered by one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// Each daemon that answered.
+    /// States of the daemons that answered.
     pub vms: Vec<VmStatus>,
-    /// Entry VMs that did not answer.
+    /// Names of the entry VMs that did not answer.
     pub silent: Vec<String>,
 }
 
-/// What happened to one request, and why.
+/// Record of what happened to one request, and why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The request's identifier.
+    /// Identifier of the request.
     pub request: String,
     /// Its kind.
     pub kind: String,
@@ -202,58 +202,58 @@
     pub team: String,
     /// Its pool.
     pub pool: String,
-    /// Tokens of its prompt, estimated.
+    /// Estimated number of tokens of its prompt.
     pub prompt_tokens: u32,
-    /// Milliseconds that it was given.
+    /// Milliseconds within which it was to be answered.
     pub deadline_ms: u64,
-    /// Milliseconds until it was over.
+    /// Milliseconds from its arrival to its end; `None` while it is running.
     pub took_ms: Option<u64>,
-    /// What became of it.
+    /// Outcome, once it is known.
     pub outcome: Option<Outcome>,
-    /// Why it was refused.
+    /// Why it was refused, if it was.
     pub refusal: Option<Refusal>,
-    /// The attempts.
+    /// Attempts in order.
     pub attempts: Vec<AttemptRecord>,
-    /// What the last look at the pool saw, for a refused one.
+    /// For a refused request, the candidates when the pool was last evaluated.
     pub seen: Vec<CandidateRecord>,
 }
 
-/// One attempt.
+/// Record of one attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// Its number.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Milliseconds after the request's arrival.
+    /// When it was sent, in milliseconds after the request's arrival.
     pub sent_ms: u64,
-    /// Where it went.
+    /// Endpoint that it was sent to.
     pub endpoint: String,
-    /// Where its prompt was processed, if elsewhere.
+    /// Endpoint that processed the prompt, if it is another one.
     pub prefill: Option<String>,
-    /// Why there.
+    /// Why the endpoint was chosen.
     pub reason: Reason,
-    /// Milliseconds predicted until its first token.
+    /// Predicted milliseconds until its first token.
     pub predicted_first_ms: f64,
-    /// Milliseconds until its first token.
+    /// Actual milliseconds until its first token; `None` if there was none.
     pub first_ms: Option<f64>,
-    /// Tokens it delivered.
+    /// Number of tokens delivered.
     pub tokens: u32,
-    /// How it ended.
+    /// How it ended; `None` while it is running.
     pub end: Option<AttemptEnd>,
-    /// What was weighed.
+    /// Candidates that were evaluated.
     pub candidates: Vec<CandidateRecord>,
 }
 
-/// One candidate of a choice.
+/// Record of one candidate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CandidateRecord {
     /// The endpoint.
     pub endpoint: String,
-    /// Where the prompt would be processed, if elsewhere.
+    /// Endpoint that would process the prompt, if it is another one.
     pub prefill: Option<String>,
-    /// Milliseconds predicted until the first token.
+    /// Predicted milliseconds until the first token.
     pub first_ms: f64,
-    /// Milliseconds predicted until the whole answer.
+    /// Predicted milliseconds until the whole answer.
     pub whole_ms: f64,
-    /// Why it was passed over.
+    /// Why it was skipped, if it was.
     pub skipped: Option<Skip>,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,6 +1,6 @@
-//! The calls between daemons, by `jsonrpsee`.
+//! Calls between daemons, by JSON-RPC with `jsonrpsee`.
 //!
-//! Each call carries the deployment's secret in the HTTP `authorization` header.
+//! Each call carries the deployment's peer secret in the HTTP `authorization` header.
 
 use dahliaseam_core::member::{Contact, Update};
 use jsonrpsee::{core::RpcResult, proc_macros::rpc};
@@ -11,70 +11,73 @@
     resource::Document,
 };
 
-/// What a daemon says of its copies, on every probe.
+/// Versions of a daemon's copies of shared state, sent with every probe and answer.
+///
+/// A daemon fetches the other's configuration if that is newer, and the other's marks if they differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// Generation of its configuration.
     pub generation: u64,
-    /// Milliseconds since that copy was confirmed at the service, by it or through others.
+    /// Milliseconds since that copy was confirmed with the key-value service, by it or through
+    /// others; `u64::MAX` if never.
     pub confirmed_ms: u64,
     /// Hash of the marks in force.
     pub marks: u64,
-    /// Milliseconds since its list of VMs was confirmed.
+    /// Milliseconds since its list of VMs was confirmed; `u64::MAX` if never.
     pub list_ms: u64,
 }
 
-/// A probe.
+/// A probe of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Who probes.
+    /// Sender of the probe.
     pub from: Contact,
-    /// News, the sender's own first.
+    /// Membership updates, the sender's own first.
     #[serde(rename = "news")]
     pub updates: Vec<Update>,
-    /// The sender's copies.
+    /// Versions of the sender's copies.
     pub digest: Digest,
-    /// VMs of configured endpoints that the sender's list shows as leaving or gone.
+    /// VMs of configured endpoints that are leaving or gone according to the sender's list.
     pub closed_vms: Vec<String>,
-    /// Load that the sender has seen or put on endpoints lately.
+    /// Recent loads of endpoints, as seen or caused by the sender.
     pub loads: Vec<EndpointLoad>,
 }
 
-/// The answer to a probe.
+/// Answer to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Stamp of the answering process's start.
+    /// Start number of the answering daemon's run.
     pub start: u64,
-    /// Its refutation counter.
+    /// Number of suspicions that it has refuted in this run.
     pub refutation: u32,
-    /// News.
+    /// Membership updates, its own first.
     #[serde(rename = "news")]
     pub updates: Vec<Update>,
-    /// Its copies.
+    /// Versions of its copies.
     pub digest: Digest,
-    /// VMs of configured endpoints that its list shows as leaving or gone.
+    /// VMs of configured endpoints that are leaving or gone according to its list.
     pub closed_vms: Vec<String>,
-    /// Load that it has seen or put on endpoints lately.
+    /// Recent loads of endpoints, as seen or caused by it.
     pub loads: Vec<EndpointLoad>,
 }
 
-/// The load of an endpoint as one daemon saw it.
+/// Load of an endpoint as seen by one daemon.
 ///
-/// A tuple on the wire, since these make up most of what daemons send each other.
+/// Encoded as a tuple, since these entries are most of the data that daemons send each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "LoadTuple", into = "LoadTuple")]
 pub struct EndpointLoad {
     /// Hash of the endpoint's name.
     pub endpoint: u64,
-    /// Milliseconds since it was true.
+    /// Age of the load in milliseconds.
     pub age_ms: u64,
-    /// Prompt tokens that wait.
+    /// Prompt tokens queued for prefill.
     pub queued_prefill: u32,
     /// Sequences being generated.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait for a slot in the batch.
     pub waiting: u32,
-    /// Prompt tokens that the sender itself has sent and not seen answered.
+    /// Prompt tokens sent by the sender itself whose request has had no token yet.
     pub own_prefill: u32,
 }
 
@@ -92,80 +95,80 @@
     }
 }
 
-/// Marks of one shard's holder: which endpoints get no new work.
+/// Marks of one shard, set by its holder: which endpoints get no new work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Marks {
-    /// The shard.
+    /// Name of the shard.
     pub shard: String,
-    /// The holder's fencing number; older ones are refused.
+    /// Fencing number of the holder; marks under an older number are refused.
     pub epoch: u64,
-    /// Grows with each change under one number.
+    /// Grows with each change under one fencing number.
     pub sequence: u64,
     /// Names of the endpoints that get no new work.
     pub leaving: Vec<String>,
-    /// Roles as the holder last saw them, by endpoint.
+    /// Roles of endpoints as last seen by the holder.
     pub roles: Vec<(String, dahliaseam_core::endpoint::Role)>,
 }
 
-/// What a daemon answers to marks.
+/// A daemon's answer to marks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MarksAnswer {
-    /// Whether they are in force here.
+    /// Whether the marks are in force at this daemon.
     pub taken: bool,
-    /// Requests of this daemon that are still at each endpoint: protected, and others.
+    /// Per endpoint, numbers of this daemon's requests in flight: protected ones, and others.
     pub in_flight: Vec<(String, usize, usize)>,
 }
 
-/// What this daemon has seen arrive, for the planner.
+/// Demand seen by this daemon, for the planner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// Per pool: the short and the long average.
+    /// Demand of each pool.
     pub pools: Vec<PoolDemand>,
 }
 
-/// The demand of one pool.
+/// Demand of one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolDemand {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Short average.
+    /// Short-term average.
     pub short: dahliaseam_core::mix::Demand,
-    /// Long average.
+    /// Long-term average.
     pub long: dahliaseam_core::mix::Demand,
 }
 
-/// The calls between daemons.
+/// Calls between daemons.
 #[rpc(server, client, namespace = "peer")]
 pub trait Peer {
-    /// Probe this daemon.
+    /// Probes this daemon.
     #[method(name = "probe")]
     async fn probe(&self, probe: Probe) -> RpcResult<Answer>;
 
-    /// Probe another on the caller's behalf; the start stamp and refutation counter it answered.
+    /// Probes another daemon on the sender's behalf; returns its start number and refutation count if it answered.
     #[method(name = "probe_via")]
     async fn probe_via(&self, target: Contact) -> RpcResult<Option<(u64, u32)>>;
 
-    /// The configuration that is in force here.
+    /// Returns the configuration in force at this daemon.
     #[method(name = "config")]
     async fn config(&self) -> RpcResult<Option<Document>>;
 
-    /// Put a shard's marks in force.
+    /// Puts the marks of a shard in force.
     #[method(name = "marks")]
     async fn marks(&self, marks: Marks) -> RpcResult<MarksAnswer>;
 
-    /// The marks that are in force here.
+    /// Returns the marks in force at this daemon.
     #[method(name = "all_marks")]
     async fn all_marks(&self) -> RpcResult<Vec<Marks>>;
 
-    /// The demand seen here.
+    /// Returns the demand seen by this daemon.
     #[method(name = "demand")]
     async fn demand(&self) -> RpcResult<DemandReport>;
 
-    /// The record of a request that was taken here.
+    /// Returns the record of a request that arrived at this daemon.
     #[method(name = "explain")]
     async fn explain(&self, request: String) -> RpcResult<Option<RequestRecord>>;
 
-    /// The state of this daemon.
+    /// Returns the state of this daemon.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<VmStatus>;
 }
--- a/crates/wire/src/resource.rs
+++ b/crates/wire/src/resource.rs
@@ -1,8 +1,7 @@
-//! The resources that operators declare, and the one document that holds them.
+//! Resources declared by operators, and the document that contains them.
 //!
-//! The document is a single value in the key-value service, changed by compare-and-swap. Its
-//! generation grows by one with each accepted change, so of two copies the one with the higher
-//! generation is the newer.
+//! The document is a single value in the key-value service and is changed by compare-and-swap. Its generation grows
+//! by one with each accepted change, so of two copies the one with the higher generation is newer.
 
 use std::collections::BTreeMap;
 
@@ -17,34 +16,34 @@
 
 use crate::error::{ReadError, from_value};
 
-/// A value with the generation at which it last changed.
+/// A specification with the generation at which it last changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Versioned<T> {
-    /// That generation.
+    /// Generation of the last change.
     pub version: u64,
-    /// The value.
+    /// The specification.
     pub spec: T,
 }
 
-/// A pool of endpoints that serve the same.
+/// A pool of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
     /// Whether it consists of engines or of plain services.
     pub endpoints: EndpointClass,
-    /// Models that its engines carry.
+    /// Models that its engines serve.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Rates that its endpoints start from.
+    /// Initial performance figures of its endpoints, before any are learned.
     #[serde(default)]
     pub rates: Rates,
-    /// Rates of whole roles, for the planner.
+    /// Throughput of one engine by role, for the planner.
     #[serde(default)]
     pub role_rates: RoleRates,
 }
 
-/// What an endpoint is.
+/// Type of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointClass {
@@ -54,7 +53,7 @@
     Plain,
 }
 
-/// A model that callers may ask for.
+/// A model that callers may request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
@@ -62,11 +61,11 @@
     pub version: String,
 }
 
-/// An adapter over a model.
+/// An adapter of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterSpec {
-    /// The model under it.
+    /// The adapted model.
     pub model: String,
     /// Its name in the weight store.
     pub artifact: String,
@@ -82,14 +81,14 @@
     pub artifact: String,
 }
 
-/// How the roles of one pool are decided; named as the pool.
+/// How engine roles are assigned in one pool; has the same name as the pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoleSpec {
     /// The planner's settings.
     #[serde(default)]
     pub planner: PlannerSettings,
-    /// Roles that are fixed, by endpoint; the planner leaves these alone.
+    /// Fixed roles by endpoint; the planner does not change these.
     #[serde(default)]
     pub fixed: BTreeMap<String, Role>,
 }
@@ -98,21 +97,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindSpec {
-    /// Higher goes first, 0 to 15; 8 and above is urgent.
+    /// Priority from 0 to 15; higher goes first, and 8 or more is urgent.
     pub priority: u8,
-    /// Worth of one whole answer in time.
+    /// Value of one whole answer in time.
     pub weight: f64,
     /// Milliseconds within which an answer is useful.
     pub deadline_ms: u64,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Whether no planned change may cut it.
+    /// Whether no planned change may interrupt it.
     #[serde(default)]
     pub protected: bool,
     /// Whether callers must send an idempotency key.
     #[serde(default)]
     pub key_required: bool,
-    /// Tokens of the answer when the caller names no bound.
+    /// Assumed number of output tokens if the caller states no maximum.
     #[serde(default = "default_output")]
     pub output_tokens: u32,
 }
@@ -122,7 +121,7 @@
 }
 
 impl KindSpec {
-    /// What the decisions need of it.
+    /// The properties that affect decisions.
     #[must_use]
     pub const fn traits(&self) -> KindTraits {
         KindTraits {
@@ -138,24 +137,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// The pool that it serves.
+    /// Pool that it belongs to.
     pub pool: String,
-    /// `IP:port`.
+    /// Address as `IP:port`.
     pub address: String,
-    /// The VM it runs on, as the platform lists it.
+    /// VM that it runs on, by its name in the platform's list.
     pub vm: String,
-    /// Its hall.
+    /// Hall of the VM.
     pub hall: String,
-    /// The role it starts with.
+    /// Initial role.
     #[serde(default)]
     pub role: Role,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it rejects orders with an old fencing number.
     #[serde(default)]
     pub fencing: Fencing,
-    /// Whether operators want it to get no work.
+    /// Whether operators want it to get no new work.
     #[serde(default)]
     pub drained: bool,
-    /// Models, adapters and versions that it is to have loaded.
+    /// Adapters and versions of models that it is to have loaded.
     #[serde(default)]
     pub load: Vec<String>,
 }
@@ -164,19 +163,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSpec {
-    /// Requests a second over the whole deployment.
+    /// Limit on requests per second over the whole deployment.
     pub rate: f64,
 }
 
-/// Tokens of writes kept in the document, to settle writes whose answer was lost.
+/// Maximum number of write tokens kept in the document, from which a writer whose answer was lost can find out whether
+/// its write took effect.
 const MAX_WRITES: usize = 64;
 
-/// A write that the document holds.
+/// A write that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The writer's own token.
+    /// Token chosen by the writer.
     pub token: String,
-    /// The generation that it made.
+    /// Generation that it created.
     pub generation: u64,
 }
 
@@ -193,28 +193,28 @@
             /// All kinds.
             pub const ALL: &'static [Self] = &[$(Self::$kind),*];
 
-            /// Its name in paths.
+            /// Plural name, as used in paths.
             #[must_use]
             pub const fn plural(self) -> &'static str {
                 match self { $(Self::$kind => stringify!($field),)* }
             }
         }
 
-        /// The whole configuration.
+        /// The configuration document.
         #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Document {
             /// Grows by one with each accepted change.
             #[serde(default)]
             pub generation: u64,
-            /// The latest writes.
+            /// Most recent writes, the latest last.
             #[serde(default)]
             pub writes: Vec<Write>,
             $(#[doc = $doc] #[serde(default)] pub $field: BTreeMap<String, Versioned<$spec>>,)*
         }
 
         impl Document {
-            /// The names and versions of one kind's resources.
+            /// Names and versions of all resources of one kind.
             #[must_use]
             pub fn names(&self, kind: ResourceKind) -> Vec<(String, u64)> {
                 match kind {
@@ -226,7 +226,7 @@
                 }
             }
 
-            /// A resource's version and specification.
+            /// Version and specification of a resource.
             #[must_use]
             pub fn get(&self, kind: ResourceKind, name: &str) -> Option<(u64, Value)> {
                 match kind {
@@ -259,17 +259,17 @@
 
 resources! {
     Pool, pools, PoolSpec, "Pools of endpoints.";
-    Model, models, ModelSpec, "Models that callers may ask for.";
-    Adapter, adapters, AdapterSpec, "Adapters over models.";
+    Model, models, ModelSpec, "Models that callers may request.";
+    Adapter, adapters, AdapterSpec, "Adapters of models.";
     Version, versions, VersionSpec, "Versions of models.";
-    Role, roles, RoleSpec, "How the roles of a pool are decided.";
+    Role, roles, RoleSpec, "How engine roles are assigned in a pool.";
     Kind, kinds, KindSpec, "Kinds of request.";
     Endpoint, endpoints, EndpointSpec, "Endpoints.";
     Team, teams, TeamSpec, "Teams of callers.";
 }
 
 impl ResourceKind {
-    /// The kind with this singular or plural name.
+    /// Returns the kind with this singular or plural name.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         let singular = name.strip_suffix('s').unwrap_or(name);
@@ -284,31 +284,31 @@
     pub kind: ResourceKind,
     /// Its name.
     pub name: String,
-    /// The version that the change is based on; zero to create, absent to take any.
+    /// Version that the change is based on; zero to create the resource, `None` to accept any version.
     pub based_on: Option<u64>,
-    /// What is wanted; absent to delete.
+    /// New specification; `None` to delete the resource.
     pub spec: Option<Value>,
 }
 
-/// Why a change does not apply.
+/// Why a change is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refused {
     /// The resource has another version.
     Conflict {
-        /// The present one; zero when there is none.
+        /// Present version; zero if the resource does not exist.
         present: u64,
     },
-    /// There is no such resource.
+    /// The resource to delete does not exist.
     NotFound,
-    /// The result would not be valid.
+    /// The resulting document would not be valid.
     Invalid(Vec<crate::validate::Problem>),
 }
 
 impl Document {
-    /// The document after all of `changes`, written as one under `token`.
+    /// Returns the next generation of the document, with all of `changes` made and the write recorded under `token`.
     ///
     /// # Errors
-    /// Why the changes do not apply; then none of them does.
+    /// Returns why a change is refused; then none is made.
     pub fn with_changes(&self, changes: &[Change], token: &str) -> Result<Self, Refused> {
         let mut next = self.clone();
         next.generation += 1;
@@ -325,7 +325,7 @@
         Ok(next)
     }
 
-    /// The generation that the write under `token` made, if it took effect.
+    /// Generation created by the write with `token`, if it took effect and is among the recent writes.
     #[must_use]
     pub fn generation_of_write(&self, token: &str) -> Option<u64> {
         self.writes.iter().find(|w| w.token == token).map(|w| w.generation)
--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole document: references, ranges and addresses.
+//! Validation of a whole document: names, references, ranges and addresses.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -6,23 +6,23 @@
 
 use crate::resource::{Document, EndpointClass, Versioned};
 
-/// A field that is wrong.
+/// An invalid field.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Where it is.
+    /// Path of the field.
     pub path: String,
     /// What was expected there.
     pub expected: String,
 }
 
-/// Highest priority of a kind.
+/// Maximum priority of a kind.
 const MAX_PRIORITY: u8 = 15;
-/// Longest deadline of a kind.
+/// Maximum deadline of a kind, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Longest name of a resource, in bytes.
+/// Maximum length of a resource name.
 const MAX_NAME_BYTES: usize = 128;
 
-/// All that is wrong in a document.
+/// Returns all problems of a document.
 #[must_use]
 pub fn problems(doc: &Document) -> Vec<Problem> {
     let mut problems = Problems::default();
