--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -9,15 +9,15 @@
     /// Why a settings file cannot be used.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// It cannot be opened.
+        /// The file cannot be read.
         Open(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
-        /// It is not what is expected.
+        /// The file is not valid JSON or has an unexpected field.
         Read(path: PathBuf, e: ReadError) {
             display("{}: {}", path.display(), e)
         }
-        /// A field has a value that cannot be used.
+        /// A field has an invalid value.
         Value(path: String, expected: String) {
             display("{}: expected {}", path, expected)
         }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon that serves by routes: one JSON object, checked before anything starts.
+//! Settings of a daemon that serves by routes: one JSON object, checked before anything starts.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -15,7 +15,7 @@
     settings::{LogSettings, expect, read_file},
 };
 
-/// The settings of one daemon that serves by routes.
+/// Settings of one daemon that serves by routes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
@@ -23,103 +23,103 @@
     pub vm: String,
     /// Hall of the VM.
     pub hall: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether this VM is ready.
+    /// Address at which the load balancer checks whether this VM is ready.
     pub ready_address: SocketAddr,
-    /// Where other daemons ask for what this one knows.
+    /// Address at which other daemons fetch updates from this one.
     pub peer_address: SocketAddr,
-    /// Where other daemons send what they have under way, over UDP.
+    /// UDP address for messages from other daemons, such as load reports.
     pub load_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics.
     pub metrics_address: SocketAddr,
-    /// Peer addresses of a few daemons, which may be old.
+    /// Peer addresses of a few daemons; may be outdated.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The key-value service.
+    /// Address of the platform's key-value store.
     pub store_address: SocketAddr,
-    /// Prefix of the daemons' own keys in the key-value service.
+    /// Prefix of the daemons' own keys in the store.
     pub keyspace: String,
-    /// Open files at most.
+    /// Maximum number of open files.
     pub max_files: u32,
-    /// Megabits a second that the VM's link carries.
+    /// Bandwidth of the VM's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Bounds on repeated sends, over all daemons.
+    /// Limits on the retries of all daemons together.
     pub retries: RetrySettings,
-    /// Spans of the daemon's own work.
+    /// Time limits of the daemon's own work.
     pub timing: GatewayTiming,
-    /// How long callers' keys hold without a proof; absent where that has no bound.
+    /// How soon changes to callers' keys must take effect; absent if there is no such limit.
     #[serde(default)]
     pub keys: Option<KeySettings>,
-    /// How far teams may go beyond their quotas.
+    /// By how much teams may exceed their quotas.
     #[serde(default)]
     pub quotas: QuotaSettings,
-    /// What the platform takes from one daemon at a time; absent where it takes nothing.
+    /// Duties that the platform accepts from one daemon at a time; absent if there are none.
     #[serde(default)]
     pub duties: Option<DutySettings>,
-    /// Figures of the policy.
+    /// Parameters of the routing policy.
     #[serde(default)]
     pub policy: FleetPolicy,
-    /// Logs.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Bounds on repeated sends to a service, over all daemons.
+/// Limits on the retries of all daemons together at one service.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats for each new request.
+    /// Retries for each new request.
     pub ratio: f64,
-    /// Repeats in a window beside those.
+    /// Additional retries in each window.
     pub slack: f64,
-    /// Seconds of a window.
+    /// Length of a window in seconds.
     pub window_s: f64,
 }
 
 impl RetrySettings {
-    /// The terms that the budget works by.
+    /// Terms of the retry budget.
     #[must_use]
     pub fn terms(&self) -> RetryBudgetTerms {
         RetryBudgetTerms { ratio: self.ratio, slack: self.slack, window: Span::seconds(self.window_s) }
     }
 }
 
-/// How old the configuration may be by which callers' keys are judged.
+/// How soon changes to callers' keys must take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// Whether a withdrawn key must have no effect after the bound on any VM, also one out of touch.
+    /// Whether a withdrawn key must be rejected in time on every VM, even on one that is cut off.
     pub strict: bool,
-    /// Milliseconds after a key was withdrawn from which on it must have no effect.
+    /// Milliseconds after its withdrawal from which a key must be rejected.
     pub withdrawn_ms: u64,
-    /// Milliseconds after a key was added from which on it must be known.
+    /// Milliseconds after its addition from which a key must be known.
     pub added_ms: u64,
 }
 
 impl KeySettings {
-    /// Time after which a withdrawn key must have no effect.
+    /// Time after its withdrawal from which a key must be rejected.
     #[must_use]
     pub const fn withdrawn(&self) -> Span {
         Span::millis(self.withdrawn_ms)
     }
 
-    /// Time after which an added key must be known.
+    /// Time after its addition from which a key must be known.
     #[must_use]
     pub const fn added(&self) -> Span {
         Span::millis(self.added_ms)
     }
 }
 
-/// How far teams may go beyond their quotas.
+/// By how much teams may exceed their quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSettings {
-    /// Seconds of the windows in which usage is counted.
+    /// Length in seconds of the windows in which usage is counted.
     pub window_s: f64,
-    /// Share of the quota by which a window may exceed it.
+    /// Share of the quota by which usage in a window may exceed it.
     pub over: f64,
-    /// Units by which it may exceed that.
+    /// Further units by which usage in a window may exceed it.
     pub slack: f64,
 }
 
@@ -130,29 +130,29 @@
 }
 
 impl QuotaSettings {
-    /// The tolerance that quotas are split by.
+    /// Tolerance by which quotas are divided among daemons.
     #[must_use]
     pub fn tolerance(&self) -> Tolerance {
         Tolerance { window: Span::seconds(self.window_s), excess_share: self.over, slack: self.slack }
     }
 }
 
-/// What the platform takes from one daemon at a time.
+/// Duties that the platform accepts from one daemon at a time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// Where it takes such calls.
+    /// Address at which the platform accepts the calls.
     pub address: SocketAddr,
-    /// Names of the duties that are asked for; those that are not known are passed over.
+    /// Names of the required duties; unknown names are ignored.
     pub asked: Vec<String>,
-    /// Seconds of a window of the reports of usage.
+    /// Length in seconds of a window of the usage reports.
     pub usage_window_s: f64,
-    /// Seconds after a window's end within which its report must have come.
+    /// Seconds after the end of a window within which its report must arrive.
     pub usage_late_s: f64,
 }
 
 impl DutySettings {
-    /// The windows of the reports of usage.
+    /// Windows of the usage reports.
     #[must_use]
     pub fn windows(&self) -> WindowSchedule {
         WindowSchedule {
@@ -162,36 +162,36 @@
     }
 }
 
-/// Spans of the daemon's own work.
+/// Time limits of the daemon's own work.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayTiming {
-    /// Milliseconds from an undisturbed store on in which this daemon must follow it again.
+    /// Milliseconds after the end of a store disturbance within which this daemon must follow the store again.
     pub contact_ms: u64,
-    /// Seconds from the signal to stop until the process must be over.
+    /// Seconds after the stop signal within which the process must exit.
     pub stop_s: f64,
-    /// Milliseconds that separate the orders of two holders at least.
+    /// Minimum time in milliseconds between the last order of one leader and the first order of the next.
     pub order_lease_ms: u64,
 }
 
-/// Files that are kept for other things than connections.
+/// Number of open files reserved for purposes other than connections.
 const RESERVED_FILES: u32 = 256;
 
 impl GatewaySettings {
-    /// Read and check a settings file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Why it cannot be used; the text names the field and what is expected there.
+    /// Returns why the file cannot be used; the message names the field and what is expected there.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let settings: Self = read_file(path)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Check the values.
+    /// Checks the values.
     ///
     /// # Errors
-    /// The first field that cannot be used, and what is expected there.
+    /// Returns the first invalid field and what is expected there.
     pub fn check(&self) -> Result<(), SettingsError> {
         expect(!self.vm.is_empty(), "vm", "the VM's name")?;
         expect(!self.hall.is_empty(), "hall", "the hall's name")?;
@@ -217,7 +217,8 @@
         expect(self.timing.order_lease_ms >= 1_000, "timing.order_lease_ms", "1000 at least")
     }
 
-    /// Connections of callers at once at most: half of the files, the rest goes to endpoints.
+    /// Maximum number of concurrent connections from callers: half of the files that are not reserved, since the
+    /// connections to endpoints need the rest.
     #[must_use]
     pub const fn caller_connections(&self) -> usize {
         (self.max_files.saturating_sub(RESERVED_FILES) / 2) as usize
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings file of the daemon, apart from it so that the operators' command can check one.
+//! Settings files of the daemon, in a crate of their own so that the operators' command can check them.
 
 pub mod error;
 pub mod gateway;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file: one JSON object, checked before anything starts.
+//! Settings of a daemon: one JSON object, checked before anything starts.
 //!
-//! Settings name spans of time in milliseconds; wherever one is used it becomes a deadline.
+//! Durations are given in milliseconds, and are converted to deadlines where they are used.
 
 use std::{fmt, net::SocketAddr, path::Path};
 
@@ -9,19 +9,19 @@
 
 use crate::error::SettingsError;
 
-/// A value that is never printed.
+/// A secret value, which is never printed.
 #[derive(Clone, Deserialize, PartialEq, Eq)]
 #[serde(transparent)]
 pub struct Secret(String);
 
 impl Secret {
-    /// A secret.
+    /// Creates a secret.
     #[must_use]
     pub fn new(value: &str) -> Self {
         Self(value.to_owned())
     }
 
-    /// The HTTP `authorization` value that proves its knowledge.
+    /// Value of the HTTP `authorization` header that contains the secret.
     #[must_use]
     pub fn bearer(&self) -> String {
         format!("Bearer {}", self.0)
@@ -38,52 +38,52 @@
     }
 }
 
-/// The settings of one daemon.
+/// Settings of one daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the VM, as the platform lists it.
+    /// Name of the VM in the platform's list.
     pub vm: String,
     /// Hall of the VM.
     pub hall: String,
-    /// `IP:port` for callers.
+    /// Address for callers, as `IP:port`.
     pub caller_address: String,
-    /// `IP:port` for operators, health and metrics.
+    /// Address for operators, health checks and metrics, as `IP:port`.
     pub operator_address: String,
-    /// `IP:port` for other daemons.
+    /// Address for other daemons, as `IP:port`.
     pub peer_address: String,
-    /// `IP:port` by which other daemons reach it, where that differs.
+    /// Address at which other daemons reach this one, as `IP:port`, if it differs from `peer_address`.
     #[serde(default)]
     pub peer_advertise: Option<String>,
-    /// `IP:port` of the key-value service.
+    /// Address of the key-value service, as `IP:port`.
     pub kv_address: String,
-    /// `IP:port` of the platform's list of VMs.
+    /// Address of the platform's list of VMs, as `IP:port`.
     pub vm_list_address: String,
     /// Prefix of this deployment's keys in the key-value service.
     pub keyspace: String,
-    /// Secret that daemons show each other, 16 bytes at least.
+    /// Secret by which daemons authenticate to each other; at least 16 bytes.
     pub peer_secret: Secret,
-    /// Token that operators show, 16 bytes at least.
+    /// Token by which operators authenticate; at least 16 bytes.
     pub operator_token: Secret,
-    /// Kind of a request that names none; without it such a request is refused.
+    /// Kind of requests that name none; if absent, such requests are refused.
     #[serde(default)]
     pub default_kind: Option<String>,
-    /// Limits on what callers send.
+    /// Limits on callers' requests and connections.
     #[serde(default)]
     pub limits: Limits,
-    /// Time limits of the daemon's own work.
+    /// Intervals and time limits of the daemon's own work.
     #[serde(default)]
     pub timing: Timing,
-    /// Policy of dispatching.
+    /// Dispatch policy.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// Loads of models, adapters and versions that a shard's holder orders a minute.
+    /// Maximum number of loads of models, adapters and versions per minute that the holder of a shard orders.
     #[serde(default = "default_loads")]
     pub loads_per_minute: f64,
-    /// Logs.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
-    /// URL that takes OTLP traces over HTTP; none are sent without it.
+    /// URL to which traces are sent by OTLP over HTTP; if absent, none are sent.
     #[serde(default)]
     pub otlp_endpoint: Option<String>,
 }
@@ -92,19 +92,19 @@
     30.0
 }
 
-/// Limits on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of a body at most.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Bytes of all headers at most.
+    /// Maximum size of all headers in bytes.
     pub header_bytes: usize,
-    /// Milliseconds in which the headers must have come.
+    /// Milliseconds within which the headers must arrive.
     pub header_ms: u64,
-    /// Milliseconds in which the body must have come.
+    /// Milliseconds within which the body must arrive.
     pub body_ms: u64,
-    /// Connections at once at most.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
 }
 
@@ -114,31 +114,31 @@
     }
 }
 
-/// Time limits of the daemon's own work, in milliseconds.
+/// Intervals and time limits of the daemon's own work, in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Time between two probes of other daemons.
+    /// Interval between probes of other daemons.
     pub probe_ms: u64,
-    /// Time for one call to another daemon.
+    /// Timeout of a call to another daemon.
     pub peer_call_ms: u64,
-    /// Time for which a silent daemon may refute.
+    /// Time that a daemon suspected of having failed has to refute it.
     pub suspicion_ms: u64,
-    /// Time between two looks at the list of VMs.
+    /// Interval between reads of the list of VMs.
     pub list_ms: u64,
-    /// Bound on how far the list of VMs lags.
+    /// Maximum time by which the list of VMs lags behind the actual state.
     pub list_lag_ms: u64,
-    /// Time between two looks at an endpoint's load.
+    /// Interval between queries of an endpoint's load.
     pub observe_ms: u64,
-    /// Age at which an unconfirmed configuration or list counts as old.
+    /// Time without confirmation after which the configuration or the list of VMs counts as outdated.
     pub confirm_ms: u64,
-    /// Length of a shard's lease; whole seconds.
+    /// Duration of a shard's lease, rounded down to whole seconds.
     pub lease_ms: u64,
-    /// Time between two rounds of control.
+    /// Interval between rounds of the control loop.
     pub control_ms: u64,
-    /// Time for which new work is taken after a planned stop began, while the balancer lags.
+    /// Time for which new work is still accepted after a planned stop has begun, until the load balancer has noticed.
     pub stop_grace_ms: u64,
-    /// Time for which an idempotency key is remembered at least.
+    /// Minimum time for which an idempotency key is remembered.
     pub claim_ms: u64,
 }
 
@@ -160,21 +160,22 @@
     }
 }
 
-/// Policy of dispatching.
+/// Dispatch policy.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicySettings {
-    /// Whether requests that cannot be in time are refused early.
+    /// Whether requests that cannot meet their deadline are refused early.
     pub admission: bool,
-    /// Requests that wait in one pool at most.
+    /// Maximum number of waiting requests in one pool.
     pub queue_limit: usize,
-    /// Attempts at one request at most.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Retries for each new request, on average.
+    /// Average number of retries allowed per new request.
     pub retry_ratio: f64,
-    /// Factor on predicted times when an early refusal is weighed.
+    /// Factor applied to the predicted response time before it is compared with the deadline.
     pub refuse_margin: f64,
-    /// Milliseconds of silence that fail an attempt.
+    /// Milliseconds without a token after which an attempt counts as stalled, or three times the predicted time to the
+    /// first token if that is longer.
     pub stall_ms: u64,
 }
 
@@ -193,7 +194,7 @@
 }
 
 impl PolicySettings {
-    /// The policy that these settings ask for.
+    /// Converts the settings to the policy.
     #[must_use]
     pub const fn policy(&self) -> Policy {
         Policy {
@@ -207,13 +208,13 @@
     }
 }
 
-/// Logs.
+/// Settings of the log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// How lines look.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Which lines appear, in the syntax of `tracing`'s environment filter.
+    /// Filter of the lines, in the syntax of `tracing`'s environment filter.
     pub filter: String,
 }
 
@@ -223,34 +224,34 @@
     }
 }
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Words for a person.
+    /// Text for people.
     Text,
 }
 
-/// Shortest secret, in bytes.
+/// Minimum length of a secret.
 const MIN_SECRET_BYTES: usize = 16;
 
 impl Settings {
-    /// Read and check a settings file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Why it cannot be used; the text names the field and what is expected there.
+    /// Returns why the file cannot be used; the message names the field and what is expected there.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let settings: Self = read_file(path)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Check the values.
+    /// Checks the values.
     ///
     /// # Errors
-    /// The first field that cannot be used, and what is expected there.
+    /// Returns the first invalid field and what is expected there.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_addresses()?;
         let long_enough = |secret: &Secret| secret.len() >= MIN_SECRET_BYTES;
@@ -274,7 +275,7 @@
         expect(self.policy.refuse_margin > 0.0, "policy.refuse_margin", "a number above 0")
     }
 
-    /// The address that other daemons use.
+    /// Address at which other daemons reach this one.
     #[must_use]
     pub fn advertised_address(&self) -> &str {
         self.peer_advertise.as_deref().unwrap_or(&self.peer_address)
@@ -297,7 +298,7 @@
     }
 }
 
-/// Read a settings file, without checking its values.
+/// Reads a settings file without checking its values.
 pub(crate) fn read_file<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read(path).map_err(|e| SettingsError::Open(path.to_owned(), e))?;
     dahliaseam_wire::error::from_json(&text).map_err(|e| SettingsError::Read(path.to_owned(), e))
