--- a/crates/cli/src/bin/dahliaseam/app.rs
+++ b/crates/cli/src/bin/dahliaseam/app.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 use std::path::PathBuf;
 
@@ -8,11 +8,11 @@
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-/// Drive a dahliaseam deployment: declare what you want and watch the state change.
+/// Operate a dahliaseam deployment: declare resources and watch their state.
 ///
-/// Exit codes: 0 done, 1 refused, 2 wrong usage, 3 no answer or not known, 4 not in time.
+/// Exit codes: 0 success, 1 refused or invalid, 2 wrong usage, 3 no answer or unknown outcome, 4 timed out.
 pub(crate) struct App {
-    /// How results are shown: table or json
+    /// Output format: table or json
     #[bpaf(short, long, argument("FORMAT"), fallback(Output::Table))]
     pub(crate) output: Output,
     #[bpaf(external(target))]
@@ -25,12 +25,12 @@
     let address = long("address")
         .short('a')
         .env("DAHLIASEAM_ADDRESS")
-        .help("IP:port of a daemon's operator address")
+        .help("Operator address of a daemon, as IP:port")
         .argument::<String>("ADDRESS")
         .fallback("127.0.0.1:8081".to_owned());
     let token = long("token")
         .env("DAHLIASEAM_TOKEN")
-        .help("the operators' token")
+        .help("Operator token")
         .argument::<String>("TOKEN")
         .fallback(String::new());
     construct!(Target { address, token })
@@ -39,45 +39,49 @@
 fn kind() -> impl Parser<ResourceKind> {
     let known = || ResourceKind::ALL.iter().map(|kind| (kind.plural(), None)).collect::<Vec<_>>();
     positional::<String>("KIND")
-        .help("pools, models, adapters, versions, roles, kinds, endpoints or teams")
+        .help("Kind of resource: pools, models, adapters, versions, roles, kinds, endpoints or teams")
         .complete(move |_| known())
         .parse(|text| ResourceKind::from_name(&text).ok_or("expected a kind of resource, such as pools or endpoints"))
 }
 
 fn name() -> impl Parser<String> {
-    positional::<String>("NAME").help("the resource's name")
+    positional::<String>("NAME").help("Name of the resource")
 }
 
 fn file() -> impl Parser<PathBuf> {
-    positional::<PathBuf>("FILE").help("a JSON file")
+    positional::<PathBuf>("FILE").help("JSON file")
 }
 
 fn command() -> impl Parser<Command> {
     let get = {
         let (kind, name) = (kind(), name().optional());
-        construct!(Command::Get { kind, name }).to_options().descr("Show resources of a kind, or one").command("get")
+        construct!(Command::Get { kind, name })
+            .to_options()
+            .descr("Show all resources of a kind, or one of them")
+            .command("get")
     };
     let apply = {
         let file = file();
         construct!(Command::Apply { file })
             .to_options()
-            .descr("Make a file's resources hold, all of them or none")
+            .descr("Create or change all resources in a file, or none if one of them is refused")
             .command("apply")
     };
     let edit = {
         let set = long("set")
             .short('s')
-            .help("PATH=VALUE within the spec")
+            .help("Field of the spec to set, as PATH=VALUE; may be repeated")
             .argument::<String>("SET")
-            .some("name a change with --set");
+            .some("expected at least one --set");
         let (kind, name) = (kind(), name());
         construct!(Command::Edit { set, kind, name })
             .to_options()
-            .descr("Change fields of one resource; a racing change is a conflict")
+            .descr("Set fields of one resource; fails with a conflict if it is changed at the same time")
             .command("edit")
     };
     let delete = {
-        let version = long("version").help("refuse unless this is the present version").argument::<u64>("N").optional();
+        let version =
+            long("version").help("Delete only if this is the present version").argument::<u64>("N").optional();
         let (kind, name) = (kind(), name());
         construct!(Command::Delete { version, kind, name }).to_options().descr("Delete a resource").command("delete")
     };
@@ -90,26 +94,28 @@
     };
     let explain = {
         let log = long("log")
-            .help("read it from the logs in FILE, or from standard input for -")
+            .help("Search the logs in FILE, or standard input if it is -, instead of asking a daemon")
             .argument::<PathBuf>("FILE")
             .optional();
-        let request = positional::<String>("REQUEST").help("the identifier from an answer's x-dahliaseam-request");
+        let request = positional::<String>("REQUEST")
+            .help("Identifier of the request, from the x-dahliaseam-request header of its answer");
         construct!(Command::Explain { log, request })
             .to_options()
-            .descr("Show where a request went, why, and what happened to it")
+            .descr("Show where a request was sent, why, and what happened to it")
             .command("explain")
     };
     let streams = {
-        let log = long("log").help("the logs in FILE, or of standard input for -").argument::<PathBuf>("FILE");
+        let log = long("log").help("Read the logs in FILE, or standard input if it is -").argument::<PathBuf>("FILE");
         construct!(Command::Streams { log })
             .to_options()
             .descr("Show how streams ended and at what pace, by replica")
             .command("streams")
     };
     let drain = {
-        let undo = long("undo").help("put the endpoint back into service").switch();
-        let wait_seconds = long("wait-seconds").help("how long to wait").argument::<u64>("N").fallback(60);
-        let endpoint = positional::<String>("ENDPOINT").help("the endpoint's name");
+        let undo = long("undo").help("Put the endpoint back into service").switch();
+        let wait_seconds =
+            long("wait-seconds").help("Maximum time to wait, in seconds").argument::<u64>("N").fallback(60);
+        let endpoint = positional::<String>("ENDPOINT").help("Name of the endpoint");
         construct!(Command::Drain { undo, wait_seconds, endpoint })
             .to_options()
             .descr("Take an endpoint out of service and wait until it is empty")
@@ -119,7 +125,7 @@
         let file = file();
         construct!(Command::Check { file })
             .to_options()
-            .descr("Check a settings or resource file, without any daemon")
+            .descr("Check a settings or resource file without contacting a daemon")
             .command("check")
     };
     let status = bpaf::pure(Command::Status).to_options().descr("Show the state of every daemon").command("status");
--- a/crates/cli/src/bin/dahliaseam/main.rs
+++ b/crates/cli/src/bin/dahliaseam/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! Command for operators of a deployment.
 
 mod app;
 
@@ -9,7 +9,7 @@
     error::{USAGE, print_error},
 };
 
-/// Columns that help texts take.
+/// Maximum width of help texts, in columns.
 const HELP_WIDTH: usize = 100;
 
 #[tokio::main(flavor = "current_thread")]
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon's operator address.
+//! Client of a daemon's operator API.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 
 use crate::error::CommandError;
 
-/// Time for one call.
+/// Time limit for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where a daemon is and how operators prove themselves.
+/// Address of a daemon and credentials of the operator.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// `IP:port` of its operator address.
+    /// Operator address of the daemon, as `IP:port`.
     pub address: String,
-    /// The operators' token.
+    /// Operator token.
     pub token: String,
 }
 
-/// A client of the resource API.
+/// Client of the resource API.
 #[derive(Clone, Debug)]
 pub struct Client {
     target: Target,
@@ -34,16 +34,16 @@
 }
 
 impl Client {
-    /// A client.
+    /// Creates a client.
     #[must_use]
     pub fn new(target: Target) -> Self {
         Self { target, http: HttpClient::new(Reuse::Fresh) }
     }
 
-    /// Make a call.
+    /// Makes a call and parses the JSON answer.
     ///
     /// # Errors
-    /// Why it was refused, or has no answer.
+    /// Returns an error if the call was refused or no valid answer arrived.
     pub async fn call<A: Serialize, B: DeserializeOwned>(
         &self,
         method: Method,
@@ -58,7 +58,7 @@
         Err(api_error(&body))
     }
 
-    /// Get a JSON answer.
+    /// Makes a GET call and parses the JSON answer.
     ///
     /// # Errors
     /// As [`Client::call`].
@@ -66,7 +66,7 @@
         self.call::<(), B>(Method::GET, path, None).await
     }
 
-    /// Open a stream of lines.
+    /// Opens a stream of lines.
     ///
     /// # Errors
     /// As [`Client::call`].
@@ -106,7 +106,7 @@
     }
 }
 
-/// Lines of an answer that goes on.
+/// Lines of a streamed answer.
 #[derive(Debug)]
 pub struct Lines {
     resp: Response<Incoming>,
@@ -114,10 +114,10 @@
 }
 
 impl Lines {
-    /// The next line, or nothing when the answer is over.
+    /// Returns the next line, or `None` at the end of the answer.
     ///
     /// # Errors
-    /// Why the answer broke off.
+    /// Returns an error if the connection broke.
     pub async fn next(&mut self) -> Result<Option<Bytes>, CommandError> {
         loop {
             if let Some(end) = self.buf.iter().position(|b| *b == b'\n') {
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! What the command does.
+//! Implementation of the subcommands.
 
 use std::{
     io::Write,
@@ -23,81 +23,81 @@
     patch, streams,
 };
 
-/// Time between two looks at a drain.
+/// Interval between checks whether an endpoint is drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is asked of the command.
+/// A subcommand with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Show resources of a kind, or one.
+    /// Show all resources of a kind, or one of them.
     Get {
-        /// The kind.
+        /// Kind of resource.
         kind: ResourceKind,
-        /// The name; all of the kind without it.
+        /// Name of the resource; `None` for all of the kind.
         name: Option<String>,
     },
-    /// Make a file's resources hold, all or none.
+    /// Create or change all resources in a file, or none.
     Apply {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
     },
-    /// Change fields of one resource.
+    /// Set fields of one resource.
     Edit {
-        /// The kind.
+        /// Kind of resource.
         kind: ResourceKind,
-        /// The name.
+        /// Name of the resource.
         name: String,
-        /// Assignments, `path=value`.
+        /// Assignments of the form `path=value`.
         set: Vec<String>,
     },
     /// Delete a resource.
     Delete {
-        /// The kind.
+        /// Kind of resource.
         kind: ResourceKind,
-        /// The name.
+        /// Name of the resource.
         name: String,
-        /// The version that must be the present one.
+        /// Version that must be the present one; `None` for any.
         version: Option<u64>,
     },
     /// Show resources of a kind as they change.
     Watch {
-        /// The kind.
+        /// Kind of resource.
         kind: ResourceKind,
     },
-    /// Show what happened to a request and why.
+    /// Show where a request was sent, why, and what happened to it.
     Explain {
-        /// The request's identifier.
+        /// Identifier of the request.
         request: String,
-        /// Logs to read it from, instead of asking a daemon.
+        /// Log file to search instead of asking a daemon; `-` for standard input.
         log: Option<PathBuf>,
     },
-    /// Show how streams ended, by replica.
+    /// Show how streams ended and at what pace, by replica.
     Streams {
-        /// Logs to read it from.
+        /// Log file to read; `-` for standard input.
         log: PathBuf,
     },
     /// Take an endpoint out of service and wait until nothing runs there.
     Drain {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// Put it back into service instead.
+        /// Whether to put it back into service instead.
         undo: bool,
-        /// Seconds to wait.
+        /// Maximum time to wait, in seconds.
         wait_seconds: u64,
     },
-    /// Check a settings or resource file, without any daemon.
+    /// Check a settings or resource file without contacting a daemon.
     Check {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
     },
     /// Show the state of every daemon.
     Status,
 }
 
-/// Carry a command out, with what it shows to `out`.
+/// Executes a command and writes its output to `out`.
 ///
 /// # Errors
-/// Why it did not do what was asked.
+/// Returns why the command failed.
 pub async fn run(command: Command, target: Target, output: Output, out: &mut impl Write) -> Result<(), CommandError> {
     let client = Client::new(target);
     let text = match command {
@@ -126,7 +126,7 @@
         Command::Check { file } => check(&file)?,
         Command::Status => output.text(&client.get::<StatusReport>("/v1/status").await?),
     };
-    // A reader that has gone, as `head` does, is no error of the command.
+    // A closed pipe, for example after `head` has exited, is not an error of the command.
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     Ok(())
 }
@@ -145,7 +145,7 @@
     for assignment in set {
         patch::set(&mut spec, assignment)?;
     }
-    // Naming the version that was read makes a racing change a conflict instead of a loss.
+    // With the version that was read, a concurrent change leads to a conflict instead of being overwritten.
     let body = PutBody { resource_version: Some(resource.resource_version), spec };
     client.call(Method::PUT, &format!("/v1/{}/{name}", kind.plural()), Some(&json!(body_value(&body)))).await
 }
@@ -182,7 +182,7 @@
         }
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    Err(CommandError::TimedOut(format!("{endpoint} gets no new work, and still works on what it has")))
+    Err(CommandError::TimedOut(format!("{endpoint} gets no new work, but did not become empty")))
 }
 
 fn read_resources(file: &Path) -> Result<ApplyBody, CommandError> {
@@ -211,6 +211,6 @@
     match Document::default().with_changes(&changes, "check") {
         Ok(_) => Ok(format!("{}: {count} resources are good\n", file.display())),
         Err(Refused::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
-        Err(_) => Err(CommandError::Usage("a resource stands twice".to_owned())),
+        Err(_) => Err(CommandError::Usage("a resource is listed twice".to_owned())),
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command, their exit codes, and the one place that prints them.
+//! Errors of the command, their exit codes, and the function that prints them.
 
 use std::{io, path::PathBuf};
 
@@ -8,14 +8,14 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a command did not do what was asked.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum CommandError {
-        /// The daemon refused it.
+        /// The daemon answered with an error.
         Api(e: Box<ApiError>) {
             display("{}: {}{}", e.code, e.message, details(e))
         }
-        /// The daemon did not answer.
+        /// The call to the daemon failed.
         Call(e: CallError) {
             from()
             display("the daemon does not answer: {}", e)
@@ -24,45 +24,45 @@
         Open(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
-        /// A file is not what is expected.
+        /// A file is not valid JSON or has an unexpected field.
         Read(path: PathBuf, e: ReadError) {
             display("{}: {}", path.display(), e)
         }
-        /// A settings file is not what is expected.
+        /// A settings file is not valid.
         Settings(e: SettingsError) {
             from()
             display("{}", e)
         }
-        /// A resource file would not be valid.
+        /// The resources in a file are not valid.
         Invalid(path: PathBuf, problems: Vec<dahliaseam_wire::validate::Problem>) {
             display("{}: not valid{}", path.display(), problem_lines(problems))
         }
-        /// The answer cannot be understood.
+        /// The answer or the logs contain no usable result.
         Answer(why: String) {
-            display("the daemon's answer cannot be read: {}", why)
+            display("no usable result: {}", why)
         }
-        /// The words of the command are off.
+        /// The arguments are not valid.
         Usage(why: String) {
             display("{}", why)
         }
-        /// It did not come about in time.
+        /// The expected state was not reached in time.
         TimedOut(what: String) {
-            display("not in time: {}", what)
+            display("timed out: {}", what)
         }
     }
 }
 
-/// Exit code: the daemon refused, or a file is not valid.
+/// Exit code: the daemon refused the request, or a file is not valid.
 pub const REFUSED: u8 = 1;
-/// Exit code: the command's words are off.
+/// Exit code: the arguments are not valid, or a file cannot be read.
 pub const USAGE: u8 = 2;
-/// Exit code: nothing took effect, or that is not known; try again.
+/// Exit code: there is no usable answer, or it is unknown whether a change took effect.
 pub const UNAVAILABLE: u8 = 3;
-/// Exit code: it did not come about in time.
+/// Exit code: the expected state was not reached in time.
 pub const TIMED_OUT: u8 = 4;
 
 impl CommandError {
-    /// The exit code.
+    /// Exit code of the command.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Print why a command failed.
+/// Prints why a command failed, to standard error.
 pub fn print_error(error: &CommandError) {
     eprintln!("dahliaseam: {error}");
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command, as a library: what it does, apart from how it is asked.
+//! Implementation of the operators' command, without the parsing of its arguments.
 
 pub mod client;
 pub mod command;
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,4 +1,4 @@
-//! What daemons' logs say of one request.
+//! Search of daemons' logs for one request.
 
 use std::{
     fs::File,
@@ -10,14 +10,13 @@
 
 use crate::error::CommandError;
 
-/// Fields that stand before the others in a shown line.
+/// Fields that are not printed as `name=value`: two lead the line, the others are omitted.
 const LEADING_FIELDS: [&str; 5] = ["timestamp", "level", "code", "event", "request"];
 
-/// The lines of the logs in `file`, or of standard input for `-`, that name `request`, one after
-/// the other as they stand there.
+/// Formats the log lines in `file`, or on standard input for `-`, that name `request`, in their order.
 ///
 /// # Errors
-/// The file cannot be read, or no line names the request.
+/// Returns an error if the file cannot be read or no line names the request.
 pub fn explain(file: &Path, request: &str) -> Result<String, CommandError> {
     let mut text = String::new();
     for_each_line(file, |json| {
@@ -26,16 +25,17 @@
         }
     })?;
     if text.is_empty() {
-        return Err(CommandError::Answer(format!("no line of {} names the request {request}", file.display())));
+        return Err(CommandError::Answer(format!("no log line in {} names request {request}", file.display())));
     }
     Ok(text)
 }
 
-/// Pass each line of the logs in `file`, or of standard input for `-`, to `f`, from where its JSON
-/// begins: logs of several processes often stand in one file behind a name and a time.
+/// Calls `f` with the JSON part of each log line in `file`, or on standard input for `-`.
+///
+/// The logs of several processes are often collected in one file, with a time and a name before the JSON of each line.
 ///
 /// # Errors
-/// The file cannot be read.
+/// Returns an error if the file cannot be read.
 pub(crate) fn for_each_line(file: &Path, mut f: impl FnMut(&str)) -> Result<(), CommandError> {
     let open = |e| CommandError::Open(file.to_owned(), e);
     let input: Box<dyn Read> =
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// A line that names the request, as it is shown. Other lines, and what is no JSON, are passed over.
+/// Formats a log line that names the request; `None` for other lines and for lines that are not JSON.
 fn format_line(json: &str, request: &str) -> Option<String> {
     let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
     if fields.get("request")?.as_str()? != request {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,16 +1,16 @@
-//! How results are shown.
+//! Formatting of results.
 
 use dahliaseam_wire::operator::{RequestRecord, Resource, StatusReport, WatchEvent};
 use serde::Serialize;
 use serde_json::Value;
 
-/// How results are shown.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// Columns for a person.
+    /// Aligned columns, for people.
     #[default]
     Table,
-    /// JSON for a program.
+    /// JSON, for programs.
     Json,
 }
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// A result that can be shown in columns.
+/// A result that can be formatted as a table.
 pub trait Show: Serialize {
-    /// Rows of columns, the head first.
+    /// Rows of the table; the first is the header, if there is one.
     fn rows(&self) -> Vec<Vec<String>>;
 }
 
 impl Output {
-    /// The result as text.
+    /// Formats a result.
     #[must_use]
     pub fn text(self, result: &impl Show) -> String {
         match self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// One event of a watch as a line.
+    /// Formats one event of a watch as a line without a line break.
     #[must_use]
     pub fn line(self, event: &WatchEvent) -> String {
         match (self, event) {
@@ -66,7 +66,7 @@
     rows.iter().map(line).collect()
 }
 
-/// A status in a few words: its plain fields.
+/// Summary of a status: its fields that are neither objects nor arrays nor null.
 fn summary(status: &Value) -> String {
     let Some(fields) = status.as_object() else { return String::new() };
     let scalars = fields.iter().filter(|(_, v)| !v.is_object() && !v.is_array() && !v.is_null());
@@ -154,7 +154,7 @@
 }
 
 fn candidate_row(c: &dahliaseam_wire::operator::CandidateRecord) -> Vec<String> {
-    let skipped = c.skipped.map(|s| format!("passed over: {}", variant_name(&s))).unwrap_or_default();
+    let skipped = c.skipped.map(|s| format!("skipped: {}", variant_name(&s))).unwrap_or_default();
     vec![
         "  candidate".into(),
         c.endpoint.clone(),
@@ -164,7 +164,7 @@
     ]
 }
 
-/// A unit variant as its word.
+/// Serialized name of a unit variant; `-` for any other value.
 fn variant_name<T: Serialize>(value: &T) -> String {
     match serde_json::to_value(value) {
         Ok(Value::String(text)) => text,
--- a/crates/cli/src/patch.rs
+++ b/crates/cli/src/patch.rs
@@ -1,13 +1,13 @@
-//! Changes to a specification, given as `path=value`.
+//! Assignments to fields of a specification, of the form `path=value`.
 
 use serde_json::Value;
 
 use crate::error::CommandError;
 
-/// Set the field at a dotted path; the value is JSON, or else a string.
+/// Sets the field at a dotted path and creates missing objects on the way. A value that is not JSON is a string.
 ///
 /// # Errors
-/// When there is no `=`, or the path leads through something that is not an object.
+/// Returns an error if there is no `=`, or if the path leads through a value that is not an object.
 pub fn set(spec: &mut Value, assignment: &str) -> Result<(), CommandError> {
     let (path, text) = assignment
         .split_once('=')
@@ -17,7 +17,7 @@
     let mut parts = path.split('.').peekable();
     while let Some(part) = parts.next() {
         let Value::Object(fields) = at else {
-            return Err(CommandError::Usage(format!("{path}: {part} is not in an object")));
+            return Err(CommandError::Usage(format!("{path}: the parent of {part} is not an object")));
         };
         if parts.peek().is_none() {
             fields.insert(part.to_owned(), value);
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -1,8 +1,8 @@
-//! What daemons' logs say of the streams that are over, by the replica that answered.
+//! Summary of the ended streams in daemons' logs, by replica.
 //!
-//! A stream that ends unfinished long after its first event was too slow all along, or stopped. The
-//! time between two events by how many long answers the replica had tells which: it grows with them
-//! where an engine has too many, and is longer throughout where the engine is slow.
+//! A stream that ends unfinished long after its first event was either slow throughout or stopped. The interval between
+//! events, grouped by the number of long answers that the replica was generating, shows why a replica is slow: it grows
+//! with that number if an engine has too many of them, and is longer at any number if the engine itself is slow.
 
 use std::{collections::BTreeMap, path::Path};
 
@@ -10,14 +10,14 @@
 
 use crate::{error::CommandError, log};
 
-/// The event of a request that is over.
+/// Event that is logged when a request has ended.
 const REQUEST_OVER: &str = "ROUTED_OVER";
-/// How it ends if the caller got all of it.
+/// Outcome of a request whose whole answer was delivered.
 const OUTCOME_ANSWERED: &str = "answered";
-/// Long answers beside a stream at which each bucket begins.
+/// Lower bounds of the groups, as numbers of long answers that the replica generates beside a stream.
 const CONCURRENCY_BUCKETS: [u32; 5] = [0, 20, 40, 60, 80];
 
-/// A line of the log that tells of a stream.
+/// A log line about an ended stream.
 #[derive(Debug, Deserialize)]
 struct LogLine {
     event: String,
@@ -28,13 +28,13 @@
     interval_us: Option<u64>,
 }
 
-/// The streams of one replica.
+/// Statistics of the streams of one replica.
 #[derive(Debug, Default)]
 struct ReplicaStreams {
     total: usize,
     unfinished: usize,
     max_events: u64,
-    /// Microseconds between two events, by [`CONCURRENCY_BUCKETS`].
+    /// Microseconds between two events, one value per stream, grouped by [`CONCURRENCY_BUCKETS`].
     intervals: [Vec<u64>; CONCURRENCY_BUCKETS.len()],
 }
 
@@ -57,12 +57,13 @@
     }
 }
 
-/// A table of the streams in the logs in `file`, or of standard input for `-`: how many, how many of them
-/// unfinished, the most events of one, and the median milliseconds between two events by how many long
-/// answers the replica had.
+/// Formats a table of the streams in the logs in `file`, or on standard input for `-`.
+///
+/// It shows per replica the number of streams, how many of them did not finish, the maximum number of events of one,
+/// and the median interval between events in milliseconds, by the number of long answers at the replica.
 ///
 /// # Errors
-/// The file cannot be read, or tells of no stream.
+/// Returns an error if the file cannot be read or contains no ended stream.
 pub fn table(file: &Path) -> Result<String, CommandError> {
     let mut replicas: BTreeMap<String, ReplicaStreams> = BTreeMap::new();
     log::for_each_line(file, |json| {
@@ -72,7 +73,7 @@
         }
     })?;
     if replicas.is_empty() {
-        return Err(CommandError::Answer(format!("no line of {} tells of a stream", file.display())));
+        return Err(CommandError::Answer(format!("no log line in {} reports the end of a stream", file.display())));
     }
     let mut text = format!("{:<20} {:>7} {:>10} {:>6}", "REPLICA", "STREAMS", "UNFINISHED", "EVENTS");
     text.extend(CONCURRENCY_BUCKETS.map(|from| format!("{:>7}", format!("MS@{from}"))));
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,12 +1,12 @@
-//! The real command against snapshots: help, offline checks, errors and exit codes.
+//! Tests of the built command: help, offline checks, errors and exit codes.
 
-#![expect(clippy::needless_raw_string_hashes, reason = "expect-test writes its snapshots so")]
+#![expect(clippy::needless_raw_string_hashes, reason = "expect-test writes its snapshots this way")]
 
 use std::process::Command;
 
 use expect_test::{Expect, expect};
 
-/// Run the command; its exit code, output and errors as one text.
+/// Runs the command; returns its exit code, standard output and standard error as one text.
 fn run(args: &[&str]) -> String {
     let out = Command::new(env!("CARGO_BIN_EXE_dahliaseam"))
         .args(args)
@@ -51,11 +51,11 @@
         Usage: dahliaseam drain [--undo] [--wait-seconds=N] ENDPOINT
 
         Available positional items:
-            ENDPOINT              the endpoint's name
+            ENDPOINT              Name of the endpoint
 
         Available options:
-                --undo            put the endpoint back into service
-                --wait-seconds=N  how long to wait
+                --undo            Put the endpoint back into service
+                --wait-seconds=N  Maximum time to wait, in seconds
             -h, --help            Prints help information
 
     "#]],
@@ -144,5 +144,5 @@
     "#]],
     );
     let empty = run(&["streams", "--log", &write_temp_file("no-streams.log", "")]);
-    assert!(empty.starts_with("exit 3") && empty.contains("tells of a stream"), "{empty}");
+    assert!(empty.starts_with("exit 3") && empty.contains("reports the end of a stream"), "{empty}");
 }
