--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -11,7 +11,7 @@
 use crate::error::CommandError;
 
 /// Fields that are not printed as `name=value`: two lead the line, the others are omitted.
-const LEADING_FIELDS: [&str; 5] = ["timestamp", "level", "code", "event", "request"];
+const EXCLUDED_FIELDS: [&str; 5] = ["timestamp", "level", "code", "event", "request"];
 
 /// Formats the log lines in `file`, or on standard input for `-`, that name `request`, in their order.
 ///
@@ -58,7 +58,7 @@
     let text_of = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or("").to_owned();
     let other_fields: Vec<String> = fields
         .iter()
-        .filter(|(name, _)| !LEADING_FIELDS.contains(&name.as_str()))
+        .filter(|(name, _)| !EXCLUDED_FIELDS.contains(&name.as_str()))
         .map(|(name, value)| format!("{name}={}", value.as_str().map_or_else(|| value.to_string(), str::to_owned)))
         .collect();
     Some(format!("{}  {:<16} {}\n", text_of("timestamp"), text_of("event"), other_fields.join(" ")))
