--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,16 +1,16 @@
-//! How results are shown.
+//! Formatting of results.
 
 use dahliaseam_wire::operator::{RequestRecord, Resource, StatusReport, WatchEvent};
 use serde::Serialize;
 use serde_json::Value;
 
-/// How results are shown.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// Columns for a person.
+    /// Aligned columns, for people.
     #[default]
     Table,
-    /// JSON for a program.
+    /// JSON, for programs.
     Json,
 }
 
@@ -26,36 +26,36 @@
     }
 }
 
-/// A result that can be shown in columns.
+/// A result that can be formatted as a table.
 pub trait Show: Serialize {
-    /// Rows of columns, the head first.
+    /// Rows of the table; the first is the header, if there is one.
     fn rows(&self) -> Vec<Vec<String>>;
 }
 
 impl Output {
-    /// The result as text.
+    /// Formats a result.
     #[must_use]
     pub fn text(self, result: &impl Show) -> String {
         match self {
             Self::Json => serde_json::to_string_pretty(result).unwrap_or_default() + "\n",
-            Self::Table => columns(&result.rows()),
+            Self::Table => align_columns(&result.rows()),
         }
     }
 
-    /// One event of a watch as a line.
+    /// Formats one event of a watch as a line without a line break.
     #[must_use]
     pub fn line(self, event: &WatchEvent) -> String {
         match (self, event) {
             (Self::Json, _) => serde_json::to_string(event).unwrap_or_default(),
             (Self::Table, WatchEvent::Put { resource }) => {
-                format!("{} {} {}", resource.name, resource.resource_version, brief(&resource.status))
+                format!("{} {} {}", resource.name, resource.resource_version, summary(&resource.status))
             }
             (Self::Table, WatchEvent::Delete { name, generation, .. }) => format!("{name} {generation} deleted"),
         }
     }
 }
 
-fn columns(rows: &[Vec<String>]) -> String {
+fn align_columns(rows: &[Vec<String>]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |i: usize| rows.iter().filter_map(|row| row.get(i)).map(String::len).max().unwrap_or(0);
     let widths: Vec<_> = (0..count).map(width).collect();
@@ -66,15 +66,15 @@
     rows.iter().map(line).collect()
 }
 
-/// A status in a few words: its plain fields.
-fn brief(status: &Value) -> String {
+/// Summary of a status: its fields that are neither objects nor arrays nor null.
+fn summary(status: &Value) -> String {
     let Some(fields) = status.as_object() else { return String::new() };
-    let plain = fields.iter().filter(|(_, v)| !v.is_object() && !v.is_array() && !v.is_null());
-    let words = plain.map(|(name, value)| match value {
+    let scalars = fields.iter().filter(|(_, v)| !v.is_object() && !v.is_array() && !v.is_null());
+    let pairs = scalars.map(|(name, value)| match value {
         Value::String(text) => format!("{name}={text}"),
         other => format!("{name}={other}"),
     });
-    words.collect::<Vec<_>>().join(" ")
+    pairs.collect::<Vec<_>>().join(" ")
 }
 
 fn row(cells: &[&str]) -> Vec<String> {
@@ -84,7 +84,7 @@
 impl Show for Vec<Resource> {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["NAME", "VERSION", "STATUS"])];
-        rows.extend(self.iter().map(|r| vec![r.name.clone(), r.resource_version.to_string(), brief(&r.status)]));
+        rows.extend(self.iter().map(|r| vec![r.name.clone(), r.resource_version.to_string(), summary(&r.status)]));
         rows
     }
 }
@@ -92,9 +92,9 @@
 impl Show for Resource {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["name", &self.name]), row(&["version", &self.resource_version.to_string()])];
-        for (part, value) in [("spec", &self.spec), ("status", &self.status)] {
+        for (section, value) in [("spec", &self.spec), ("status", &self.status)] {
             let fields = value.as_object().into_iter().flatten();
-            rows.extend(fields.map(|(field, value)| vec![format!("{part}.{field}"), value.to_string()]));
+            rows.extend(fields.map(|(field, value)| vec![format!("{section}.{field}"), value.to_string()]));
         }
         rows
     }
@@ -127,7 +127,7 @@
         let mut rows = vec![
             row(&["request", &self.request]),
             row(&["kind", &self.kind, "team", &self.team, "pool", &self.pool]),
-            vec!["outcome".into(), word(&self.outcome), word(&self.refusal)],
+            vec!["outcome".into(), variant_name(&self.outcome), variant_name(&self.refusal)],
             vec![
                 "took".into(),
                 ms(self.took_ms.map(|ms| ms as f64)),
@@ -141,20 +141,20 @@
             rows.push(vec![
                 format!("attempt {}", a.attempt),
                 a.endpoint.clone(),
-                word(&a.reason),
+                variant_name(&a.reason),
                 format!("predicted {:.1} ms, first token {}", a.predicted_first_ms, ms(a.first_ms)),
-                format!("{} tokens, {}", a.tokens, word(&a.end)),
+                format!("{} tokens, {}", a.tokens, variant_name(&a.end)),
                 via,
             ]);
-            rows.extend(a.candidates.iter().map(candidate));
+            rows.extend(a.candidates.iter().map(candidate_row));
         }
-        rows.extend(self.seen.iter().map(candidate));
+        rows.extend(self.seen.iter().map(candidate_row));
         rows
     }
 }
 
-fn candidate(c: &dahliaseam_wire::operator::CandidateRecord) -> Vec<String> {
-    let skipped = c.skipped.map(|s| format!("passed over: {}", word(&s))).unwrap_or_default();
+fn candidate_row(c: &dahliaseam_wire::operator::CandidateRecord) -> Vec<String> {
+    let skipped = c.skipped.map(|s| format!("skipped: {}", variant_name(&s))).unwrap_or_default();
     vec![
         "  candidate".into(),
         c.endpoint.clone(),
@@ -164,8 +164,8 @@
     ]
 }
 
-/// A unit variant as its word.
-fn word<T: Serialize>(value: &T) -> String {
+/// Serialized name of a unit variant; `-` for any other value.
+fn variant_name<T: Serialize>(value: &T) -> String {
     match serde_json::to_value(value) {
         Ok(Value::String(text)) => text,
         _ => "-".to_owned(),
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -1,8 +1,8 @@
-//! What daemons' logs say of the streams that are over, by the replica that answered.
+//! Summary of the ended streams in daemons' logs, by replica.
 //!
-//! A stream that ends unfinished long after its first event was too slow all along, or stopped. The
-//! time between two events by how many long answers the replica had tells which: it grows with them
-//! where an engine has too many, and is longer throughout where the engine is slow.
+//! A stream that ends unfinished long after its first event was either slow throughout or stopped. The interval between
+//! events, grouped by the number of long answers that the replica was generating, shows why a replica is slow: it grows
+//! with that number if an engine has too many of them, and is longer at any number if the engine itself is slow.
 
 use std::{collections::BTreeMap, path::Path};
 
@@ -10,16 +10,16 @@
 
 use crate::{error::CommandError, log};
 
-/// The event of a request that is over.
-const OVER: &str = "ROUTED_OVER";
-/// How it ends if the caller got all of it.
-const ANSWERED: &str = "answered";
-/// Long answers beside a stream at which each column begins.
-const BESIDE: [u32; 5] = [0, 20, 40, 60, 80];
+/// Event that is logged when a request has ended.
+const REQUEST_OVER: &str = "ROUTED_OVER";
+/// Outcome of a request whose whole answer was delivered.
+const OUTCOME_ANSWERED: &str = "answered";
+/// Lower bounds of the groups, as numbers of long answers that the replica generates beside a stream.
+const CONCURRENCY_BUCKETS: [u32; 5] = [0, 20, 40, 60, 80];
 
-/// A line of the log that tells of a stream.
+/// A log line about an ended stream.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     event: String,
     outcome: String,
     replica: String,
@@ -28,54 +28,55 @@
     interval_us: Option<u64>,
 }
 
-/// The streams of one replica.
+/// Statistics of the streams of one replica.
 #[derive(Debug, Default)]
-struct Streams {
-    all: usize,
+struct ReplicaStreams {
+    total: usize,
     unfinished: usize,
-    most_events: u64,
-    /// Microseconds between two events, by [`BESIDE`].
-    intervals: [Vec<u64>; BESIDE.len()],
+    max_events: u64,
+    /// Microseconds between two events, one value per stream, grouped by [`CONCURRENCY_BUCKETS`].
+    intervals: [Vec<u64>; CONCURRENCY_BUCKETS.len()],
 }
 
-impl Streams {
-    fn add(&mut self, line: &Line) {
-        self.all += 1;
-        self.unfinished += usize::from(line.outcome != ANSWERED);
-        self.most_events = self.most_events.max(line.events);
-        let column = BESIDE.iter().rposition(|from| line.beside >= *from).unwrap_or(0);
-        self.intervals[column].extend(line.interval_us);
+impl ReplicaStreams {
+    fn add(&mut self, line: &LogLine) {
+        self.total += 1;
+        self.unfinished += usize::from(line.outcome != OUTCOME_ANSWERED);
+        self.max_events = self.max_events.max(line.events);
+        let bucket = CONCURRENCY_BUCKETS.iter().rposition(|from| line.beside >= *from).unwrap_or(0);
+        self.intervals[bucket].extend(line.interval_us);
     }
 
     fn row(&mut self, replica: &str) -> String {
-        let mut row = format!("{replica:<20} {:>7} {:>10} {:>6}", self.all, self.unfinished, self.most_events);
-        for column in &mut self.intervals {
-            row.push_str(&median(column).map_or_else(|| format!("{:>7}", "-"), |us| format!("{:>7}", us / 1_000)));
+        let mut row = format!("{replica:<20} {:>7} {:>10} {:>6}", self.total, self.unfinished, self.max_events);
+        for bucket in &mut self.intervals {
+            row.push_str(&median(bucket).map_or_else(|| format!("{:>7}", "-"), |us| format!("{:>7}", us / 1_000)));
         }
         row.push('\n');
         row
     }
 }
 
-/// A table of the streams in the logs in `file`, or of standard input for `-`: how many, how many of them
-/// unfinished, the most events of one, and the median milliseconds between two events by how many long
-/// answers the replica had.
+/// Formats a table of the streams in the logs in `file`, or on standard input for `-`.
+///
+/// It shows per replica the number of streams, how many of them did not finish, the maximum number of events of one,
+/// and the median interval between events in milliseconds, by the number of long answers at the replica.
 ///
 /// # Errors
-/// The file cannot be read, or tells of no stream.
-pub fn streams(file: &Path) -> Result<String, CommandError> {
-    let mut replicas: BTreeMap<String, Streams> = BTreeMap::new();
-    log::each_line(file, |json| {
-        let line: Option<Line> = serde_json::from_str(json).ok();
-        if let Some(line) = line.filter(|line| line.event == OVER) {
+/// Returns an error if the file cannot be read or contains no ended stream.
+pub fn table(file: &Path) -> Result<String, CommandError> {
+    let mut replicas: BTreeMap<String, ReplicaStreams> = BTreeMap::new();
+    log::for_each_line(file, |json| {
+        let line: Option<LogLine> = serde_json::from_str(json).ok();
+        if let Some(line) = line.filter(|line| line.event == REQUEST_OVER) {
             replicas.entry(line.replica.clone()).or_default().add(&line);
         }
     })?;
     if replicas.is_empty() {
-        return Err(CommandError::Answer(format!("no line of {} tells of a stream", file.display())));
+        return Err(CommandError::Answer(format!("no log line in {} reports the end of a stream", file.display())));
     }
     let mut text = format!("{:<20} {:>7} {:>10} {:>6}", "REPLICA", "STREAMS", "UNFINISHED", "EVENTS");
-    text.extend(BESIDE.map(|from| format!("{:>7}", format!("MS@{from}"))));
+    text.extend(CONCURRENCY_BUCKETS.map(|from| format!("{:>7}", format!("MS@{from}"))));
     text.push('\n');
     for (replica, streams) in &mut replicas {
         text.push_str(&streams.row(replica));
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -8,7 +8,7 @@
 
 use dahliaseam_border::{
     error::CallError,
-    kv::{Entry, Swap, Swapped, WatchNews},
+    kv::{Entry, Swap, Swapped, WatchEvent},
 };
 use dahliaseam_core::{
     hash,
@@ -113,8 +113,8 @@
         match next {
             None => return Ok(()),
             Some(Err(e)) => return Err(e),
-            Some(Ok(WatchNews::Put(entry))) => apply_entry(node, &entry, received),
-            Some(Ok(WatchNews::Alive | WatchNews::Gone)) => node.freshness().confirm_config(received),
+            Some(Ok(WatchEvent::Put(entry))) => apply_entry(node, &entry, received),
+            Some(Ok(WatchEvent::Alive | WatchEvent::Removed)) => node.freshness().confirm_config(received),
         }
     }
     Ok(())
@@ -173,7 +173,7 @@
             Some(entry) => parse(entry).map_err(ChangeError::Unavailable)?,
             None => Document::default(),
         };
-        let next = current.changed(changes, &token).map_err(ChangeError::Refused)?;
+        let next = current.with_changes(changes, &token).map_err(ChangeError::Refused)?;
         let generation = next.generation;
         let swap = Swap {
             key: key(node),
@@ -189,7 +189,7 @@
                 return Ok(generation);
             }
             Ok(_) => {}
-            Err(e) if e.surely_no_effect() => return Err(ChangeError::Unavailable(e.to_string())),
+            Err(e) if e.had_no_effect() => return Err(ChangeError::Unavailable(e.to_string())),
             Err(_) => return settle(node, &token).await,
         }
     }
@@ -203,7 +203,7 @@
         if read(node).await.is_err() {
             continue;
         }
-        if let Some(generation) = node.document().written(token) {
+        if let Some(generation) = node.document().generation_of_write(token) {
             emit!(info, CONFIG_ACCEPTED, generation);
             return Ok(generation);
         }
--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -5,7 +5,7 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-use dahliaseam_border::{http::USER_TIMEOUT, vms::ListedVm};
+use dahliaseam_border::{http::TCP_USER_TIMEOUT, vms::ListedVm};
 use dahliaseam_core::{
     custody::WaitReason,
     member::Incarnation,
@@ -93,7 +93,7 @@
     /// Whether `process` is known to have terminated so long ago that none of its bytes can still arrive.
     pub(super) fn is_terminated(&self, node: &Node, process: &Incarnation) -> bool {
         let now = node.now();
-        let max_delivery_time = Span(USER_TIMEOUT.as_micros() as u64 + ARRIVAL_MARGIN.0);
+        let max_delivery_time = Span(TCP_USER_TIMEOUT.as_micros() as u64 + ARRIVAL_MARGIN.0);
         let list_lag = Span::millis(node.settings.timing.list_lag_ms);
         let (terminated, unknown) = {
             let members = node.members();
--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -122,7 +122,7 @@
         node.metrics.kv_call("stand");
         let acquired = match node.kv.swap_all(swaps).await {
             Ok(acquired) => acquired,
-            Err(e) if e.surely_no_effect() => false,
+            Err(e) if e.had_no_effect() => false,
             // The answer was lost; the holder's token shows whether the write took effect.
             Err(_) => node.kv.read(&self.holder_key).await?.is_some_and(|e| e.value == token),
         };
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -191,7 +191,7 @@
     claim: &Claim,
     held: impl Fn(i64) -> HeldClaim,
 ) -> Result<HeldClaim, ClaimError> {
-    if !error.surely_no_effect() {
+    if !error.had_no_effect() {
         emit!(warn, CLAIM_UNSETTLED, request = claim.request, why = %error);
         node.metrics.kv_call("claim_read");
         let read = tokio::time::timeout(CLAIM_TIMEOUT, node.kv.read(key)).await;
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -12,7 +12,7 @@
     frame::{Assembly, Verdict},
     outcome::AttemptEnd,
 };
-use dahliaseam_wire::engine::{Ask, EXTENSION, Import, Mark, NOT_RUN};
+use dahliaseam_wire::engine::{EXTENSION, FrameExtension, Import, NOT_RUN, RequestExtension};
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
 use http::{Request, Response, StatusCode, header::CONTENT_TYPE};
@@ -139,7 +139,7 @@
     assembly: &mut Assembly,
     out: &mpsc::Sender<Piece>,
 ) -> AttemptResult {
-    let mut head = Ask {
+    let mut head = RequestExtension {
         request: call.request.to_owned(),
         attempt: dispatch.attempt,
         priority: call.priority,
@@ -173,10 +173,10 @@
 async fn run_prefill(
     client: &HttpClient,
     call: &EngineCall<'_>,
-    head: &Ask,
+    head: &RequestExtension,
     target: &Target,
 ) -> Result<Import, AttemptEnd> {
-    let head = Ask { export: true, ..head.clone() };
+    let head = RequestExtension { export: true, ..head.clone() };
     let resp = start_call(client, call, &head, target).await.map_err(|ended| ended.end)?;
     let mut events = BodyDataStream::new(resp.into_body()).eventsource();
     while let Some(event) = events.next().await {
@@ -194,7 +194,7 @@
 async fn start_call(
     client: &HttpClient,
     call: &EngineCall<'_>,
-    head: &Ask,
+    head: &RequestExtension,
     target: &Target,
 ) -> Result<Response<Incoming>, AttemptResult> {
     let mut body = call.body.clone();
@@ -288,7 +288,7 @@
 /// If the caller accepts no more.
 pub async fn deliver(
     assembly: &mut Assembly,
-    mark: &Mark,
+    mark: &FrameExtension,
     text: String,
     out: &mpsc::Sender<Piece>,
 ) -> Result<Verdict, CallerGone> {
@@ -308,7 +308,7 @@
 }
 
 /// Parses a frame into its mark, text and finish reason.
-fn parse_frame(data: &str) -> Option<(Mark, String, String)> {
+fn parse_frame(data: &str) -> Option<(FrameExtension, String, String)> {
     let value: Value = serde_json::from_str(data).ok()?;
     let mark = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
     let choice = value.get("choices").and_then(|c| c.get(0))?;
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -11,7 +11,7 @@
     member::{Contact, MemberKey},
     time::{Span, Time},
 };
-use dahliaseam_wire::peer::{Answer, Digest, LoadNews, PeerClient, Probe};
+use dahliaseam_wire::peer::{Answer, Digest, EndpointLoad, PeerClient, Probe};
 use futures_util::future::join_all;
 use http::{HeaderMap, HeaderValue, header::AUTHORIZATION};
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
@@ -155,7 +155,7 @@
     let (from, mut news) = (members.contact().clone(), members.take_updates());
     news.extend(members.update_to_refute(key));
     drop(members);
-    Probe { from, news, digest: digest(node), closed_vms: node.availability.closed_vms(), loads: load_reports(node) }
+    Probe { from, updates: news, digest: digest(node), closed_vms: node.availability.closed_vms(), loads: load_reports(node) }
 }
 
 fn make_answer(node: &Node) -> Answer {
@@ -165,7 +165,7 @@
     Answer {
         start,
         refutation,
-        news,
+        updates: news,
         digest: digest(node),
         closed_vms: node.availability.closed_vms(),
         loads: load_reports(node),
@@ -177,7 +177,7 @@
     let reachability = {
         let mut members = node.members();
         members.record_answer(key, answer.start, answer.refutation, now);
-        members.apply(&answer.news, now);
+        members.apply(&answer.updates, now);
         members.reachability()
     };
     apply_load_reports(node, &answer.loads, now);
@@ -211,7 +211,7 @@
 pub fn answer_probe(node: &Arc<Node>, probe: Probe) -> Answer {
     let now = node.now();
     // A suspicion of this daemon must be known before the answer is made, because the answer refutes it.
-    node.members().apply(&probe.news, now);
+    node.members().apply(&probe.updates, now);
     apply_load_reports(node, &probe.loads, now);
     let answer = make_answer(node);
     // Fetching from the prober must not delay the answer to it.
@@ -255,7 +255,7 @@
     }
 }
 
-fn load_reports(node: &Node) -> Vec<LoadNews> {
+fn load_reports(node: &Node) -> Vec<EndpointLoad> {
     let now = node.now();
     let mut recent: Vec<_> = node
         .dispatcher
@@ -264,7 +264,7 @@
         .filter(|(_, view)| view.load_at > Time::default() && now.since(view.load_at) < MAX_LOAD_AGE)
         .collect();
     recent.sort_by_key(|(_, view)| std::cmp::Reverse(view.load_at));
-    let reports = recent.into_iter().take(MAX_LOAD_REPORTS).map(|(name, view)| LoadNews {
+    let reports = recent.into_iter().take(MAX_LOAD_REPORTS).map(|(name, view)| EndpointLoad {
         endpoint: dahliaseam_core::hash::bytes(name.as_bytes()),
         age_ms: now.since(view.load_at).as_millis(),
         queued_prefill: view.load.queued_prefill,
@@ -275,7 +275,7 @@
     reports.collect()
 }
 
-fn apply_load_reports(node: &Node, loads: &[LoadNews], now: Time) {
+fn apply_load_reports(node: &Node, loads: &[EndpointLoad], now: Time) {
     for report in loads {
         let load = LoadReport {
             queued_prefill: report.queued_prefill,
