--- a/proofs/examples/cost.rs
+++ b/proofs/examples/cost.rs
@@ -6,16 +6,16 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     process::usage,
 };
 use serde_json::json;
 
 /// How long is measured.
-const MEASURED: Duration = Duration::from_secs(10);
+const MEASURE_TIME: Duration = Duration::from_secs(10);
 
 /// Bytes that the loopback device has carried.
-fn loopback() -> u64 {
+fn loopback_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:")).unwrap_or_default().to_owned();
     line.split_whitespace().next().and_then(|bytes| bytes.parse().ok()).unwrap_or(0)
@@ -32,26 +32,26 @@
             "probe_ms": 500, "suspicion_ms": 2_000, "list_ms": 1_000, "observe_ms": 500, "confirm_ms": 3_000,
             "lease_ms": 6_000, "control_ms": 250,
         } });
-        let plan = Plan {
+        let config = ClusterConfig {
             daemons,
             engines: vec![(Role::Mixed, Fencing::Checks); 12],
-            plains: 3,
+            plain_services: 3,
             settings: timing,
-            ..Plan::default()
+            ..ClusterConfig::default()
         };
-        let mut cluster = Cluster::start(plan).await;
+        let mut cluster = Cluster::start(config).await;
         // The engines' first loads are paced; what is measured is the steady state.
         tokio::time::sleep(Duration::from_secs(30)).await;
         let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
         let pids: Vec<_> = vms.iter().map(|vm| cluster.daemon(vm).id()).collect();
         let calls_before = cluster.kv_calls().await;
-        let (bytes_before, usage_before) = (loopback(), pids.iter().map(|p| usage(*p).0).sum::<f64>());
-        tokio::time::sleep(MEASURED).await;
-        let bytes = loopback() - bytes_before;
-        let processor = pids.iter().map(|p| usage(*p).0).sum::<f64>() - usage_before;
-        let memory = pids.iter().map(|p| usage(*p).1).max().unwrap_or(0);
+        let (bytes_before, usage_before) = (loopback_bytes(), pids.iter().map(|p| usage(*p).0).sum::<f64>());
+        tokio::time::sleep(MEASURE_TIME).await;
+        let bytes = loopback_bytes() - bytes_before;
+        let cpu_seconds = pids.iter().map(|p| usage(*p).0).sum::<f64>() - usage_before;
+        let memory_bytes = pids.iter().map(|p| usage(*p).1).max().unwrap_or(0);
         let calls = cluster.kv_calls().await;
-        let seconds = MEASURED.as_secs_f64();
+        let seconds = MEASURE_TIME.as_secs_f64();
         let rates: Vec<_> = calls
             .iter()
             .map(|(path, count)| (path, count - calls_before.get(path).copied().unwrap_or(0)))
@@ -64,8 +64,8 @@
             all as f64 / seconds,
             rates.join(", "),
             bytes as f64 / seconds / daemons as f64,
-            processor / seconds / daemons as f64 * 100.0,
-            memory as f64 / 1e6,
+            cpu_seconds / seconds / daemons as f64 * 100.0,
+            memory_bytes as f64 / 1e6,
         );
     }
 }
--- a/proofs/examples/latency.rs
+++ b/proofs/examples/latency.rs
@@ -7,7 +7,7 @@
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use hdrhistogram::Histogram;
 use proofs::{
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     load::{Mix, call},
     process::usage,
 };
@@ -15,21 +15,21 @@
 use stand_ins::{caller::Call, model::ModelParams};
 
 /// Requests of each comparison.
-const PAIRS: u64 = 2_000;
+const REQUESTS: u64 = 2_000;
 /// Callers at once in the throughput run.
 const CALLERS: u64 = 64;
 /// Length of the throughput run.
-const THROUGHPUT: Duration = Duration::from_secs(5);
+const THROUGHPUT_TIME: Duration = Duration::from_secs(5);
 /// Live streams whose memory is measured.
 const STREAMS: u64 = 100;
 
-fn show(what: &str, h: &Histogram<u64>) {
+fn print_quantiles(what: &str, h: &Histogram<u64>) {
     let ms = |q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
     println!("{what}: p50 {:.3} ms, p99 {:.3} ms", ms(0.5), ms(0.99));
 }
 
 /// A call of a team without a limit.
-fn unlimited(kind: &str, n: u64) -> Call {
+fn call_without_limit(kind: &str, n: u64) -> Call {
     Call { team: "measured".to_owned(), deadline_ms: Some(60_000), ..call(kind, n, &Mix::default()) }
 }
 
@@ -41,41 +41,42 @@
 async fn main() {
     let params =
         ModelParams { step: 0.002, step_per_seq: 0.0, slots: 2_048, kv_tokens: u32::MAX, ..ModelParams::default() };
-    let plan = Plan {
+    let config = ClusterConfig {
         daemons: 1,
         engines: vec![(Role::Mixed, Fencing::Checks)],
-        plains: 1,
+        plain_services: 1,
         params,
         work_ms: 0,
         settings: json!({ "policy": { "queue_limit": 100_000, "stall_ms": 30_000 } }),
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut cluster = Cluster::start(plan).await;
-    let wide = json!({ "rates": { "prefill": 1e6, "step": 0.002, "step_per_seq": 0.0, "slots": 2_048 } });
-    cluster.edit("entry-1", "pools", "catalogue", &wide).await;
+    let mut cluster = Cluster::start(config).await;
+    let rates = json!({ "rates": { "prefill": 1e6, "step": 0.002, "step_per_seq": 0.0, "slots": 2_048 } });
+    cluster.edit("entry-1", "pools", "catalogue", &rates).await;
     cluster.edit("entry-1", "kinds", "chat-reply", &json!({ "deadline_ms": 60_000 })).await;
     // An endpoint takes its starting rates from its pool when it is added.
     let engine = cluster.resource("entry-1", "endpoints", "engine-1").await["spec"].clone();
-    let (status, _) = cluster.operate("entry-1", "DELETE", "/v1/endpoints/engine-1", None).await.expect("it answers");
+    let (status, _) =
+        cluster.operator_call("entry-1", "DELETE", "/v1/endpoints/engine-1", None).await.expect("it answers");
     assert!(status.is_success());
-    cluster.apply_eventually(&[json!({ "kind": "endpoint", "name": "engine-1", "spec": engine })]).await;
+    cluster.apply_until_accepted(&[json!({ "kind": "endpoint", "name": "engine-1", "spec": engine })]).await;
     let pid = cluster.daemon("entry-1").id();
     let idle = usage(pid).1;
     println!("idle memory: {:.1} MB", idle as f64 / 1e6);
-    let caller = cluster.caller("caller");
-    let daemon = cluster.daemons["entry-1"].caller.clone();
+    let caller = cluster.new_caller("caller");
+    let daemon = cluster.daemons["entry-1"].caller_address.clone();
     let engine = cluster.endpoints["engine-1"].address.clone();
 
     let (mut direct, mut through) = (histogram(), histogram());
-    for n in 0..PAIRS {
-        let ask = Call { prompt: format!("p{n}"), tokens: 1, ..unlimited("chat-reply", n) };
-        let _ = direct.record(caller.send(&engine, &ask).await.first_micros);
-        let got = caller.send(&daemon, &ask).await;
+    for n in 0..REQUESTS {
+        let req = Call { prompt: format!("p{n}"), tokens: 1, ..call_without_limit("chat-reply", n) };
+        let _ = direct.record(caller.send(&engine, &req).await.first_micros);
+        let got = caller.send(&daemon, &req).await;
         assert_eq!(got.outcome, "whole", "{got:?}");
         let _ = through.record(got.first_micros);
     }
-    show("first token, direct", &direct);
-    show("first token, through the daemon", &through);
+    print_quantiles("first token, direct", &direct);
+    print_quantiles("first token, through the daemon", &through);
 
     throughput(&cluster, &daemon, pid).await;
     streams(&cluster, &daemon, pid).await;
@@ -83,15 +84,15 @@
 
 /// Short plain calls from many callers; requests for each second of the daemon's processor time.
 async fn throughput(cluster: &Cluster, daemon: &str, pid: u32) {
-    let until = Instant::now() + THROUGHPUT;
+    let deadline = Instant::now() + THROUGHPUT_TIME;
     let before = usage(pid).0;
     let tasks: Vec<_> = (0..CALLERS)
         .map(|n| {
-            let (caller, daemon) = (cluster.caller("throughput"), daemon.to_owned());
+            let (caller, daemon) = (cluster.new_caller("throughput"), daemon.to_owned());
             tokio::spawn(async move {
                 let (mut whole, mut h) = (0_u64, histogram());
-                while Instant::now() < until {
-                    let got = caller.send(&daemon, &unlimited("stock-ping", n)).await;
+                while Instant::now() < deadline {
+                    let got = caller.send(&daemon, &call_without_limit("stock-ping", n)).await;
                     whole += u64::from(got.outcome == "whole");
                     let _ = h.record(got.first_micros);
                 }
@@ -105,10 +106,10 @@
         whole += count;
         let _ = all.add(h);
     }
-    let processor = usage(pid).0 - before;
-    let rate = whole as f64 / THROUGHPUT.as_secs_f64();
-    println!("short plain calls: {rate:.0}/s, {:.0} for each second of a core", whole as f64 / processor);
-    show("their time", &all);
+    let cpu_seconds = usage(pid).0 - before;
+    let rate = whole as f64 / THROUGHPUT_TIME.as_secs_f64();
+    println!("short plain calls: {rate:.0}/s, {:.0} for each second of a core", whole as f64 / cpu_seconds);
+    print_quantiles("their time", &all);
 }
 
 /// Long streams held open at once.
@@ -116,9 +117,9 @@
     let (before, idle) = usage(pid);
     let tasks: Vec<_> = (0..STREAMS)
         .map(|n| {
-            let (caller, daemon) = (cluster.caller("streams"), daemon.to_owned());
-            let ask = Call { tokens: 400, ..unlimited("chat-reply", n) };
-            tokio::spawn(async move { caller.send(&daemon, &ask).await })
+            let (caller, daemon) = (cluster.new_caller("streams"), daemon.to_owned());
+            let req = Call { tokens: 400, ..call_without_limit("chat-reply", n) };
+            tokio::spawn(async move { caller.send(&daemon, &req).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(900)).await;
@@ -127,8 +128,8 @@
     for task in tasks {
         whole += u64::from(task.await.expect("callers do not panic").outcome == "whole");
     }
-    let processor = usage(pid).0 - before;
-    println!("tokens for each second of a core: {:.0}", (whole * 400) as f64 / processor);
+    let cpu_seconds = usage(pid).0 - before;
+    println!("tokens for each second of a core: {:.0}", (whole * 400) as f64 / cpu_seconds);
     let each = busy.saturating_sub(idle) as f64 / STREAMS as f64 / 1_024.0;
     println!(
         "{STREAMS} streams at once: {whole} whole, {each:.1} KB each above what it had before ({:.1} MB)",
--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -40,23 +40,23 @@
 /// The daemons' secret of every test.
 pub const SECRET: &str = "daemons-secret-of-tests";
 /// Time for one call.
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for whatever a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Time a caller waits for its answer.
-const CALLER_LIMIT: Duration = Duration::from_secs(40);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// What a deployment consists of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterConfig {
     /// Entry VMs, each with a daemon.
     pub daemons: usize,
     /// Engines, by their role and fencing.
     pub engines: Vec<(Role, Fencing)>,
     /// Plain services.
-    pub plains: usize,
+    pub plain_services: usize,
     /// The engines' model.
     pub params: ModelParams,
     /// Milliseconds of a plain call.
@@ -67,12 +67,12 @@
     pub links: bool,
 }
 
-impl Default for Plan {
+impl Default for ClusterConfig {
     fn default() -> Self {
         Self {
             daemons: 2,
             engines: vec![(Role::Mixed, Fencing::Checks), (Role::Mixed, Fencing::Checks)],
-            plains: 2,
+            plain_services: 2,
             params: ModelParams {
                 step: 0.004,
                 change_seconds: 0.6,
@@ -93,11 +93,11 @@
     /// The process, when it runs.
     pub process: Option<Process>,
     /// Where callers reach it.
-    pub caller: String,
+    pub caller_address: String,
     /// Where operators reach it.
-    pub operator: String,
+    pub operator_address: String,
     /// Where other daemons reach it.
-    pub peer: String,
+    pub peer_address: String,
     settings: Value,
 }
 
@@ -124,15 +124,15 @@
 #[derive(Debug)]
 pub struct Cluster {
     /// The key-value service's own address.
-    pub kv: String,
+    pub kv_address: String,
     /// The list's address.
-    pub vms: String,
+    pub vm_list_address: String,
     /// The daemons by VM.
     pub daemons: BTreeMap<String, DaemonProcess>,
     /// The endpoints by name.
     pub endpoints: BTreeMap<String, EndpointProcess>,
     /// The plan it was made from.
-    pub plan: Plan,
+    pub config: ClusterConfig,
     links: BTreeMap<String, Links>,
     client: HttpClient,
     dir: PathBuf,
@@ -141,7 +141,7 @@
 
 static NEXT_DIR: AtomicU64 = AtomicU64::new(0);
 
-fn fresh_dir() -> PathBuf {
+fn create_dir() -> PathBuf {
     let n = NEXT_DIR.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("dahliaseam-{}-{n}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder for the test");
@@ -153,18 +153,18 @@
     ///
     /// # Panics
     /// When that does not come about.
-    pub async fn start(plan: Plan) -> Self {
-        let mut cluster = Self::start_platform(plan);
-        if cluster.plan.links {
-            cluster.make_links().await;
+    pub async fn start(config: ClusterConfig) -> Self {
+        let mut cluster = Self::start_platform(config);
+        if cluster.config.links {
+            cluster.start_relays().await;
         }
         cluster.set_vms(&[]).await;
         for vm in cluster.daemons.keys().cloned().collect::<Vec<_>>() {
             cluster.start_daemon(&vm);
         }
         let resources = cluster.resources();
-        cluster.apply_eventually(&resources).await;
-        cluster.wait_ready().await;
+        cluster.apply_until_accepted(&resources).await;
+        cluster.wait_until_ready().await;
         cluster
     }
 
@@ -173,23 +173,23 @@
     /// # Panics
     /// When a stand-in does not start.
     #[must_use]
-    pub fn start_platform(plan: Plan) -> Self {
-        let dir = fresh_dir();
-        let (kv_process, kv) = Process::start_stand_in(&mut Command::new(program("examples/kv")));
-        let (vms_process, vms) = Process::start_stand_in(&mut Command::new(program("examples/vms")));
+    pub fn start_platform(config: ClusterConfig) -> Self {
+        let dir = create_dir();
+        let (kv_process, kv_address) = Process::start_stand_in(&mut Command::new(program("examples/kv")));
+        let (vms_process, vm_list_address) = Process::start_stand_in(&mut Command::new(program("examples/vms")));
         let mut cluster = Self {
-            kv,
-            vms,
+            kv_address,
+            vm_list_address,
             daemons: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             links: BTreeMap::new(),
             client: HttpClient::new(Reuse::Fresh),
             dir,
             _platform: vec![kv_process, vms_process],
-            plan,
+            config,
         };
         cluster.start_endpoints();
-        for n in 1..=cluster.plan.daemons {
+        for n in 1..=cluster.config.daemons {
             cluster.add_daemon(&format!("entry-{n}"), &format!("hall-{}", n % 3));
         }
         cluster
@@ -197,9 +197,9 @@
 
     fn start_endpoints(&mut self) {
         let params = self.dir.join("params.json");
-        let text = serde_json::to_string(&self.plan.params).expect("plain data");
+        let text = serde_json::to_string(&self.config.params).expect("plain data");
         std::fs::write(&params, text).expect("the folder can be written");
-        for (n, (role, fencing)) in self.plan.engines.clone().into_iter().enumerate() {
+        for (n, (role, fencing)) in self.config.engines.clone().into_iter().enumerate() {
             let role = serde_json::to_value(role).expect("plain data");
             let mut args = vec!["--role".to_owned(), role.as_str().unwrap_or_default().to_owned()];
             args.extend(["--params".to_owned(), params.display().to_string()]);
@@ -208,8 +208,8 @@
             }
             self.start_endpoint("engine", &format!("engine-{}", n + 1), args);
         }
-        for n in 1..=self.plan.plains {
-            let args = vec!["--work-ms".to_owned(), self.plan.work_ms.to_string()];
+        for n in 1..=self.config.plain_services {
+            let args = vec!["--work-ms".to_owned(), self.config.work_ms.to_string()];
             self.start_endpoint("plain", &format!("plain-{n}"), args);
         }
     }
@@ -237,11 +237,11 @@
 
     /// Add an entry VM without starting its daemon.
     pub fn add_daemon(&mut self, vm: &str, hall: &str) {
-        let (caller, operator, peer) = (free_address(), free_address(), free_address());
+        let (caller_address, operator_address, peer_address) = (free_address(), free_address(), free_address());
         let mut settings = json!({
             "vm": vm, "hall": hall, "keyspace": "/proof/",
-            "caller_address": caller, "operator_address": operator, "peer_address": peer,
-            "kv_address": self.kv, "vm_list_address": self.vms,
+            "caller_address": caller_address, "operator_address": operator_address, "peer_address": peer_address,
+            "kv_address": self.kv_address, "vm_list_address": self.vm_list_address,
             "peer_secret": SECRET, "operator_token": TOKEN,
             "timing": {
                 "probe_ms": 60, "peer_call_ms": 400, "suspicion_ms": 600, "list_ms": 100, "list_lag_ms": 1500,
@@ -250,8 +250,8 @@
             "policy": { "stall_ms": 1500 },
             "log": { "format": "text", "filter": "info" },
         });
-        merge(&mut settings, &self.plan.settings);
-        let daemon = DaemonProcess { process: None, caller, operator, peer, settings };
+        merge(&mut settings, &self.config.settings);
+        let daemon = DaemonProcess { process: None, caller_address, operator_address, peer_address, settings };
         self.daemons.insert(vm.to_owned(), daemon);
     }
 
@@ -259,7 +259,7 @@
     ///
     /// # Panics
     /// When there is no such daemon.
-    pub fn set(&mut self, vm: &str, settings: &Value) {
+    pub fn merge_settings(&mut self, vm: &str, settings: &Value) {
         merge(&mut self.daemons.get_mut(vm).expect("the daemon is known").settings, settings);
     }
 
@@ -297,8 +297,8 @@
 
     /// Where the callers of each daemon connect.
     #[must_use]
-    pub fn callers(&self) -> Vec<String> {
-        self.daemons.values().map(|d| d.caller.clone()).collect()
+    pub fn caller_addresses(&self) -> Vec<String> {
+        self.daemons.values().map(|d| d.caller_address.clone()).collect()
     }
 
     /// A caller that notes its history.
@@ -306,9 +306,9 @@
     /// # Panics
     /// When the history cannot be written.
     #[must_use]
-    pub fn caller(&self, name: &str) -> Caller {
+    pub fn new_caller(&self, name: &str) -> Caller {
         let history = History::to_file(name, &self.history_path(name)).expect("the folder can be written");
-        Caller::new(history, CALLER_LIMIT)
+        Caller::new(history, ANSWER_TIMEOUT)
     }
 
     /// The whole history so far.
@@ -342,26 +342,26 @@
     }
 
     /// Give each daemon relays of its own to the platform and to every other daemon.
-    async fn make_links(&mut self) {
+    async fn start_relays(&mut self) {
         let vms: Vec<_> = self.daemons.keys().cloned().collect();
         for vm in &vms {
             let list_server = VmList::start("127.0.0.1:0").await.expect("a free port");
-            let list = relay(&list_server.server().address().to_string()).await;
-            let kv = relay(&self.kv).await;
+            let list = start_relay(&list_server.server().address().to_string()).await;
+            let kv = start_relay(&self.kv_address).await;
             let mut peers = BTreeMap::new();
             for other in vms.iter().filter(|other| *other != vm) {
-                peers.insert(other.clone(), relay(&self.daemons[other].peer).await);
+                peers.insert(other.clone(), start_relay(&self.daemons[other].peer_address).await);
             }
             let addresses = json!({
                 "kv_address": kv.address().to_string(), "vm_list_address": list.address().to_string(),
             });
-            self.set(vm, &addresses);
+            self.merge_settings(vm, &addresses);
             self.links.insert(vm.clone(), Links { kv, list, list_server, peers });
         }
     }
 
     /// Cut a daemon off from the platform and the others, or join it again.
-    pub fn set_links(&self, vm: &str, link: Link) {
+    pub fn set_daemon_links(&self, vm: &str, link: Link) {
         for (from, links) in &self.links {
             if from == vm {
                 links.kv.set(link);
@@ -376,18 +376,18 @@
     }
 
     /// Set only a daemon's link to the platform's list.
-    pub fn set_list_link(&self, vm: &str, link: Link) {
+    pub fn set_vm_list_link(&self, vm: &str, link: Link) {
         self.links[vm].list.set(link);
     }
 
     /// Set the platform's list: all VMs, those in `leaving` as leaving.
     pub async fn set_vms(&self, leaving: &[&str]) {
-        let list = self.vm_list(leaving, |vm| self.daemons[vm].peer.clone());
-        self.put_json(&format!("http://{}/vms", self.vms), &list).await;
+        let list = self.vm_list(leaving, |vm| self.daemons[vm].peer_address.clone());
+        self.put_json(&format!("http://{}/vms", self.vm_list_address), &list).await;
         for links in self.links.values() {
             let address = |vm: &str| match links.peers.get(vm) {
                 Some(relay) => relay.address().to_string(),
-                None => self.daemons[vm].peer.clone(),
+                None => self.daemons[vm].peer_address.clone(),
             };
             let url = format!("http://{}/vms", links.list_server.server().address());
             self.put_json(&url, &self.vm_list(leaving, address)).await;
@@ -411,26 +411,26 @@
             .header("content-type", "application/json")
             .body(Full::from(Bytes::from(value.to_string())))
             .expect("the parts are valid");
-        self.client.fetch(req, CALL).await.expect("the stand-in answers");
+        self.client.fetch(req, CALL_TIMEOUT).await.expect("the stand-in answers");
     }
 
     /// Bring a fault about at a stand-in.
     ///
     /// # Panics
     /// When the stand-in does not answer.
-    pub async fn fault(&self, address: &str, fault: &Value) {
+    pub async fn inject_fault(&self, address: &str, fault: &Value) {
         let body = Bytes::from(fault.to_string());
         let req = Request::post(format!("http://{address}/fault"))
             .header("content-type", "application/json")
             .body(Full::from(body))
             .expect("the parts are valid");
-        let (status, body) = self.client.fetch(req, CALL).await.expect("the stand-in answers");
+        let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await.expect("the stand-in answers");
         assert!(status.is_success(), "the fault is taken: {body:?}");
     }
 
     /// Bring a fault about at an endpoint.
-    pub async fn endpoint_fault(&self, name: &str, fault: &Value) {
-        self.fault(&self.endpoints[name].address, fault).await;
+    pub async fn inject_endpoint_fault(&self, name: &str, fault: &Value) {
+        self.inject_fault(&self.endpoints[name].address, fault).await;
     }
 
     /// The resources of this deployment: Fjordkjede's, with these endpoints and a protected kind
@@ -443,11 +443,11 @@
         let file = include_str!("../../deploy/fjordkjede/resources.json");
         let file: Value = serde_json::from_str(file).expect("the committed file is JSON");
         let mut resources = file["resources"].as_array().expect("it has resources").clone();
-        let by_name = |name: &str| name.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(1) - 1;
+        let engine_index = |name: &str| name.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(1) - 1;
         for (name, endpoint) in &self.endpoints {
             let mut spec = json!({ "address": endpoint.address, "vm": format!("vm-{name}"), "hall": "hall-0" });
             if name.starts_with("engine") {
-                let (role, fencing) = self.plan.engines[by_name(name)];
+                let (role, fencing) = self.config.engines[engine_index(name)];
                 merge(&mut spec, &json!({ "pool": "catalogue", "role": role, "fencing": fencing }));
             } else {
                 merge(&mut spec, &json!({ "pool": "till", "role": "plain" }));
@@ -474,7 +474,7 @@
     ///
     /// # Panics
     /// When the path is no path.
-    pub async fn operate(
+    pub async fn operator_call(
         &self,
         vm: &str,
         method: &str,
@@ -483,11 +483,11 @@
     ) -> Result<(StatusCode, Value), CallError> {
         let req = Request::builder()
             .method(method)
-            .uri(format!("http://{}{path}", self.daemons[vm].operator))
+            .uri(format!("http://{}{path}", self.daemons[vm].operator_address))
             .header(AUTHORIZATION, format!("Bearer {TOKEN}"))
             .body(Full::from(Bytes::from(body.map(Value::to_string).unwrap_or_default())))
             .expect("the parts are valid");
-        let (status, body) = self.client.fetch(req, CALL).await?;
+        let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await?;
         Ok((status, serde_json::from_slice(&body).unwrap_or_default()))
     }
 
@@ -495,12 +495,12 @@
     ///
     /// # Panics
     /// When it does not accept them in time, or refuses them as wrong.
-    pub async fn apply_eventually(&self, resources: &[Value]) -> u64 {
+    pub async fn apply_until_accepted(&self, resources: &[Value]) -> u64 {
         let vm = self.daemons.keys().next().expect("there is a daemon").clone();
         let body = json!({ "resources": resources });
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let answer = self.operate(&vm, "POST", "/v1/apply", Some(&body)).await;
+            let answer = self.operator_call(&vm, "POST", "/v1/apply", Some(&body)).await;
             if let Ok((status, value)) = &answer {
                 if status.is_success() {
                     let accepted: Accepted = serde_json::from_value(value.clone()).expect("an accepted change");
@@ -508,8 +508,8 @@
                 }
                 assert!(status.is_server_error(), "the resources are refused: {value}");
             }
-            assert!(Instant::now() < until, "not accepted in time: {answer:?}\n{}", self.log(&vm));
-            tokio::time::sleep(LOOK).await;
+            assert!(Instant::now() < deadline, "not accepted in time: {answer:?}\n{}", self.log(&vm));
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -518,46 +518,47 @@
     /// # Panics
     /// When it is not accepted.
     pub async fn edit(&self, vm: &str, kind: &str, name: &str, change: &Value) -> u64 {
-        let (_, resource) = self.operate(vm, "GET", &format!("/v1/{kind}/{name}"), None).await.expect("it answers");
+        let (_, resource) =
+            self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await.expect("it answers");
         let mut spec = resource["spec"].clone();
         merge(&mut spec, change);
         let body = json!({ "resource_version": resource["resource_version"], "spec": spec });
         let (status, value) =
-            self.operate(vm, "PUT", &format!("/v1/{kind}/{name}"), Some(&body)).await.expect("it answers");
+            self.operator_call(vm, "PUT", &format!("/v1/{kind}/{name}"), Some(&body)).await.expect("it answers");
         assert!(status.is_success(), "the change is refused: {value}");
         value["generation"].as_u64().expect("a generation")
     }
 
     /// A resource as `vm` sees it.
     pub async fn resource(&self, vm: &str, kind: &str, name: &str) -> Value {
-        let answer = self.operate(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
+        let answer = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
         answer.map(|(_, value)| value).unwrap_or_default()
     }
 
     /// All resources of a kind as `vm` sees them.
     pub async fn list(&self, vm: &str, kind: &str) -> Option<ResourceList> {
-        let (_, value) = self.operate(vm, "GET", &format!("/v1/{kind}"), None).await.ok()?;
+        let (_, value) = self.operator_call(vm, "GET", &format!("/v1/{kind}"), None).await.ok()?;
         serde_json::from_value(value).ok()
     }
 
     /// The deployment's status as `vm` gathers it.
     pub async fn status(&self, vm: &str) -> Option<StatusReport> {
-        let (_, value) = self.operate(vm, "GET", "/v1/status", None).await.ok()?;
+        let (_, value) = self.operator_call(vm, "GET", "/v1/status", None).await.ok()?;
         serde_json::from_value(value).ok()
     }
 
     /// Whether a daemon is ready.
     pub async fn is_ready(&self, vm: &str) -> bool {
-        let answer = self.operate(vm, "GET", "/readyz", None).await;
+        let answer = self.operator_call(vm, "GET", "/readyz", None).await;
         answer.is_ok_and(|(status, _)| status.is_success())
     }
 
     /// Wait until all running daemons are ready, know each other and hold the same configuration.
-    pub async fn wait_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let running: Vec<_> =
             self.daemons.iter().filter(|(_, d)| d.process.is_some()).map(|(vm, _)| vm.clone()).collect();
         for vm in &running {
-            self.wait(&format!("{vm} is ready"), async || {
+            self.wait_until(&format!("{vm} is ready"), async || {
                 let report = self.status(vm).await;
                 self.is_ready(vm).await
                     && report.is_some_and(|r| {
@@ -570,7 +571,7 @@
     }
 
     /// The VM whose daemon holds the engines' shard, as `vm` sees it.
-    pub async fn holder(&self, vm: &str) -> Option<String> {
+    pub async fn shard_holder(&self, vm: &str) -> Option<String> {
         let report = self.status(vm).await?;
         report.vms.into_iter().find(|vm| !vm.shards.is_empty()).map(|vm| vm.vm)
     }
@@ -579,25 +580,27 @@
     ///
     /// # Panics
     /// When none does in time.
-    pub async fn wait_holder(&self, vm: &str) -> String {
-        self.wait("a holder", async || self.holder(vm).await.is_some()).await;
-        self.holder(vm).await.expect("there was one just now")
+    pub async fn wait_for_holder(&self, vm: &str) -> String {
+        self.wait_until("a holder", async || self.shard_holder(vm).await.is_some()).await;
+        self.shard_holder(vm).await.expect("there was one just now")
     }
 
     /// Wait until an engine says that it plays a role.
     ///
     /// # Panics
     /// When it does not in time.
-    pub async fn wait_role(&self, engine: &str, role: Role) {
+    pub async fn wait_for_role(&self, engine: &str, role: Role) {
         let what = format!("{engine} plays {role:?}");
-        self.wait(&what, async || self.engine_status(engine).await.is_some_and(|s| s.role == role && !s.cordoned))
-            .await;
+        self.wait_until(&what, async || {
+            self.engine_status(engine).await.is_some_and(|s| s.role == role && !s.cordoned)
+        })
+        .await;
     }
 
     /// What an engine says of itself.
     pub async fn engine_status(&self, engine: &str) -> Option<EngineStatus> {
         let url = format!("http://{}{STATUS_PATH}", self.endpoints[engine].address);
-        self.client.get::<EngineReport>(&url, CALL).await.ok().map(|report| report.status)
+        self.client.get::<EngineReport>(&url, CALL_TIMEOUT).await.ok().map(|report| report.status)
     }
 
     /// Have the engines' roles fixed through `vm`.
@@ -619,30 +622,30 @@
     /// # Panics
     /// When it does not answer.
     pub async fn metrics(&self, vm: &str) -> String {
-        let req = Request::get(format!("http://{}/metrics", self.daemons[vm].operator)).body(Full::default());
-        let (_, body) = self.client.fetch(req.expect("the parts are valid"), CALL).await.expect("it answers");
+        let req = Request::get(format!("http://{}/metrics", self.daemons[vm].operator_address)).body(Full::default());
+        let (_, body) = self.client.fetch(req.expect("the parts are valid"), CALL_TIMEOUT).await.expect("it answers");
         String::from_utf8_lossy(&body).into_owned()
     }
 
     /// Calls that the key-value service has had.
     pub async fn kv_calls(&self) -> BTreeMap<String, u64> {
-        self.client.get(&format!("http://{}/calls", self.kv), CALL).await.unwrap_or_default()
+        self.client.get(&format!("http://{}/calls", self.kv_address), CALL_TIMEOUT).await.unwrap_or_default()
     }
 
     /// Wait until `holds`.
     ///
     /// # Panics
     /// When it does not hold in time; the daemons' logs are shown.
-    pub async fn wait(&self, what: &str, holds: impl AsyncFn() -> bool) {
-        let until = Instant::now() + PATIENCE;
+    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !holds().await {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 for vm in self.daemons.keys() {
                     eprintln!("--- {vm}\n{}", self.log(vm));
                 }
                 panic!("not in time: {what}");
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -657,7 +660,7 @@
     }
 }
 
-async fn relay(target: &str) -> Relay {
+async fn start_relay(target: &str) -> Relay {
     Relay::start(target.parse().expect("an address")).await.expect("a free port")
 }
 
--- a/proofs/src/load.rs
+++ b/proofs/src/load.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 
 /// Requests of one caller at most, so that a test's load always ends.
-const MAX_CALLS: u64 = 5_000;
+const MAX_CALLS_PER_CALLER: u64 = 5_000;
 
 /// What callers send.
 #[derive(Clone, Copy, Debug)]
@@ -25,14 +25,14 @@
     /// Tokens of a chat reply.
     pub chat_tokens: u32,
     /// Whether callers send to one daemon first and another after a refusal.
-    pub try_another: bool,
+    pub try_other_daemons: bool,
     /// The one kind to send, in place of all.
-    pub only: Option<&'static str>,
+    pub only_kind: Option<&'static str>,
 }
 
 impl Default for Mix {
     fn default() -> Self {
-        Self { pause_ms: 5, prompt_bytes: 800, chat_tokens: 40, try_another: true, only: None }
+        Self { pause_ms: 5, prompt_bytes: 800, chat_tokens: 40, try_other_daemons: true, only_kind: None }
     }
 }
 
@@ -89,16 +89,16 @@
         let sent = Arc::new(AtomicU64::new(0));
         let mut tasks = JoinSet::new();
         for n in 0..callers {
-            let one = One {
+            let worker = Worker {
                 caller: caller.clone(),
                 addresses: addresses.to_vec(),
                 stop: Arc::clone(&stop),
                 sent: Arc::clone(&sent),
                 mix,
-                first: (seed * 100 + n as u64) * 1_000_000,
+                first_number: (seed * 100 + n as u64) * 1_000_000,
                 rng: SmallRng::seed_from_u64(seed + n as u64),
             };
-            tasks.spawn(one.run());
+            tasks.spawn(worker.run());
         }
         Self { stop, sent, tasks }
     }
@@ -110,10 +110,10 @@
     }
 
     /// Wait until `count` more requests were sent, or the time is over.
-    pub async fn wait_for(&self, count: u64) {
-        let until = std::time::Instant::now() + crate::cluster::PATIENCE;
-        let goal = self.sent() + count;
-        while self.sent() < goal && std::time::Instant::now() < until {
+    pub async fn wait_for_requests(&self, count: u64) {
+        let deadline = std::time::Instant::now() + crate::cluster::WAIT_TIMEOUT;
+        let target = self.sent() + count;
+        while self.sent() < target && std::time::Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
@@ -134,30 +134,30 @@
 
 /// Requests of protected kinds that did not get their whole answer.
 #[must_use]
-pub fn unprotected(answers: &[(Call, Got)]) -> Vec<String> {
+pub fn failed_protected(answers: &[(Call, Got)]) -> Vec<String> {
     let protected = |call: &Call| matches!(call.kind.as_str(), "stock-ping" | "order-confirm" | "counter-answer");
     let bad = answers.iter().filter(|(call, got)| protected(call) && !(got.outcome == "whole" && got.exact));
     bad.map(|(call, got)| format!("{} {}: {got:?}", call.kind, call.prompt)).collect()
 }
 
-struct One {
+struct Worker {
     caller: Caller,
     addresses: Vec<String>,
     stop: Arc<AtomicBool>,
     sent: Arc<AtomicU64>,
     mix: Mix,
-    first: u64,
+    first_number: u64,
     rng: SmallRng,
 }
 
-impl One {
+impl Worker {
     async fn run(mut self) -> Vec<(Call, Got)> {
         let mut all = Vec::new();
-        for n in self.first..self.first + MAX_CALLS {
+        for n in self.first_number..self.first_number + MAX_CALLS_PER_CALLER {
             if self.stop.load(Ordering::Relaxed) {
                 break;
             }
-            let kind = self.mix.only.unwrap_or(KINDS[self.rng.random_range(0..KINDS.len())]);
+            let kind = self.mix.only_kind.unwrap_or(KINDS[self.rng.random_range(0..KINDS.len())]);
             let call = call(kind, n, &self.mix);
             let got = self.send(&call).await;
             all.push((call, got));
@@ -170,14 +170,14 @@
     /// says that nothing ran.
     async fn send(&mut self, call: &Call) -> Got {
         let start = self.rng.random_range(0..self.addresses.len());
-        let tries = if self.mix.try_another { self.addresses.len() } else { 1 };
+        let attempts = if self.mix.try_other_daemons { self.addresses.len() } else { 1 };
         let mut got = Got::default();
-        for i in 0..tries {
+        for i in 0..attempts {
             let address = &self.addresses[(start + i) % self.addresses.len()];
             self.sent.fetch_add(1, Ordering::Relaxed);
             got = self.caller.send(address, call).await;
-            let elsewhere = got.reason == NO_CONNECTION || got.reason == "not_ready";
-            if !elsewhere {
+            let may_try_other = got.reason == NO_CONNECTION || got.reason == "not_ready";
+            if !may_try_other {
                 break;
             }
         }
--- a/proofs/src/process.rs
+++ b/proofs/src/process.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 /// Time between two looks whether a process is over.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running process.
 #[derive(Debug)]
@@ -42,9 +42,9 @@
 }
 
 /// Clock ticks a second in `/proc/PID/stat`.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 /// Bytes of a page of memory.
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
 /// Processor seconds and resident bytes of a process, on Linux.
 #[must_use]
@@ -53,7 +53,7 @@
     let fields: Vec<_> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     let pages = fields.get(21).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
-    ((ticks(11) + ticks(12)) / TICKS, pages * PAGE)
+    ((ticks(11) + ticks(12)) / TICKS_PER_SECOND, pages * PAGE_BYTES)
 }
 
 impl Process {
@@ -88,7 +88,7 @@
     ///
     /// # Panics
     /// When the system does not tell.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("it can be waited for")
     }
 
@@ -121,15 +121,15 @@
     /// Wait for its end.
     ///
     /// # Panics
-    /// When it is not over within `limit`.
-    pub async fn wait(&mut self, limit: Duration) -> ExitStatus {
-        let until = Instant::now() + limit;
+    /// When it is not over within `timeout`.
+    pub async fn wait(&mut self, timeout: Duration) -> ExitStatus {
+        let deadline = Instant::now() + timeout;
         loop {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return status;
             }
-            assert!(Instant::now() < until, "process {} is not over in time", self.id());
-            tokio::time::sleep(LOOK).await;
+            assert!(Instant::now() < deadline, "process {} is not over in time", self.id());
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/proofs/tests/checkers.rs
+++ b/proofs/tests/checkers.rs
@@ -1,7 +1,7 @@
 //! Each checker rejects a history that breaks its promise, and passes one that keeps it.
 
 use dahliaseam_core::{custody::OrderKind, endpoint::Role};
-use proofs::check::{at_most_once, cuts, exactness, not_run, orders, orders_with_crashes, quiet_after};
+use proofs::check::{at_most_once, cut_requests, late_starts, not_run, orders, orders_with_crashes, wrong_answers};
 use stand_ins::history::{Entry, Event};
 
 fn entries(events: Vec<(&str, Event)>) -> Vec<Entry> {
@@ -28,7 +28,7 @@
 const ROLE: OrderKind = OrderKind::SetRole(Role::Decode);
 
 #[test]
-fn orders_that_cross_at_an_engine_that_ignores_numbers() {
+fn interleaved_orders_at_an_engine_that_ignores_fencing_numbers() {
     let crossed = entries(vec![
         ("e", taken(1, 1, "a", OrderKind::Cordon, false)),
         ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
@@ -40,16 +40,16 @@
         ("e", taken(1, 1, "a", OrderKind::Uncordon, false)),
     ]);
     assert_eq!(orders(&late).len(), 1, "the first order of a former holder comes late");
-    let passed_on = entries(vec![
+    let handed_over = entries(vec![
         ("e", taken(1, 1, "a", OrderKind::Cordon, false)),
         ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
         ("e", taken(3, 3, "a", OrderKind::Uncordon, false)),
     ]);
-    assert!(orders(&passed_on).is_empty());
+    assert!(orders(&handed_over).is_empty());
 }
 
 #[test]
-fn an_older_number_at_an_engine_that_checks() {
+fn an_older_fencing_number_at_an_engine_that_checks() {
     let older = entries(vec![
         ("e", taken(2, 1, "b", OrderKind::Cordon, true)),
         ("e", taken(1, 2, "a", OrderKind::Uncordon, true)),
@@ -75,23 +75,23 @@
 }
 
 #[test]
-fn a_request_that_was_cut() {
-    assert_eq!(cuts(&entries(vec![("e", Event::Cut { request: "r".into() })])).len(), 1);
-    assert!(cuts(&entries(vec![("e", ran("r", None))])).is_empty());
+fn a_request_that_was_aborted() {
+    assert_eq!(cut_requests(&entries(vec![("e", Event::Cut { request: "r".into() })])).len(), 1);
+    assert!(cut_requests(&entries(vec![("e", ran("r", None))])).is_empty());
 }
 
 #[test]
-fn a_wrong_answer_told_as_whole() {
-    assert_eq!(exactness(&entries(vec![("c", got("r", "whole", false))])).len(), 1);
-    let honest = entries(vec![("c", got("r", "ran", false)), ("c", got("s", "whole", true))]);
-    assert!(exactness(&honest).is_empty());
+fn a_wrong_answer_reported_as_whole() {
+    assert_eq!(wrong_answers(&entries(vec![("c", got("r", "whole", false))])).len(), 1);
+    let truthful = entries(vec![("c", got("r", "ran", false)), ("c", got("s", "whole", true))]);
+    assert!(wrong_answers(&truthful).is_empty());
 }
 
 #[test]
-fn not_run_told_of_what_ran() {
+fn a_request_that_ran_reported_as_not_run() {
     assert_eq!(not_run(&entries(vec![("e", ran("r", None)), ("c", got("r", "not_run", false))])).len(), 1);
-    let honest = entries(vec![("e", ran("r", None)), ("c", got("s", "not_run", false))]);
-    assert!(not_run(&honest).is_empty());
+    let truthful = entries(vec![("e", ran("r", None)), ("c", got("s", "not_run", false))]);
+    assert!(not_run(&truthful).is_empty());
 }
 
 #[test]
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn work_that_begins_at_a_leaving_endpoint() {
+fn a_request_that_starts_at_a_leaving_endpoint() {
     let late = entries(vec![("e", ran("r", None)), ("e", ran("s", None))]);
-    assert_eq!(quiet_after(&late, &["e"], 0).len(), 1);
-    assert!(quiet_after(&late, &["f"], 0).is_empty());
+    assert_eq!(late_starts(&late, &["e"], 0).len(), 1);
+    assert!(late_starts(&late, &["f"], 0).is_empty());
 }
--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -16,14 +16,21 @@
 use porcupine_rs::{Model, Operation, check_operations};
 use proofs::{
     check::expect_none,
-    cluster::{Cluster, Plan, SECRET},
+    cluster::{Cluster, ClusterConfig, SECRET},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 use stand_ins::{history::monotonic_micros, relay::Link};
 
 async fn start(links: bool) -> Cluster {
-    Cluster::start(Plan { daemons: 3, engines: Vec::new(), plains: 1, links, ..Plan::default() }).await
+    Cluster::start(ClusterConfig {
+        daemons: 3,
+        engines: Vec::new(),
+        plain_services: 1,
+        links,
+        ..ClusterConfig::default()
+    })
+    .await
 }
 
 /// A register that is changed by compare-and-swap on its version.
@@ -34,7 +41,7 @@
 #[derive(Clone, Debug)]
 enum Op {
     /// A change from one version, accepted as another.
-    Accepted { based_on: u64, made: u64 },
+    Accepted { based_on: u64, version: u64 },
     /// A change from one version, refused because another was present.
     Conflict { based_on: u64, present: u64 },
     /// A change whose outcome is not known.
@@ -52,7 +59,7 @@
 
     fn step(state: &u64, op: &Op) -> (bool, u64) {
         match op {
-            Op::Accepted { based_on, made } => (state == based_on && made > state, *made),
+            Op::Accepted { based_on, version } => (state == based_on && version > state, *version),
             Op::Conflict { based_on, present } => (state == present && based_on != present, *state),
             // It may have taken effect as any later version, or not; versions it made are seen
             // by later operations, so only the chains without it are followed here.
@@ -62,7 +69,7 @@
 }
 
 #[test]
-fn the_register_check_refuses_a_lost_update() {
+fn the_register_check_rejects_a_lost_update() {
     let op = |call_time, return_time, op| Operation::<Register> {
         client_id: None,
         call_time,
@@ -71,51 +78,51 @@
         metadata: None,
     };
     let lost = [
-        op(0, 1, Op::Accepted { based_on: 0, made: 5 }),
-        op(2, 3, Op::Accepted { based_on: 5, made: 6 }),
-        op(4, 5, Op::Accepted { based_on: 5, made: 7 }),
+        op(0, 1, Op::Accepted { based_on: 0, version: 5 }),
+        op(2, 3, Op::Accepted { based_on: 5, version: 6 }),
+        op(4, 5, Op::Accepted { based_on: 5, version: 7 }),
     ];
     assert!(!check_operations(&lost));
     let reverted =
-        [op(0, 1, Op::Accepted { based_on: 0, made: 5 }), op(2, 3, Op::Conflict { based_on: 4, present: 3 })];
+        [op(0, 1, Op::Accepted { based_on: 0, version: 5 }), op(2, 3, Op::Conflict { based_on: 4, present: 3 })];
     assert!(!check_operations(&reverted));
 }
 
 /// Generations that each daemon showed, and when; a daemon that starts again is another one.
-type Seen = BTreeMap<(String, u64), Vec<(u64, u64)>>;
+type Observed = BTreeMap<(String, u64), Vec<(u64, u64)>>;
 
-async fn watch_generations(cluster: &Cluster, stop: &AtomicBool) -> Seen {
-    let mut seen = Seen::new();
+async fn watch_generations(cluster: &Cluster, stop: &AtomicBool) -> Observed {
+    let mut observed = Observed::new();
     while !stop.load(Ordering::Relaxed) {
         for vm in cluster.daemons.keys() {
             let Some(report) = cluster.status(vm).await else { continue };
             let own = report.vms.into_iter().find(|v| v.vm == *vm);
             if let Some(own) = own.filter(|own| own.ready) {
-                seen.entry((vm.clone(), own.start)).or_default().push((monotonic_micros(), own.generation));
+                observed.entry((vm.clone(), own.start)).or_default().push((monotonic_micros(), own.generation));
             }
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    seen
+    observed
 }
 
-fn reverts(seen: &Seen) -> Vec<String> {
-    let falls = seen.iter().flat_map(|(who, views)| {
-        let falls = views.windows(2).filter(|pair| pair[1].1 < pair[0].1);
-        falls.map(move |pair| format!("{who:?} fell from {} to {}", pair[0].1, pair[1].1))
+fn regressions(observed: &Observed) -> Vec<String> {
+    let drops = observed.iter().flat_map(|(who, views)| {
+        let drops = views.windows(2).filter(|pair| pair[1].1 < pair[0].1);
+        drops.map(move |pair| format!("{who:?} fell from {} to {}", pair[0].1, pair[1].1))
     });
-    falls.collect()
+    drops.collect()
 }
 
 /// Ready daemons that show an older generation more than `within` after one was accepted.
-fn late(seen: &Seen, accepted: &[(u64, u64)], within: Duration) -> Vec<String> {
+fn stale_views(observed: &Observed, accepted: &[(u64, u64)], within: Duration) -> Vec<String> {
     let mut faults = Vec::new();
-    for (who, views) in seen {
+    for (who, views) in observed {
         for (at, generation) in views {
-            let due = accepted.iter().filter(|(when, _)| when + within.as_micros() as u64 <= *at);
-            let wanted = due.map(|(_, made)| *made).max().unwrap_or(0);
-            if *generation < wanted {
-                faults.push(format!("{who:?} still shows {generation}, {wanted} was accepted"));
+            let in_force = accepted.iter().filter(|(when, _)| when + within.as_micros() as u64 <= *at);
+            let expected = in_force.map(|(_, version)| *version).max().unwrap_or(0);
+            if *generation < expected {
+                faults.push(format!("{who:?} still shows {generation}, {expected} was accepted"));
             }
         }
     }
@@ -123,15 +130,20 @@
 }
 
 #[test]
-fn the_checks_of_generations_refuse_a_revert_and_a_straggler() {
-    let seen = Seen::from([(("a".to_owned(), 1), vec![(10, 4), (20, 5), (30, 4)])]);
-    assert_eq!(reverts(&seen).len(), 1);
-    assert_eq!(late(&seen, &[(5, 5)], Duration::from_micros(20)).len(), 1);
-    assert!(late(&seen, &[(5, 5)], Duration::from_micros(40)).is_empty());
+fn the_generation_checks_reject_a_regression_and_a_stale_view() {
+    let observed = Observed::from([(("a".to_owned(), 1), vec![(10, 4), (20, 5), (30, 4)])]);
+    assert_eq!(regressions(&observed).len(), 1);
+    assert_eq!(stale_views(&observed, &[(5, 5)], Duration::from_micros(20)).len(), 1);
+    assert!(stale_views(&observed, &[(5, 5)], Duration::from_micros(40)).is_empty());
 }
 
 /// Change one team's rate again and again, from the version last read, through one daemon.
-async fn race(cluster: &Cluster, vm: &str, seed: u64, rounds: usize) -> (Vec<Operation<Register>>, Vec<(u64, u64)>) {
+async fn update_repeatedly(
+    cluster: &Cluster,
+    vm: &str,
+    seed: u64,
+    rounds: usize,
+) -> (Vec<Operation<Register>>, Vec<(u64, u64)>) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut ops = Vec::new();
     let mut accepted = Vec::new();
@@ -139,14 +151,14 @@
     for _ in 0..rounds {
         let body = json!({ "resource_version": based_on, "spec": { "rate": rng.random_range(1..1000) } });
         let call_time = monotonic_micros().cast_signed();
-        let answer = cluster.operate(vm, "PUT", "/v1/teams/raced", Some(&body)).await;
+        let answer = cluster.operator_call(vm, "PUT", "/v1/teams/raced", Some(&body)).await;
         let return_time = monotonic_micros().cast_signed();
         let op = match answer {
             Ok((status, value)) if status.is_success() => {
-                let made = value["generation"].as_u64().expect("a generation");
-                accepted.push((return_time.cast_unsigned(), made));
-                let op = Op::Accepted { based_on, made };
-                based_on = made;
+                let version = value["generation"].as_u64().expect("a generation");
+                accepted.push((return_time.cast_unsigned(), version));
+                let op = Op::Accepted { based_on, version };
+                based_on = version;
                 Some(op)
             }
             Ok((status, value)) if status == 409 => {
@@ -165,31 +177,34 @@
 }
 
 #[tokio::test]
-async fn operators_race_while_answers_are_lost() {
+async fn concurrent_updates_while_answers_are_lost() {
     let cluster = start(false).await;
     let stop = Arc::new(AtomicBool::new(false));
     let watching = watch_generations(&cluster, &stop);
-    let racing = async {
-        let trouble = async {
+    let updating = async {
+        let lose_answers = async {
             for _ in 0..5 {
                 tokio::time::sleep(Duration::from_millis(120)).await;
-                cluster.fault(&cluster.kv, &json!({ "lose_answers": 1 })).await;
+                cluster.inject_fault(&cluster.kv_address, &json!({ "lose_answers": 1 })).await;
             }
         };
-        let racers =
-            (race(&cluster, "entry-1", 1, 30), race(&cluster, "entry-2", 2, 30), race(&cluster, "entry-3", 3, 30));
-        let (a, b, c, ()) = tokio::join!(racers.0, racers.1, racers.2, trouble);
+        let updates = (
+            update_repeatedly(&cluster, "entry-1", 1, 30),
+            update_repeatedly(&cluster, "entry-2", 2, 30),
+            update_repeatedly(&cluster, "entry-3", 3, 30),
+        );
+        let (a, b, c, ()) = tokio::join!(updates.0, updates.1, updates.2, lose_answers);
         tokio::time::sleep(Duration::from_secs(1)).await;
         stop.store(true, Ordering::Relaxed);
         [a, b, c]
     };
-    let (seen, raced) = tokio::join!(watching, racing);
-    let ops: Vec<_> = raced.iter().flat_map(|(ops, _)| ops.clone()).collect();
-    let accepted: Vec<_> = raced.iter().flat_map(|(_, accepted)| accepted.clone()).collect();
+    let (observed, results) = tokio::join!(watching, updating);
+    let ops: Vec<_> = results.iter().flat_map(|(ops, _)| ops.clone()).collect();
+    let accepted: Vec<_> = results.iter().flat_map(|(_, accepted)| accepted.clone()).collect();
     assert!(accepted.len() > 20, "{} changes were accepted", accepted.len());
     assert!(check_operations(&ops), "the changes are not linearizable: {ops:#?}");
-    expect_none("never reverts", &reverts(&seen));
-    expect_none("in force everywhere", &late(&seen, &accepted, Duration::from_secs(3)));
+    expect_none("never reverts", &regressions(&observed));
+    expect_none("in force everywhere", &stale_views(&observed, &accepted, Duration::from_secs(3)));
 }
 
 #[tokio::test]
@@ -198,55 +213,60 @@
     let stop = Arc::new(AtomicBool::new(false));
     let watching = watch_generations(&cluster, &stop);
     let changing = async {
-        cluster.set_links("entry-3", Link::Cut);
+        cluster.set_daemon_links("entry-3", Link::Cut);
         let mut accepted = Vec::new();
         for rate in 1..40 {
             let body = json!({ "spec": { "rate": rate } });
             let (status, value) =
-                cluster.operate("entry-1", "PUT", "/v1/teams/cut", Some(&body)).await.expect("it answers");
+                cluster.operator_call("entry-1", "PUT", "/v1/teams/cut", Some(&body)).await.expect("it answers");
             assert!(status.is_success(), "{value}");
             accepted.push((monotonic_micros(), value["generation"].as_u64().expect("a generation")));
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         assert!(!cluster.is_ready("entry-3").await);
         let body = json!({ "spec": { "rate": 1 } });
-        let (status, _) = cluster.operate("entry-3", "PUT", "/v1/teams/cut", Some(&body)).await.expect("it answers");
+        let (status, _) =
+            cluster.operator_call("entry-3", "PUT", "/v1/teams/cut", Some(&body)).await.expect("it answers");
         assert_eq!(status, 503, "a daemon without a majority accepts no change");
-        cluster.set_links("entry-3", Link::Pass);
-        cluster.wait("it is ready again", async || cluster.is_ready("entry-3").await).await;
+        cluster.set_daemon_links("entry-3", Link::Pass);
+        cluster.wait_until("it is ready again", async || cluster.is_ready("entry-3").await).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         stop.store(true, Ordering::Relaxed);
         accepted
     };
-    let (seen, accepted) = tokio::join!(watching, changing);
-    expect_none("never reverts", &reverts(&seen));
-    expect_none("in force everywhere", &late(&seen, &accepted, Duration::from_secs(3)));
+    let (observed, accepted) = tokio::join!(watching, changing);
+    expect_none("never reverts", &regressions(&observed));
+    expect_none("in force everywhere", &stale_views(&observed, &accepted, Duration::from_secs(3)));
 }
 
 #[tokio::test]
-async fn a_daemon_starts_during_an_outage_with_the_newest_copy_of_its_peers() {
+async fn a_daemon_that_starts_during_an_outage_takes_the_newest_configuration_of_its_peers() {
     let mut cluster = start(false).await;
-    let generation = cluster.apply_eventually(&[json!({ "kind": "team", "name": "new", "spec": { "rate": 5 } })]).await;
+    let generation =
+        cluster.apply_until_accepted(&[json!({ "kind": "team", "name": "new", "spec": { "rate": 5 } })]).await;
     cluster
-        .wait("all have it", async || {
+        .wait_until("all have it", async || {
             let report = cluster.status("entry-1").await;
             report.is_some_and(|r| r.vms.iter().all(|vm| vm.generation == generation))
         })
         .await;
-    cluster.fault(&cluster.kv, &json!({ "down": true })).await;
+    cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     cluster.kill_daemon("entry-2");
     cluster.start_daemon("entry-2");
-    cluster.wait("it is ready without the service", async || cluster.is_ready("entry-2").await).await;
+    cluster.wait_until("it is ready without the service", async || cluster.is_ready("entry-2").await).await;
     let report = cluster.status("entry-2").await.expect("it answers");
     assert!(report.vms.iter().all(|vm| vm.generation == generation), "{report:?}");
     let got = cluster
-        .caller("caller")
-        .send(&cluster.daemons["entry-2"].caller, &proofs::load::call("stock-ping", 1, &proofs::load::Mix::default()))
+        .new_caller("caller")
+        .send(
+            &cluster.daemons["entry-2"].caller_address,
+            &proofs::load::call("stock-ping", 1, &proofs::load::Mix::default()),
+        )
         .await;
     assert_eq!(got.outcome, "whole", "{got:?}");
     // Nothing new can be accepted, and that is said.
     let body = json!({ "spec": { "rate": 1 } });
-    let (status, _) = cluster.operate("entry-1", "PUT", "/v1/teams/new", Some(&body)).await.expect("it answers");
+    let (status, _) = cluster.operator_call("entry-1", "PUT", "/v1/teams/new", Some(&body)).await.expect("it answers");
     assert!(status == 503 || status == 504, "{status}");
 }
 
@@ -255,25 +275,25 @@
     let cluster = start(false).await;
     let stop = Arc::new(AtomicBool::new(false));
     let watching = watch_generations(&cluster, &stop);
-    let troubling = async {
+    let injecting = async {
         for rate in 1..4 {
-            cluster.apply_eventually(&[json!({ "kind": "team", "name": "stale", "spec": { "rate": rate } })]).await;
+            cluster.apply_until_accepted(&[json!({ "kind": "team", "name": "stale", "spec": { "rate": rate } })]).await;
             // Watches break, and the read that follows shows the copy before the last change.
-            cluster.fault(&cluster.kv, &json!({ "down": true })).await;
+            cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
             tokio::time::sleep(Duration::from_millis(800)).await;
-            cluster.fault(&cluster.kv, &json!({ "stale_reads": true })).await;
+            cluster.inject_fault(&cluster.kv_address, &json!({ "stale_reads": true })).await;
             tokio::time::sleep(Duration::from_millis(1_500)).await;
-            cluster.fault(&cluster.kv, &json!({})).await;
+            cluster.inject_fault(&cluster.kv_address, &json!({})).await;
         }
         stop.store(true, Ordering::Relaxed);
     };
-    let (seen, ()) = tokio::join!(watching, troubling);
-    assert!(seen.values().all(|views| views.len() > 50), "{} daemons were watched", seen.len());
-    expect_none("never reverts", &reverts(&seen));
+    let (observed, ()) = tokio::join!(watching, injecting);
+    assert!(observed.values().all(|views| views.len() > 50), "{} daemons were watched", observed.len());
+    expect_none("never reverts", &regressions(&observed));
 }
 
 #[tokio::test]
-async fn bad_changes_name_the_field_and_change_nothing() {
+async fn invalid_changes_are_rejected_with_the_field_and_have_no_effect() {
     let cluster = start(false).await;
     let cases: [(&str, Value, &str); 5] = [
         ("/v1/kinds/k", json!({ "spec": { "priority": 1 } }), "spec"),
@@ -288,7 +308,7 @@
     ];
     let before = cluster.status("entry-1").await.expect("it answers").vms[0].generation;
     for (path, body, field) in cases {
-        let (status, value) = cluster.operate("entry-1", "PUT", path, Some(&body)).await.expect("it answers");
+        let (status, value) = cluster.operator_call("entry-1", "PUT", path, Some(&body)).await.expect("it answers");
         assert_eq!(status, 422, "{value}");
         let problems = value["problems"].as_array().expect("problems").clone();
         assert!(problems.iter().any(|p| p.to_string().contains(field)), "{field}: {value}");
@@ -297,12 +317,12 @@
     assert_eq!(before, after);
 }
 
-fn peer(cluster: &Cluster, vm: &str, secret: &str) -> RpcClient {
+fn peer_client(cluster: &Cluster, vm: &str, secret: &str) -> RpcClient {
     let mut headers = http::HeaderMap::new();
     headers.insert("authorization", format!("Bearer {secret}").parse().expect("plain text"));
     HttpClientBuilder::default()
         .set_headers(headers)
-        .build(format!("http://{}", cluster.daemons[vm].peer))
+        .build(format!("http://{}", cluster.daemons[vm].peer_address))
         .expect("an address")
 }
 
@@ -319,7 +339,7 @@
 #[tokio::test]
 async fn marks_of_a_holder_without_authority_have_no_effect() {
     let cluster = start(false).await;
-    let client = peer(&cluster, "entry-1", SECRET);
+    let client = peer_client(&cluster, "entry-1", SECRET);
     assert!(client.marks(marks(5, 1, &["plain-1"])).await.expect("it answers").taken);
     assert!(!client.marks(marks(4, 9, &[])).await.expect("it answers").taken, "an older holder");
     assert!(!client.marks(marks(5, 0, &[])).await.expect("it answers").taken, "a late message of the same holder");
@@ -327,27 +347,27 @@
     assert_eq!(status["status"]["open"], false, "{status}");
     // The marks reach the others by gossip.
     cluster
-        .wait("the others have them", async || {
+        .wait_until("the others have them", async || {
             cluster.resource("entry-3", "endpoints", "plain-1").await["status"]["open"] == false
         })
         .await;
     assert!(client.marks(marks(6, 1, &[])).await.expect("it answers").taken);
     cluster
-        .wait("the endpoint is open again", async || {
+        .wait_until("the endpoint is open again", async || {
             cluster.resource("entry-3", "endpoints", "plain-1").await["status"]["open"] == true
         })
         .await;
 }
 
 #[tokio::test]
-async fn intruders_and_malformed_messages_are_refused_and_counted() {
+async fn unauthenticated_and_malformed_calls_are_refused_and_counted() {
     let cluster = start(false).await;
-    let stranger = peer(&cluster, "entry-1", "a-secret-that-is-wrong");
+    let unauthenticated = peer_client(&cluster, "entry-1", "a-secret-that-is-wrong");
     let target = Contact { vm: "x".into(), hall: "y".into(), address: "127.0.0.1:1".into() };
-    assert!(stranger.probe_via(target).await.is_err());
-    assert!(stranger.marks(marks(99, 1, &["plain-1"])).await.is_err());
+    assert!(unauthenticated.probe_via(target).await.is_err());
+    assert!(unauthenticated.marks(marks(99, 1, &["plain-1"])).await.is_err());
     let client = dahliaseam_border::http::HttpClient::new(dahliaseam_border::http::Reuse::Fresh);
-    let operator = &cluster.daemons["entry-1"].operator;
+    let operator = &cluster.daemons["entry-1"].operator_address;
     let limit = Duration::from_secs(5);
     let req = http::Request::get(format!("http://{operator}/v1/status")).body(http_body_util::Full::default());
     let (status, _) = client.fetch(req.expect("valid"), limit).await.expect("it answers");
@@ -360,7 +380,7 @@
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"peer_marks\",\"params\":[7]}",
     ];
     for body in bodies {
-        let req = http::Request::post(format!("http://{}", cluster.daemons["entry-1"].peer))
+        let req = http::Request::post(format!("http://{}", cluster.daemons["entry-1"].peer_address))
             .header("authorization", format!("Bearer {SECRET}"))
             .header("content-type", "application/json")
             .body(http_body_util::Full::from(bytes::Bytes::from(body)));
@@ -371,8 +391,11 @@
     assert!(metrics.contains("dahliaseam_refused_calls_total{from=\"peer\""), "{metrics}");
     assert!(metrics.contains("dahliaseam_refused_calls_total{from=\"operator\""), "{metrics}");
     let got = cluster
-        .caller("caller")
-        .send(&cluster.daemons["entry-1"].caller, &proofs::load::call("stock-ping", 1, &proofs::load::Mix::default()))
+        .new_caller("caller")
+        .send(
+            &cluster.daemons["entry-1"].caller_address,
+            &proofs::load::call("stock-ping", 1, &proofs::load::Mix::default()),
+        )
         .await;
     assert_eq!(got.outcome, "whole", "nothing was disturbed: {got:?}");
 }
--- a/proofs/tests/once.rs
+++ b/proofs/tests/once.rs
@@ -10,7 +10,7 @@
 
 use proofs::{
     check::{at_most_once, expect_none, not_run},
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     load::{Load, Mix, call},
 };
 use serde_json::json;
@@ -21,14 +21,14 @@
 };
 
 async fn start(work_ms: u64) -> Cluster {
-    Cluster::start(Plan { engines: Vec::new(), plains: 2, work_ms, ..Plan::default() }).await
+    Cluster::start(ClusterConfig { engines: Vec::new(), plain_services: 2, work_ms, ..ClusterConfig::default() }).await
 }
 
 fn order(n: u64) -> Call {
     call("order-confirm", n, &Mix::default())
 }
 
-fn check(cluster: &Cluster) {
+fn check_history(cluster: &Cluster) {
     let history = cluster.history();
     expect_none("at most once", &at_most_once(&history));
     expect_none("not run is true", &not_run(&history));
@@ -37,8 +37,8 @@
 #[tokio::test]
 async fn the_same_key_on_two_daemons_at_the_same_moment_and_later() {
     let cluster = start(20).await;
-    let caller = cluster.caller("caller");
-    let addresses = cluster.callers();
+    let caller = cluster.new_caller("caller");
+    let addresses = cluster.caller_addresses();
     for n in 0..20 {
         let order = order(n);
         let (first, second) = tokio::join!(caller.send(&addresses[0], &order), caller.send(&addresses[1], &order));
@@ -50,53 +50,53 @@
         let later = caller.send(&addresses[(n % 2) as usize], &order).await;
         assert!(whole(&later), "the recorded answer comes again: {later:?}");
     }
-    check(&cluster);
+    check_history(&cluster);
 }
 
 #[tokio::test]
 async fn a_key_used_for_another_request_is_refused() {
     let cluster = start(1).await;
-    let caller = cluster.caller("caller");
-    let address = &cluster.callers()[0];
+    let caller = cluster.new_caller("caller");
+    let address = &cluster.caller_addresses()[0];
     assert_eq!(caller.send(address, &order(1)).await.outcome, "whole");
     let other = Call { prompt: "another order".into(), ..order(1) };
     let got = caller.send(address, &other).await;
     assert_eq!((got.status, got.reason.as_str()), (422, "key_reused"), "{got:?}");
-    check(&cluster);
+    check_history(&cluster);
 }
 
 #[tokio::test]
-async fn a_key_is_asked_for_where_the_kind_needs_one() {
+async fn a_request_without_a_required_key_is_refused() {
     let cluster = start(1).await;
     let keyless = Call { key: None, ..order(1) };
-    let got = cluster.caller("caller").send(&cluster.callers()[0], &keyless).await;
+    let got = cluster.new_caller("caller").send(&cluster.caller_addresses()[0], &keyless).await;
     assert_eq!((got.status, got.reason.as_str(), got.outcome.as_str()), (400, "key_missing", "not_run"));
-    check(&cluster);
+    check_history(&cluster);
 }
 
 #[tokio::test]
-async fn an_answer_is_lost_after_the_run() {
+async fn an_answer_is_lost_after_the_request_ran() {
     let cluster = start(1).await;
-    let caller = cluster.caller("caller");
+    let caller = cluster.new_caller("caller");
     for name in ["plain-1", "plain-2"] {
-        cluster.endpoint_fault(name, &json!({ "lose_answers": 4 })).await;
+        cluster.inject_endpoint_fault(name, &json!({ "lose_answers": 4 })).await;
     }
     for n in 0..4 {
-        let got = caller.send(&cluster.callers()[0], &order(n)).await;
+        let got = caller.send(&cluster.caller_addresses()[0], &order(n)).await;
         // Which of the two depends on whether the head of the answer came before the loss.
         assert!(matches!(got.outcome.as_str(), "ran" | "unknown"), "{got:?}");
-        let again = caller.send(&cluster.callers()[1], &order(n)).await;
+        let again = caller.send(&cluster.caller_addresses()[1], &order(n)).await;
         assert_eq!((again.status, &again.outcome), (409, &got.outcome), "{again:?}");
     }
-    check(&cluster);
+    check_history(&cluster);
 }
 
 #[tokio::test]
 async fn a_daemon_is_killed_between_claim_and_answer() {
     let mut cluster = start(400).await;
-    let caller = cluster.caller("caller");
+    let caller = cluster.new_caller("caller");
     let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
-    let addresses = cluster.callers();
+    let addresses = cluster.caller_addresses();
     let tasks: Vec<_> = (0..8)
         .map(|n| {
             let (caller, address) = (caller.clone(), addresses[0].clone());
@@ -114,24 +114,24 @@
         assert!(got.outcome == "unknown" || got.outcome == "whole", "{got:?}");
     }
     cluster.start_daemon(&vms[0]);
-    cluster.wait_ready().await;
+    cluster.wait_until_ready().await;
     for n in 0..8 {
         cluster
-            .wait("the outcome is final once the claim's owner is known to be over", async || {
+            .wait_until("the outcome is final once the claim's owner is known to be over", async || {
                 let got = caller.send(&addresses[1], &order(n)).await;
                 got.reason == "key_used" || got.outcome == "whole"
             })
             .await;
     }
-    check(&cluster);
+    check_history(&cluster);
 }
 
 #[tokio::test]
 async fn the_key_value_service_is_down_then_loses_answers() {
     let cluster = start(1).await;
-    let caller = cluster.caller("caller");
-    let addresses = cluster.callers();
-    cluster.fault(&cluster.kv, &json!({ "down": true })).await;
+    let caller = cluster.new_caller("caller");
+    let addresses = cluster.caller_addresses();
+    cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     for n in 0..6 {
         let got = caller.send(&addresses[(n % 2) as usize], &order(n)).await;
         assert_eq!((got.outcome.as_str(), got.reason.as_str()), ("not_run", "claims_unavailable"), "{got:?}");
@@ -140,92 +140,99 @@
         let ping = caller.send(&addresses[(n % 2) as usize], &call("stock-ping", n, &Mix::default())).await;
         assert_eq!(ping.outcome, "whole", "{ping:?}");
     }
-    cluster.fault(&cluster.kv, &json!({ "lose_answers": 5, "slow_ms": 10 })).await;
+    cluster.inject_fault(&cluster.kv_address, &json!({ "lose_answers": 5, "slow_ms": 10 })).await;
     cluster
-        .wait("orders are taken again", async || {
+        .wait_until("orders are taken again", async || {
             let got = caller.send(&addresses[0], &order(100)).await;
             got.outcome == "whole"
         })
         .await;
     for n in 0..6 {
         cluster
-            .wait("the refused order runs at last", async || {
+            .wait_until("the refused order runs at last", async || {
                 caller.send(&addresses[(n % 2) as usize], &order(n)).await.outcome == "whole"
             })
             .await;
     }
-    check(&cluster);
+    check_history(&cluster);
 }
 
 #[tokio::test]
-async fn services_refuse_and_vanish_under_load() {
+async fn services_refuse_requests_and_crash_under_load() {
     let mut cluster = start(5).await;
-    let caller = cluster.caller("caller");
-    let load = Load::start(&caller, &cluster.callers(), 8, 7, Mix::default());
+    let caller = cluster.new_caller("caller");
+    let load = Load::start(&caller, &cluster.caller_addresses(), 8, 7, Mix::default());
     for round in 0..3 {
-        cluster.endpoint_fault("plain-2", &json!({ "refuse": 20 })).await;
-        load.wait_for(60).await;
+        cluster.inject_endpoint_fault("plain-2", &json!({ "refuse": 20 })).await;
+        load.wait_for_requests(60).await;
         cluster.kill_endpoint("plain-1");
-        load.wait_for(60).await;
+        load.wait_for_requests(60).await;
         cluster.restart_endpoint("plain-1");
-        cluster.endpoint_fault("plain-1", &json!({ "lose_answers": round })).await;
+        cluster.inject_endpoint_fault("plain-1", &json!({ "lose_answers": round })).await;
     }
     load.finish().await;
-    check(&cluster);
+    check_history(&cluster);
 }
 
 /// How a raw endpoint treats a connection.
 #[derive(Clone, Copy, Debug)]
-enum Closes {
-    AtOnce,
-    InTheRequest,
-    AfterTheRequest,
-    AfterOneAnswer,
+enum CloseTime {
+    OnAccept,
+    DuringRequest,
+    AfterRequest,
+    AfterResponse,
 }
 
 /// An endpoint that closes connections at a chosen moment, and counts the requests it had whole.
-async fn raw_endpoint(closes: Closes) -> (String, Arc<AtomicUsize>) {
+async fn raw_endpoint(close_time: CloseTime) -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
-    let had = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&had);
+    let received = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&received);
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut buf = vec![0; 4096];
-            if matches!(closes, Closes::AtOnce) {
+            if matches!(close_time, CloseTime::OnAccept) {
                 continue;
             }
             let read = stream.read(&mut buf).await.unwrap_or(0);
-            if read == 0 || matches!(closes, Closes::InTheRequest) {
+            if read == 0 || matches!(close_time, CloseTime::DuringRequest) {
                 continue;
             }
             count.fetch_add(1, Ordering::SeqCst);
-            if matches!(closes, Closes::AfterOneAnswer) {
+            if matches!(close_time, CloseTime::AfterResponse) {
                 let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nyes\n";
                 let _ = stream.write_all(answer).await;
             }
         }
     });
-    (address, had)
+    (address, received)
 }
 
 #[tokio::test]
 async fn connections_close_before_during_and_after_the_write() {
-    for closes in [Closes::AtOnce, Closes::InTheRequest, Closes::AfterTheRequest, Closes::AfterOneAnswer] {
-        let cluster = Cluster::start(Plan { engines: Vec::new(), plains: 0, daemons: 1, ..Plan::default() }).await;
-        let (address, had) = raw_endpoint(closes).await;
+    for close_time in [CloseTime::OnAccept, CloseTime::DuringRequest, CloseTime::AfterRequest, CloseTime::AfterResponse]
+    {
+        let cluster = Cluster::start(ClusterConfig {
+            engines: Vec::new(),
+            plain_services: 0,
+            daemons: 1,
+            ..ClusterConfig::default()
+        })
+        .await;
+        let (address, received) = raw_endpoint(close_time).await;
         let spec = json!({ "pool": "till", "address": address, "vm": "entry-1", "hall": "hall-0", "role": "plain" });
-        cluster.apply_eventually(&[json!({ "kind": "endpoint", "name": "raw", "spec": spec })]).await;
-        let caller = cluster.caller("caller");
+        cluster.apply_until_accepted(&[json!({ "kind": "endpoint", "name": "raw", "spec": spec })]).await;
+        let caller = cluster.new_caller("caller");
         for n in 0..3 {
-            let before = had.load(Ordering::SeqCst);
-            let got = caller.send(&cluster.callers()[0], &order(n)).await;
-            let ran = had.load(Ordering::SeqCst) > before;
-            assert!(!(ran && got.outcome == "not_run"), "{closes:?}: {got:?}");
-            if matches!(closes, Closes::AfterOneAnswer) && got.reason != "too_late" {
-                assert_eq!(got.outcome, "whole", "{closes:?}: {got:?}");
+            let before = received.load(Ordering::SeqCst);
+            let got = caller.send(&cluster.caller_addresses()[0], &order(n)).await;
+            let ran = received.load(Ordering::SeqCst) > before;
+            assert!(!(ran && got.outcome == "not_run"), "{close_time:?}: {got:?}");
+            if matches!(close_time, CloseTime::AfterResponse) && got.reason != "too_late" {
+                assert_eq!(got.outcome, "whole", "{close_time:?}: {got:?}");
             }
         }
-        assert!(had.load(Ordering::SeqCst) <= 3, "{closes:?}: each runs once at most");
+        assert!(received.load(Ordering::SeqCst) <= 3, "{close_time:?}: each runs once at most");
     }
 }
--- a/proofs/tests/orders.rs
+++ b/proofs/tests/orders.rs
@@ -4,17 +4,17 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{cuts, expect_none, orders, orders_with_crashes},
-    cluster::{Cluster, PATIENCE, Plan},
+    check::{cut_requests, expect_none, orders, orders_with_crashes},
+    cluster::{Cluster, ClusterConfig, WAIT_TIMEOUT},
 };
 use serde_json::json;
 
-const BOTH_KINDS: [(Role, Fencing); 3] =
+const ENGINES: [(Role, Fencing); 3] =
     [(Role::Mixed, Fencing::Checks), (Role::Mixed, Fencing::Ignores), (Role::Mixed, Fencing::Checks)];
 
 async fn start() -> Cluster {
-    let plan = Plan { daemons: 3, engines: BOTH_KINDS.to_vec(), plains: 1, ..Plan::default() };
-    Cluster::start(plan).await
+    let config = ClusterConfig { daemons: 3, engines: ENGINES.to_vec(), plain_services: 1, ..ClusterConfig::default() };
+    Cluster::start(config).await
 }
 
 fn other_than(cluster: &Cluster, vm: &str) -> String {
@@ -26,46 +26,52 @@
 }
 
 #[tokio::test]
-async fn a_holder_is_killed_twice_in_mid_change() {
+async fn the_holder_is_killed_twice_during_role_changes() {
     let mut cluster = start().await;
     for role in [Role::Prefill, Role::Decode] {
         let any = other_than(&cluster, "");
-        let holder = cluster.wait_holder(&any).await;
+        let holder = cluster.wait_for_holder(&any).await;
         cluster.fix_roles(&holder, &roles(role)).await;
         cluster
-            .wait("an order was taken", async || cluster.engine_status("engine-1").await.is_some_and(|s| s.cordoned))
+            .wait_until("an order was taken", async || {
+                cluster.engine_status("engine-1").await.is_some_and(|s| s.cordoned)
+            })
             .await;
         cluster.kill_daemon(&holder);
         cluster.start_daemon(&holder);
-        cluster.wait_role("engine-1", role).await;
-        cluster.wait_role("engine-2", role).await;
-        cluster.wait_ready().await;
+        cluster.wait_for_role("engine-1", role).await;
+        cluster.wait_for_role("engine-2", role).await;
+        cluster.wait_until_ready().await;
     }
     let history = cluster.history();
     expect_none("orders", &orders(&history));
-    expect_none("cuts", &cuts(&history));
+    expect_none("cuts", &cut_requests(&history));
 }
 
 #[tokio::test]
-async fn a_frozen_holder_wakes_and_still_believes() {
+async fn a_suspended_holder_resumes_after_its_lease_expired() {
     let mut cluster = start().await;
     let any = other_than(&cluster, "");
-    let holder = cluster.wait_holder(&any).await;
+    let holder = cluster.wait_for_holder(&any).await;
     let other = other_than(&cluster, &holder);
     // The holder takes custody of both engines.
     cluster.fix_roles(&holder, &roles(Role::Prefill)).await;
-    cluster.wait_role("engine-1", Role::Prefill).await;
-    cluster.wait_role("engine-2", Role::Prefill).await;
+    cluster.wait_for_role("engine-1", Role::Prefill).await;
+    cluster.wait_for_role("engine-2", Role::Prefill).await;
 
     cluster.daemon(&holder).freeze();
-    cluster.wait("another holds the shard", async || cluster.holder(&other).await.is_some_and(|vm| vm != holder)).await;
-    let next = cluster.holder(&other).await.expect("there is one");
+    cluster
+        .wait_until("another holds the shard", async || {
+            cluster.shard_holder(&other).await.is_some_and(|vm| vm != holder)
+        })
+        .await;
+    let next = cluster.shard_holder(&other).await.expect("there is one");
     cluster.fix_roles(&next, &roles(Role::Decode)).await;
     // The engine that checks passes on at once; the one that ignores numbers keeps its role, and
     // its status says why.
-    cluster.wait_role("engine-1", Role::Decode).await;
+    cluster.wait_for_role("engine-1", Role::Decode).await;
     cluster
-        .wait("the status says what is waited for", async || {
+        .wait_until("the status says what is waited for", async || {
             let status = cluster.resource(&next, "endpoints", "engine-2").await;
             status["status"]["waits_for"] == "former_custodian"
         })
@@ -74,80 +80,84 @@
     assert_eq!(status.role, Role::Prefill);
 
     cluster.daemon(&holder).thaw();
-    cluster.wait_role("engine-2", Role::Decode).await;
+    cluster.wait_for_role("engine-2", Role::Decode).await;
     let history = cluster.history();
     expect_none("orders", &orders(&history));
-    expect_none("cuts", &cuts(&history));
+    expect_none("cuts", &cut_requests(&history));
 }
 
 #[tokio::test]
-async fn an_engine_crashes_in_mid_change() {
+async fn an_engine_crashes_during_a_role_change() {
     let cluster = start().await;
     let any = other_than(&cluster, "");
-    let holder = cluster.wait_holder(&any).await;
+    let holder = cluster.wait_for_holder(&any).await;
     for engine in ["engine-1", "engine-2"] {
-        cluster.endpoint_fault(engine, &json!({ "crash_in_change": true })).await;
+        cluster.inject_endpoint_fault(engine, &json!({ "crash_in_change": true })).await;
     }
     cluster.fix_roles(&holder, &roles(Role::Decode)).await;
-    cluster.wait_role("engine-1", Role::Decode).await;
-    cluster.wait_role("engine-2", Role::Decode).await;
+    cluster.wait_for_role("engine-1", Role::Decode).await;
+    cluster.wait_for_role("engine-2", Role::Decode).await;
     expect_none("orders", &orders_with_crashes(&cluster.history()));
 }
 
 #[tokio::test]
-async fn write_answers_are_lost_and_the_service_is_slow_during_changes() {
+async fn write_answers_are_lost_and_the_key_value_service_is_slow_during_role_changes() {
     let mut cluster = start().await;
     let any = other_than(&cluster, "");
     for (n, role) in [Role::Prefill, Role::Decode, Role::Mixed].into_iter().enumerate() {
-        let holder = cluster.wait_holder(&any).await;
+        let holder = cluster.wait_for_holder(&any).await;
         cluster.fix_roles(&holder, &roles(role)).await;
-        let kv = cluster.kv.clone();
-        cluster.fault(&kv, &json!({ "lose_answers": 4, "slow_ms": 40 * n })).await;
+        let kv = cluster.kv_address.clone();
+        cluster.inject_fault(&kv, &json!({ "lose_answers": 4, "slow_ms": 40 * n })).await;
         if n == 1 {
             cluster.kill_daemon(&holder);
             cluster.start_daemon(&holder);
         }
-        cluster.wait_role("engine-1", role).await;
-        cluster.wait_role("engine-2", role).await;
-        cluster.fault(&kv, &json!({})).await;
+        cluster.wait_for_role("engine-1", role).await;
+        cluster.wait_for_role("engine-2", role).await;
+        cluster.inject_fault(&kv, &json!({})).await;
     }
     let history = cluster.history();
     expect_none("orders", &orders(&history));
-    expect_none("cuts", &cuts(&history));
+    expect_none("cuts", &cut_requests(&history));
 }
 
 #[tokio::test]
-async fn an_order_of_a_killed_holder_arrives_late() {
+async fn an_order_of_a_former_holder_arrives_late() {
     let mut cluster = start().await;
     let any = other_than(&cluster, "");
-    let holder = cluster.wait_holder(&any).await;
+    let holder = cluster.wait_for_holder(&any).await;
     for engine in ["engine-1", "engine-2"] {
-        cluster.endpoint_fault(engine, &json!({ "order_delay_ms": 900 })).await;
+        cluster.inject_endpoint_fault(engine, &json!({ "order_delay_ms": 900 })).await;
     }
     cluster.fix_roles(&holder, &roles(Role::Prefill)).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     cluster.daemon(&holder).freeze();
     let other = other_than(&cluster, &holder);
-    cluster.wait("another holds the shard", async || cluster.holder(&other).await.is_some_and(|vm| vm != holder)).await;
-    cluster.wait_role("engine-1", Role::Prefill).await;
+    cluster
+        .wait_until("another holds the shard", async || {
+            cluster.shard_holder(&other).await.is_some_and(|vm| vm != holder)
+        })
+        .await;
+    cluster.wait_for_role("engine-1", Role::Prefill).await;
     cluster.daemon(&holder).terminate();
     cluster.daemon(&holder).thaw();
-    let status = cluster.daemon(&holder).wait(PATIENCE).await;
+    let status = cluster.daemon(&holder).wait(WAIT_TIMEOUT).await;
     assert!(status.success());
-    cluster.wait_role("engine-2", Role::Prefill).await;
+    cluster.wait_for_role("engine-2", Role::Prefill).await;
     let history = cluster.history();
     expect_none("orders", &orders(&history));
-    expect_none("cuts", &cuts(&history));
+    expect_none("cuts", &cut_requests(&history));
 }
 
 #[tokio::test]
-async fn every_entry_vm_is_replaced_at_once() {
+async fn all_entry_vms_are_replaced_at_once() {
     let mut cluster = start().await;
     let any = other_than(&cluster, "");
-    let holder = cluster.wait_holder(&any).await;
+    let holder = cluster.wait_for_holder(&any).await;
     cluster.fix_roles(&holder, &roles(Role::Prefill)).await;
-    cluster.wait_role("engine-1", Role::Prefill).await;
-    cluster.wait_role("engine-2", Role::Prefill).await;
+    cluster.wait_for_role("engine-1", Role::Prefill).await;
+    cluster.wait_for_role("engine-2", Role::Prefill).await;
     for vm in cluster.daemons.keys().cloned().collect::<Vec<_>>() {
         cluster.kill_daemon(&vm);
     }
@@ -159,10 +169,10 @@
     for n in 1..=3 {
         cluster.start_daemon(&format!("next-{n}"));
     }
-    cluster.wait_ready().await;
-    let holder = cluster.wait_holder("next-1").await;
+    cluster.wait_until_ready().await;
+    let holder = cluster.wait_for_holder("next-1").await;
     cluster.fix_roles(&holder, &roles(Role::Decode)).await;
-    cluster.wait_role("engine-1", Role::Decode).await;
-    cluster.wait_role("engine-2", Role::Decode).await;
+    cluster.wait_for_role("engine-1", Role::Decode).await;
+    cluster.wait_for_role("engine-2", Role::Decode).await;
     expect_none("orders", &orders(&cluster.history()));
 }
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -7,9 +7,9 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{at_most_once, cuts, exactness, expect_none, not_run, orders, quiet_after},
-    cluster::{Cluster, PATIENCE, Plan},
-    load::{Load, Mix, call, unprotected},
+    check::{at_most_once, cut_requests, expect_none, late_starts, not_run, orders, wrong_answers},
+    cluster::{Cluster, ClusterConfig, WAIT_TIMEOUT},
+    load::{Load, Mix, call, failed_protected},
 };
 use serde_json::json;
 use stand_ins::{
@@ -21,7 +21,7 @@
 const CALLERS: usize = 6;
 /// How long after its mark a leaving endpoint may still begin work: the list is read each 100 ms
 /// in these tests, and gossip rides on probes each 60 ms.
-const LEAVE_WITHIN: Duration = Duration::from_secs(2);
+const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
 async fn start(daemons: usize, links: bool) -> Cluster {
     let engines = vec![
@@ -30,14 +30,14 @@
         (Role::Mixed, Fencing::Checks),
         (Role::Mixed, Fencing::Checks),
     ];
-    Cluster::start(Plan { daemons, engines, links, ..Plan::default() }).await
+    Cluster::start(ClusterConfig { daemons, engines, links, ..ClusterConfig::default() }).await
 }
 
-fn check(cluster: &Cluster, answers: &[(Call, Got)]) {
+fn check_history(cluster: &Cluster, answers: &[(Call, Got)]) {
     let history = cluster.history();
-    expect_none("cuts", &cuts(&history));
-    expect_none("protected kinds", &unprotected(answers));
-    expect_none("exact answers", &exactness(&history));
+    expect_none("cuts", &cut_requests(&history));
+    expect_none("protected kinds", &failed_protected(answers));
+    expect_none("exact answers", &wrong_answers(&history));
     expect_none("not run is true", &not_run(&history));
     expect_none("at most once", &at_most_once(&history));
     expect_none("orders", &orders(&history));
@@ -48,77 +48,77 @@
 #[tokio::test]
 async fn role_changes_and_loads() {
     let cluster = start(3, false).await;
-    let caller = cluster.caller("caller");
-    let load = Load::start(&caller, &cluster.callers(), CALLERS, 3, Mix::default());
+    let caller = cluster.new_caller("caller");
+    let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 3, Mix::default());
     // Protected answers are always under way at every engine.
-    let protected = Mix { chat_tokens: 120, only: Some("counter-answer"), ..Mix::default() };
-    let busy = Load::start(&caller, &cluster.callers(), 2 * CALLERS, 30, protected);
+    let protected = Mix { chat_tokens: 120, only_kind: Some("counter-answer"), ..Mix::default() };
+    let busy = Load::start(&caller, &cluster.caller_addresses(), 2 * CALLERS, 30, protected);
     let resources = [
         json!({ "kind": "version", "name": "catalogue-7b-r4",
             "spec": { "model": "catalogue-7b", "artifact": "catalogue-7b/r4" } }),
         json!({ "kind": "adapter", "name": "brakes", "spec": { "model": "catalogue-7b", "artifact": "brakes" } }),
         json!({ "kind": "model", "name": "catalogue-7b", "spec": { "version": "catalogue-7b-r4" } }),
     ];
-    cluster.apply_eventually(&resources).await;
+    cluster.apply_until_accepted(&resources).await;
     for role in [Role::Prefill, Role::Decode] {
-        let holder = cluster.wait_holder("entry-1").await;
+        let holder = cluster.wait_for_holder("entry-1").await;
         cluster.fix_roles(&holder, &[("engine-1", role), ("engine-2", role)]).await;
-        cluster.wait_role("engine-1", role).await;
-        cluster.wait_role("engine-2", role).await;
-        load.wait_for(50).await;
+        cluster.wait_for_role("engine-1", role).await;
+        cluster.wait_for_role("engine-2", role).await;
+        load.wait_for_requests(50).await;
     }
     cluster.edit("entry-1", "endpoints", "engine-3", &json!({ "load": ["brakes"] })).await;
     cluster
-        .wait("the adapter and the new version are loaded", async || {
+        .wait_until("the adapter and the new version are loaded", async || {
             let loaded = cluster.engine_status("engine-3").await.map(|s| s.loaded).unwrap_or_default();
             ["brakes", "catalogue-7b-r4"].iter().all(|item| loaded.iter().any(|l| l == item))
         })
         .await;
     let mut answers = load.finish().await;
     answers.extend(busy.finish().await);
-    check(&cluster, &answers);
+    check_history(&cluster, &answers);
 }
 
 #[tokio::test]
 async fn a_drained_endpoint_gets_nothing_new() {
     let cluster = start(3, false).await;
-    let caller = cluster.caller("caller");
-    let load = Load::start(&caller, &cluster.callers(), CALLERS, 4, Mix::default());
-    load.wait_for(50).await;
+    let caller = cluster.new_caller("caller");
+    let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 4, Mix::default());
+    load.wait_for_requests(50).await;
     for name in ["plain-1", "engine-1"] {
         cluster.edit("entry-2", "endpoints", name, &json!({ "drained": true })).await;
     }
-    tokio::time::sleep(LEAVE_WITHIN).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let since = monotonic_micros();
-    load.wait_for(100).await;
+    load.wait_for_requests(100).await;
     let answers = load.finish().await;
-    expect_none("drained", &quiet_after(&cluster.history(), &["plain-1", "engine-1"], since));
-    check(&cluster, &answers);
+    expect_none("drained", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
+    check_history(&cluster, &answers);
 }
 
 #[tokio::test]
-async fn leaving_endpoints_while_the_service_is_down_and_a_daemon_is_cut_off() {
+async fn leaving_endpoints_while_the_key_value_service_is_down_and_a_daemon_is_partitioned() {
     let cluster = start(3, true).await;
-    let caller = cluster.caller("caller");
-    let load = Load::start(&caller, &cluster.callers(), CALLERS, 5, Mix::default());
-    load.wait_for(50).await;
+    let caller = cluster.new_caller("caller");
+    let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 5, Mix::default());
+    load.wait_for_requests(50).await;
     // The key-value service is down for all; one daemon has only its own view of the list lost,
     // another is cut off from everything.
-    cluster.fault(&cluster.kv, &json!({ "down": true })).await;
-    cluster.set_list_link("entry-2", Link::Cut);
-    cluster.set_links("entry-3", Link::Cut);
+    cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
+    cluster.set_vm_list_link("entry-2", Link::Cut);
+    cluster.set_daemon_links("entry-3", Link::Cut);
     cluster.set_vms(&["vm-plain-1", "vm-engine-1"]).await;
-    tokio::time::sleep(LEAVE_WITHIN).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let since = monotonic_micros();
-    load.wait_for(100).await;
+    load.wait_for_requests(100).await;
     assert!(!cluster.is_ready("entry-3").await, "a daemon that is cut off is not ready");
     assert!(cluster.is_ready("entry-2").await, "one that hears it from its peers is");
-    cluster.set_links("entry-3", Link::Pass);
-    cluster.set_list_link("entry-2", Link::Pass);
-    cluster.wait("the daemon is back", async || cluster.is_ready("entry-3").await).await;
-    load.wait_for(50).await;
+    cluster.set_daemon_links("entry-3", Link::Pass);
+    cluster.set_vm_list_link("entry-2", Link::Pass);
+    cluster.wait_until("the daemon is back", async || cluster.is_ready("entry-3").await).await;
+    load.wait_for_requests(50).await;
     let answers = load.finish().await;
-    expect_none("leaving", &quiet_after(&cluster.history(), &["plain-1", "engine-1"], since));
+    expect_none("leaving", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
     // Orders need the key-value service, which is down; they are refused truly.
     expect_none("not run is true", &not_run(&cluster.history()));
     let cut: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
@@ -126,35 +126,36 @@
 }
 
 #[tokio::test]
-async fn daemons_stop_one_after_the_other() {
+async fn daemons_stop_in_turn_under_load() {
     let mut cluster = start(3, false).await;
-    let caller = cluster.caller("caller");
-    let load = Load::start(&caller, &cluster.callers(), CALLERS, 6, Mix { chat_tokens: 120, ..Mix::default() });
+    let caller = cluster.new_caller("caller");
+    let load =
+        Load::start(&caller, &cluster.caller_addresses(), CALLERS, 6, Mix { chat_tokens: 120, ..Mix::default() });
     for vm in ["entry-1", "entry-2", "entry-3"] {
-        load.wait_for(40).await;
+        load.wait_for_requests(40).await;
         cluster.daemon(vm).terminate();
-        let status = cluster.daemon(vm).wait(PATIENCE).await;
+        let status = cluster.daemon(vm).wait(WAIT_TIMEOUT).await;
         assert!(status.success(), "{vm}: {status}\n{}", cluster.log(vm));
         cluster.start_daemon(vm);
-        cluster.wait_ready().await;
+        cluster.wait_until_ready().await;
     }
     let answers = load.finish().await;
-    check(&cluster, &answers);
+    check_history(&cluster, &answers);
 }
 
 #[tokio::test]
 async fn all_daemons_stop_at_once_under_long_streams() {
     let mut cluster = start(3, false).await;
-    let caller = cluster.caller("caller");
+    let caller = cluster.new_caller("caller");
     let mix = Mix { chat_tokens: 300, ..Mix::default() };
     let streams: Vec<_> = (0..12)
         .map(|n| {
-            let (caller, address) = (caller.clone(), cluster.callers()[n % 3].clone());
+            let (caller, address) = (caller.clone(), cluster.caller_addresses()[n % 3].clone());
             tokio::spawn(async move { caller.send(&address, &call("chat-reply", n as u64, &mix)).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
     for vm in &vms {
         cluster.daemon(vm).terminate();
@@ -164,22 +165,22 @@
         assert_eq!((got.outcome.as_str(), got.exact), ("whole", true), "{got:?}");
     }
     for vm in &vms {
-        let left = until.saturating_duration_since(Instant::now());
-        let status: ExitStatus = cluster.daemon(vm).wait(left).await;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let status: ExitStatus = cluster.daemon(vm).wait(remaining).await;
         assert!(status.success(), "{vm}: {status}\n{}", cluster.log(vm));
     }
 }
 
 #[tokio::test]
-async fn a_daemon_that_sees_its_own_vm_leaving_stops() {
+async fn a_daemon_whose_vm_is_leaving_stops() {
     let mut cluster = start(3, false).await;
-    let caller = cluster.caller("caller");
-    let load = Load::start(&caller, &cluster.callers(), CALLERS, 8, Mix::default());
-    load.wait_for(30).await;
+    let caller = cluster.new_caller("caller");
+    let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 8, Mix::default());
+    load.wait_for_requests(30).await;
     cluster.set_vms(&["entry-2"]).await;
-    let status = cluster.daemon("entry-2").wait(PATIENCE).await;
+    let status = cluster.daemon("entry-2").wait(WAIT_TIMEOUT).await;
     assert!(status.success(), "{status}\n{}", cluster.log("entry-2"));
-    load.wait_for(30).await;
+    load.wait_for_requests(30).await;
     let answers = load.finish().await;
-    check(&cluster, &answers);
+    check_history(&cluster, &answers);
 }
--- a/proofs/tests/whole_path.rs
+++ b/proofs/tests/whole_path.rs
@@ -2,17 +2,17 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{at_most_once, exactness, expect_none, not_run},
-    cluster::{Cluster, Plan},
+    check::{at_most_once, expect_none, not_run, wrong_answers},
+    cluster::{Cluster, ClusterConfig},
     load::{KINDS, Mix, call},
 };
 
 #[tokio::test]
 async fn every_kind_is_answered_whole_through_every_daemon() {
-    let cluster = Cluster::start(Plan::default()).await;
-    let caller = cluster.caller("caller");
+    let cluster = Cluster::start(ClusterConfig::default()).await;
+    let caller = cluster.new_caller("caller");
     let mut n = 0;
-    for address in cluster.callers() {
+    for address in cluster.caller_addresses() {
         for kind in KINDS {
             for _ in 0..3 {
                 n += 1;
@@ -22,36 +22,39 @@
         }
     }
     let history = cluster.history();
-    expect_none("exact answers", &exactness(&history));
+    expect_none("exact answers", &wrong_answers(&history));
     expect_none("at most once", &at_most_once(&history));
     expect_none("not run is true", &not_run(&history));
 }
 
 #[tokio::test]
-async fn a_prompt_is_processed_by_a_prefill_engine_and_its_cache_moved() {
-    let plan =
-        Plan { engines: vec![(Role::Prefill, Fencing::Checks), (Role::Decode, Fencing::Checks)], ..Plan::default() };
-    let cluster = Cluster::start(plan).await;
-    let caller = cluster.caller("caller");
+async fn a_prefill_engine_processes_the_prompt_and_its_cache_is_transferred() {
+    let config = ClusterConfig {
+        engines: vec![(Role::Prefill, Fencing::Checks), (Role::Decode, Fencing::Checks)],
+        ..ClusterConfig::default()
+    };
+    let cluster = Cluster::start(config).await;
+    let caller = cluster.new_caller("caller");
     let vm = cluster.daemons.keys().next().expect("there is one").clone();
     let mix = Mix { prompt_bytes: 4_000, ..Mix::default() };
-    let got = caller.send(&cluster.daemons[&vm].caller, &call("catalogue-query", 1, &mix)).await;
+    let got = caller.send(&cluster.daemons[&vm].caller_address, &call("catalogue-query", 1, &mix)).await;
     assert_eq!((got.outcome.as_str(), got.exact), ("whole", true), "{got:?}");
     let request = got.request.expect("every answer names its request");
-    let (_, record) = cluster.operate(&vm, "GET", &format!("/v1/requests/{request}"), None).await.expect("it answers");
+    let (_, record) =
+        cluster.operator_call(&vm, "GET", &format!("/v1/requests/{request}"), None).await.expect("it answers");
     assert_eq!(record["attempts"][0]["prefill"], "engine-1", "{record}");
     assert_eq!(record["attempts"][0]["endpoint"], "engine-2", "{record}");
 }
 
 #[tokio::test]
-async fn any_daemon_explains_a_request_that_another_took() {
-    let cluster = Cluster::start(Plan::default()).await;
-    let caller = cluster.caller("caller");
+async fn any_daemon_returns_the_record_of_a_request_that_another_accepted() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
+    let caller = cluster.new_caller("caller");
     let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
-    let got = caller.send(&cluster.daemons[&vms[0]].caller, &call("chat-reply", 1, &Mix::default())).await;
+    let got = caller.send(&cluster.daemons[&vms[0]].caller_address, &call("chat-reply", 1, &Mix::default())).await;
     let request = got.request.expect("every answer names its request");
     let path = format!("/v1/requests/{request}");
-    let (status, record) = cluster.operate(&vms[1], "GET", &path, None).await.expect("it answers");
+    let (status, record) = cluster.operator_call(&vms[1], "GET", &path, None).await.expect("it answers");
     assert!(status.is_success(), "{record}");
     assert_eq!(record["outcome"], "whole");
     let candidates = record["attempts"][0]["candidates"].as_array().map(Vec::len);
