--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -20,7 +20,7 @@
 use futures_util::future::join_all;
 use serde_json::{Value, json};
 use stand_ins::{
-    caller::{Call, Caller, Got},
+    caller::{Answer, Call, Caller},
     engine::{EngineSetup, EngineStandIn},
     history::History,
     kv::Kv,
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-async fn run_phase(addresses: &[String], phase: &str, mix: &[(&'static str, u64)]) -> Vec<(Call, Got)> {
+async fn run_phase(addresses: &[String], phase: &str, mix: &[(&'static str, u64)]) -> Vec<(Call, Answer)> {
     let caller = Caller::new(History::in_memory("caller"), CALLER_LIMIT);
     let addresses = Arc::new(addresses.to_vec());
     let until = Instant::now() + PHASE;
@@ -223,15 +223,15 @@
     }
 }
 
-fn print_summary(phase: &str, answers: &[(Call, Got)]) {
-    let mut by_kind: BTreeMap<&str, Vec<&Got>> = BTreeMap::new();
+fn print_summary(phase: &str, answers: &[(Call, Answer)]) {
+    let mut by_kind: BTreeMap<&str, Vec<&Answer>> = BTreeMap::new();
     for (call, got) in answers {
         by_kind.entry(&call.kind).or_default().push(got);
     }
     println!("phase {phase}: {} requests", answers.len());
     println!("  {:16} {:>6} {:>7} {:>8} {:>8}", "kind", "sent", "whole", "exact", "first");
     for (kind, answers) in by_kind {
-        let count = |test: fn(&Got) -> bool| answers.iter().filter(|got| test(got)).count();
+        let count = |test: fn(&Answer) -> bool| answers.iter().filter(|got| test(got)).count();
         let mut first: Vec<_> = answers.iter().filter(|g| g.outcome == "whole").map(|g| g.first_micros).collect();
         first.sort_unstable();
         let median = first.get(first.len() / 2).copied().unwrap_or(0) as f64 / 1_000.0;
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -292,9 +292,9 @@
         let kind = self.setup.workload.user.kinds()[arrival.kind];
         Job {
             id: request as u64 | if prefill_only { PREFILL_BIT } else { 0 },
-            prompt: arrival.prompt + progress.tokens,
+            prompt_tokens: arrival.prompt + progress.tokens,
             prefix: arrival.prefix,
-            output: (arrival.output - progress.tokens).max(1),
+            output_tokens: (arrival.output - progress.tokens).max(1),
             priority: kind.traits.priority,
             imported,
             prefill_only,
@@ -474,7 +474,7 @@
     fn crash(&mut self, engine: usize) {
         self.engines[engine].gone = true;
         self.engines[engine].stepping = false;
-        for id in self.engines[engine].model.lose_all() {
+        for id in self.engines[engine].model.drop_jobs() {
             let request = (id & !PREFILL_BIT) as usize;
             self.take_back(request);
             let orders = self.ended(request, AttemptEnd::Broken);
--- a/proofs/src/load.rs
+++ b/proofs/src/load.rs
@@ -9,7 +9,7 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use stand_ins::caller::{Call, Caller, Got, NO_CONNECTION};
+use stand_ins::caller::{Answer, Call, Caller, NO_CONNECTION};
 use tokio::task::JoinSet;
 
 /// Requests of one caller at most, so that a test's load always ends.
@@ -41,7 +41,7 @@
 pub struct Load {
     stop: Arc<AtomicBool>,
     sent: Arc<AtomicU64>,
-    tasks: JoinSet<Vec<(Call, Got)>>,
+    tasks: JoinSet<Vec<(Call, Answer)>>,
 }
 
 /// The kinds that a load consists of.
@@ -122,7 +122,7 @@
     ///
     /// # Panics
     /// When a caller panicked.
-    pub async fn finish(mut self) -> Vec<(Call, Got)> {
+    pub async fn finish(mut self) -> Vec<(Call, Answer)> {
         self.stop.store(true, Ordering::Relaxed);
         let mut all = Vec::new();
         while let Some(result) = self.tasks.join_next().await {
@@ -134,7 +134,7 @@
 
 /// Requests of protected kinds that did not get their whole answer.
 #[must_use]
-pub fn failed_protected(answers: &[(Call, Got)]) -> Vec<String> {
+pub fn failed_protected(answers: &[(Call, Answer)]) -> Vec<String> {
     let protected = |call: &Call| matches!(call.kind.as_str(), "stock-ping" | "order-confirm" | "counter-answer");
     let bad = answers.iter().filter(|(call, got)| protected(call) && !(got.outcome == "whole" && got.exact));
     bad.map(|(call, got)| format!("{} {}: {got:?}", call.kind, call.prompt)).collect()
@@ -151,7 +151,7 @@
 }
 
 impl Worker {
-    async fn run(mut self) -> Vec<(Call, Got)> {
+    async fn run(mut self) -> Vec<(Call, Answer)> {
         let mut all = Vec::new();
         for n in self.first_number..self.first_number + MAX_CALLS_PER_CALLER {
             if self.stop.load(Ordering::Relaxed) {
@@ -168,10 +168,10 @@
 
     /// Send as the platform's balancer does: another daemon when one accepts no connection or
     /// says that nothing ran.
-    async fn send(&mut self, call: &Call) -> Got {
+    async fn send(&mut self, call: &Call) -> Answer {
         let start = self.rng.random_range(0..self.addresses.len());
         let attempts = if self.mix.try_other_daemons { self.addresses.len() } else { 1 };
-        let mut got = Got::default();
+        let mut got = Answer::default();
         for i in 0..attempts {
             let address = &self.addresses[(start + i) % self.addresses.len()];
             self.sent.fetch_add(1, Ordering::Relaxed);
--- a/proofs/tests/once.rs
+++ b/proofs/tests/once.rs
@@ -14,7 +14,7 @@
     load::{Load, Mix, call},
 };
 use serde_json::json;
-use stand_ins::caller::{Call, Got};
+use stand_ins::caller::{Answer, Call};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpListener,
@@ -42,7 +42,7 @@
     for n in 0..20 {
         let order = order(n);
         let (first, second) = tokio::join!(caller.send(&addresses[0], &order), caller.send(&addresses[1], &order));
-        let whole = |got: &Got| got.outcome == "whole" && got.exact;
+        let whole = |got: &Answer| got.outcome == "whole" && got.exact;
         assert!(whole(&first) || whole(&second), "{first:?} {second:?}");
         for got in [first, second] {
             assert!(whole(&got) || got.outcome == "unknown", "{got:?}");
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -13,7 +13,7 @@
 };
 use serde_json::json;
 use stand_ins::{
-    caller::{Call, Got},
+    caller::{Answer, Call},
     history::monotonic_micros,
     relay::Link,
 };
@@ -33,7 +33,7 @@
     Cluster::start(ClusterConfig { daemons, engines, links, ..ClusterConfig::default() }).await
 }
 
-fn check_history(cluster: &Cluster, answers: &[(Call, Got)]) {
+fn check_history(cluster: &Cluster, answers: &[(Call, Answer)]) {
     let history = cluster.history();
     expect_none("cuts", &cut_requests(&history));
     expect_none("protected kinds", &failed_protected(answers));
--- a/stand-ins/examples/engine.rs
+++ b/stand-ins/examples/engine.rs
@@ -46,8 +46,8 @@
     };
     let fencing = if args.checks { Fencing::Checks } else { Fencing::Ignores };
     let setup = EngineSetup { address: args.address, role: args.role, fencing, params, history };
-    let it = EngineStandIn::start(setup).await?;
-    println!("listening {}", it.server().address());
-    it.forever().await;
+    let server = EngineStandIn::start(setup).await?;
+    println!("listening {}", server.server().address());
+    server.serve_forever().await;
     Ok(())
 }
--- a/stand-ins/examples/plain.rs
+++ b/stand-ins/examples/plain.rs
@@ -34,8 +34,8 @@
         None => History::in_memory(&args.name),
     };
     let setup = PlainSetup { address: args.address, work_ms: args.work_ms, history };
-    let it = Plain::start(setup).await?;
-    println!("listening {}", it.server().address());
-    it.forever().await;
+    let server = Plain::start(setup).await?;
+    println!("listening {}", server.server().address());
+    server.serve_forever().await;
     Ok(())
 }
--- a/stand-ins/examples/vms.rs
+++ b/stand-ins/examples/vms.rs
@@ -10,8 +10,8 @@
         .argument::<String>("ADDRESS")
         .fallback("127.0.0.1:0".to_owned());
     let address = address.to_options().run();
-    let it = VmList::start(&address).await?;
-    println!("listening {}", it.server().address());
-    it.forever().await;
+    let server = VmList::start(&address).await?;
+    println!("listening {}", server.server().address());
+    server.serve_forever().await;
     Ok(())
 }
--- a/stand-ins/src/answer.rs
+++ b/stand-ins/src/answer.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Distinct words that answers are made of.
-const WORDS: u64 = 9_973;
+const DISTINCT_WORDS: u64 = 9_973;
 /// Bytes of a prompt that count as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
@@ -11,12 +11,12 @@
 #[must_use]
 pub fn token(prompt: &str, position: u32) -> String {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), u64::from(position));
-    format!("w{} ", hash % WORDS)
+    format!("w{} ", hash % DISTINCT_WORDS)
 }
 
 /// The first `tokens` tokens of the answer to `prompt`.
 #[must_use]
-pub fn whole(prompt: &str, tokens: u32) -> String {
+pub fn full(prompt: &str, tokens: u32) -> String {
     (0..tokens).map(|position| token(prompt, position)).collect()
 }
 
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -51,7 +51,7 @@
 
 /// What a caller got.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct Answer {
     /// The HTTP status; zero when no answer came.
     pub status: u16,
     /// The request's identifier.
@@ -75,32 +75,32 @@
 pub struct Caller {
     client: HttpClient,
     history: History,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl Caller {
-    /// A caller that waits at most `limit` for each answer.
+    /// A caller that waits at most `timeout` for each answer.
     #[must_use]
-    pub fn new(history: History, limit: Duration) -> Self {
-        Self { client: HttpClient::new(Reuse::Keep), history, limit }
+    pub fn new(history: History, timeout: Duration) -> Self {
+        Self { client: HttpClient::new(Reuse::Keep), history, timeout }
     }
 
     /// Send `call` to the daemon at `address` and wait for its final answer.
-    pub async fn send(&self, address: &str, call: &Call) -> Got {
+    pub async fn send(&self, address: &str, call: &Call) -> Answer {
         let number = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
-        self.history.note(Event::Sent { call: number, kind: call.kind.clone(), key: call.key.clone() });
-        let answered = tokio::time::timeout(self.limit, self.exchange(address, call)).await;
-        let mut got = match answered {
+        self.history.record(Event::Sent { call: number, kind: call.kind.clone(), key: call.key.clone() });
+        let result = tokio::time::timeout(self.timeout, self.send_and_read(address, call)).await;
+        let mut got = match result {
             Ok(Ok(got)) => got,
-            Ok(Err(CallError::NotSent(_))) => Got { reason: NO_CONNECTION.to_owned(), ..Got::default() },
-            Ok(Err(e)) => Got { reason: e.to_string(), ..Got::default() },
-            Err(_) => Got { reason: "late".to_owned(), ..Got::default() },
+            Ok(Err(CallError::NotSent(_))) => Answer { reason: NO_CONNECTION.to_owned(), ..Answer::default() },
+            Ok(Err(e)) => Answer { reason: e.to_string(), ..Answer::default() },
+            Err(_) => Answer { reason: "late".to_owned(), ..Answer::default() },
         };
         got.exact = got.text == expected(call);
         if got.outcome.is_empty() {
             "none".clone_into(&mut got.outcome);
         }
-        self.history.note(Event::Got {
+        self.history.record(Event::Got {
             call: number,
             request: got.request.clone(),
             outcome: got.outcome.clone(),
@@ -109,22 +109,22 @@
         got
     }
 
-    async fn exchange(&self, address: &str, call: &Call) -> Result<Got, CallError> {
-        let started = std::time::Instant::now();
+    async fn send_and_read(&self, address: &str, call: &Call) -> Result<Answer, CallError> {
+        let sent_at = std::time::Instant::now();
         let resp = self.client.send(request(address, call)).await?;
         let header = |name: &str| resp.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
-        let mut got = Got { status: resp.status().as_u16(), request: header(REQUEST), ..Got::default() };
+        let mut got = Answer { status: resp.status().as_u16(), request: header(REQUEST), ..Answer::default() };
         if !resp.status().is_success() {
-            refused(&mut got, &collect(resp).await?);
+            read_refusal(&mut got, &read_body(resp).await?);
             return Ok(got);
         }
         if call.stream {
-            return read_stream(resp, got, started).await;
+            return read_stream(resp, got, sent_at).await;
         }
-        let body = collect(resp).await?;
-        got.first_micros = started.elapsed().as_micros() as u64;
+        let body = read_body(resp).await?;
+        got.first_micros = sent_at.elapsed().as_micros() as u64;
         "whole".clone_into(&mut got.outcome);
-        got.text = text_of(call, &body);
+        got.text = answer_text(call, &body);
         Ok(got)
     }
 }
@@ -132,7 +132,7 @@
 /// The whole answer to `call`.
 #[must_use]
 pub fn expected(call: &Call) -> String {
-    if call.tokens == 0 { plain::answer(&call.prompt) } else { answer::whole(&call.prompt, call.tokens) }
+    if call.tokens == 0 { plain::answer(&call.prompt) } else { answer::full(&call.prompt, call.tokens) }
 }
 
 fn request(address: &str, call: &Call) -> Request<Full<Bytes>> {
@@ -166,32 +166,36 @@
     req.body(Full::from(body)).expect("the parts are valid")
 }
 
-async fn collect(resp: Response<Incoming>) -> Result<Bytes, CallError> {
+async fn read_body(resp: Response<Incoming>) -> Result<Bytes, CallError> {
     let body = resp.into_body().collect().await;
     body.map(http_body_util::Collected::to_bytes).map_err(|e| CallError::Lost(e.to_string()))
 }
 
-fn refused(got: &mut Got, body: &[u8]) {
+fn read_refusal(got: &mut Answer, body: &[u8]) {
     let Ok(body) = serde_json::from_slice::<ErrorBody>(body) else { return };
-    got.outcome = word(&serde_json::to_value(body.error.outcome).unwrap_or_default());
+    got.outcome = string_of(&serde_json::to_value(body.error.outcome).unwrap_or_default());
     got.reason = body.error.reason;
     got.retry_after_ms = body.error.retry_after_ms;
 }
 
-fn word(value: &Value) -> String {
+fn string_of(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_owned()
 }
 
-fn text_of(call: &Call, body: &[u8]) -> String {
+fn answer_text(call: &Call, body: &[u8]) -> String {
     if call.tokens == 0 {
         return String::from_utf8_lossy(body).into_owned();
     }
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let choice = &value["choices"][0];
-    word(if call.chat { &choice["message"]["content"] } else { &choice["text"] })
+    string_of(if call.chat { &choice["message"]["content"] } else { &choice["text"] })
 }
 
-async fn read_stream(resp: Response<Incoming>, mut got: Got, started: std::time::Instant) -> Result<Got, CallError> {
+async fn read_stream(
+    resp: Response<Incoming>,
+    mut got: Answer,
+    sent_at: std::time::Instant,
+) -> Result<Answer, CallError> {
     let mut body = resp.into_body();
     let mut buf = String::new();
     while let Some(frame) = body.frame().await {
@@ -202,7 +206,7 @@
         while let Some(end) = buf.find("\n\n") {
             let event = buf[..end].to_owned();
             buf.drain(..end + 2);
-            take_event(&mut got, &event, started);
+            handle_event(&mut got, &event, sent_at);
         }
     }
     if got.outcome.is_empty() {
@@ -211,21 +215,21 @@
     Ok(got)
 }
 
-fn take_event(got: &mut Got, event: &str, started: std::time::Instant) {
+fn handle_event(got: &mut Answer, event: &str, sent_at: std::time::Instant) {
     let Some(data) = event.strip_prefix("data: ") else { return };
     if data == "[DONE]" {
         "whole".clone_into(&mut got.outcome);
         return;
     }
     if data.starts_with("{\"error\"") {
-        refused(got, data.as_bytes());
+        read_refusal(got, data.as_bytes());
         return;
     }
     let value: Value = serde_json::from_str(data).unwrap_or_default();
     let choice = &value["choices"][0];
     let text = choice["text"].as_str().or_else(|| choice["delta"]["content"].as_str());
     if got.first_micros == 0 {
-        got.first_micros = started.elapsed().as_micros() as u64;
+        got.first_micros = sent_at.elapsed().as_micros() as u64;
     }
     got.text.push_str(text.unwrap_or_default());
 }
--- a/stand-ins/src/engine.rs
+++ b/stand-ins/src/engine.rs
@@ -74,43 +74,43 @@
 }
 
 /// Samples of the load that are kept to report an old one.
-const LOAD_SAMPLES: usize = 4_096;
+const MAX_LOAD_SAMPLES: usize = 4_096;
 /// Cache events that are kept.
-const CACHE_EVENTS: usize = 1_024;
+const MAX_CACHE_EVENTS: usize = 1_024;
 
-struct Sink {
+struct AnswerStream {
     tx: mpsc::UnboundedSender<std::io::Result<Bytes>>,
-    ask: Ask,
+    req: Ask,
     prompt: String,
     chat: bool,
     position: u32,
     fault: EngineFault,
 }
 
-struct Inner {
+struct EngineState {
     model: EngineModel,
-    sinks: HashMap<u64, Sink>,
+    answers: HashMap<u64, AnswerStream>,
     next_id: u64,
     boot: u64,
     cordoned: bool,
     changing: bool,
     fence: Fence,
-    last: (u64, u64),
+    last_order: (u64, u64),
     loaded: Vec<String>,
     exports: HashSet<String>,
-    loads: VecDeque<(Instant, LoadReport)>,
-    cache: VecDeque<(Instant, CacheEvent)>,
-    cache_number: u64,
+    load_samples: VecDeque<(Instant, LoadReport)>,
+    cache_events: VecDeque<(Instant, CacheEvent)>,
+    last_cache_event: u64,
     fault: EngineFault,
 }
 
 struct Engine {
     setup: EngineSetup,
-    inner: Mutex<Inner>,
-    work: Notify,
+    state: Mutex<EngineState>,
+    work_added: Notify,
 }
 
-type Shared = Arc<Engine>;
+type SharedEngine = Arc<Engine>;
 
 /// The stand-in.
 #[derive(Debug)]
@@ -132,25 +132,25 @@
     /// Why the address cannot be bound.
     pub async fn start(setup: EngineSetup) -> std::io::Result<Self> {
         let address = setup.address.clone();
-        let engine: Shared = Arc::new(Engine {
-            inner: Mutex::new(Inner {
+        let engine: SharedEngine = Arc::new(Engine {
+            state: Mutex::new(EngineState {
                 model: EngineModel::new(setup.params, setup.role),
-                sinks: HashMap::new(),
+                answers: HashMap::new(),
                 next_id: 0,
                 boot: crate::history::monotonic_micros(),
                 cordoned: false,
                 changing: false,
                 fence: Fence::default(),
-                last: (0, 0),
+                last_order: (0, 0),
                 loaded: Vec::new(),
                 exports: HashSet::new(),
-                loads: VecDeque::new(),
-                cache: VecDeque::new(),
-                cache_number: 0,
+                load_samples: VecDeque::new(),
+                cache_events: VecDeque::new(),
+                last_cache_event: 0,
                 fault: EngineFault::default(),
             }),
             setup,
-            work: Notify::new(),
+            work_added: Notify::new(),
         });
         let steps = tokio::spawn(run_steps(Arc::clone(&engine)));
         let router = Router::new()
@@ -172,72 +172,72 @@
     }
 
     /// Serve until the process ends.
-    pub async fn forever(self) {
+    pub async fn serve_forever(self) {
         std::future::pending::<()>().await;
     }
 }
 
 impl Engine {
-    fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder panics")
+    fn lock(&self) -> std::sync::MutexGuard<'_, EngineState> {
+        self.state.lock().expect("no holder panics")
     }
 }
 
-impl Inner {
+impl EngineState {
     fn sample_load(&mut self) {
         let load = self.model.load();
-        if self.loads.back().is_none_or(|(_, last)| *last != load) {
-            self.loads.push_back((Instant::now(), load));
+        if self.load_samples.back().is_none_or(|(_, last)| *last != load) {
+            self.load_samples.push_back((Instant::now(), load));
         }
-        if self.loads.len() > LOAD_SAMPLES {
-            self.loads.pop_front();
+        if self.load_samples.len() > MAX_LOAD_SAMPLES {
+            self.load_samples.pop_front();
         }
     }
 
-    fn note_cache(&mut self, prefix: u64, cached: bool, gap: u64) {
-        self.cache_number += 1;
-        if gap > 0 && self.cache_number.is_multiple_of(gap) {
+    fn record_cache_event(&mut self, prefix: u64, cached: bool, gap: u64) {
+        self.last_cache_event += 1;
+        if gap > 0 && self.last_cache_event.is_multiple_of(gap) {
             return;
         }
-        let event = CacheEvent { number: self.cache_number, prefix, cached };
-        self.cache.push_back((Instant::now(), event));
-        if self.cache.len() > CACHE_EVENTS {
-            self.cache.pop_front();
+        let event = CacheEvent { number: self.last_cache_event, prefix, cached };
+        self.cache_events.push_back((Instant::now(), event));
+        if self.cache_events.len() > MAX_CACHE_EVENTS {
+            self.cache_events.pop_front();
         }
     }
 
-    fn cut_all(&mut self, history: &History) {
-        for id in self.model.lose_all() {
-            if let Some(sink) = self.sinks.remove(&id) {
-                history.note(Event::Cut { request: sink.ask.request.clone() });
-                let _ = sink.tx.send(Err(std::io::Error::other("cut")));
+    fn cut_requests(&mut self, history: &History) {
+        for id in self.model.drop_jobs() {
+            if let Some(answer) = self.answers.remove(&id) {
+                history.record(Event::Cut { request: answer.req.request.clone() });
+                let _ = answer.tx.send(Err(std::io::Error::other("cut")));
             }
         }
     }
 
-    fn deliver(&mut self, event: model::Event) {
+    fn send_event(&mut self, event: model::Event) {
         let (model::Event::Token(id) | model::Event::Done(id)) = event;
-        let Some(sink) = self.sinks.get_mut(&id) else { return };
-        let open = match event {
-            model::Event::Token(_) => sink.send_token(),
+        let Some(answer) = self.answers.get_mut(&id) else { return };
+        let is_open = match event {
+            model::Event::Token(_) => answer.send_token(),
             // A silent engine does not say that it has ended either.
-            model::Event::Done(_) if sink.is_silent() => return,
+            model::Event::Done(_) if answer.is_stalled() => return,
             model::Event::Done(_) => {
-                let handle = sink.ask.export.then(|| format!("kv-{id}"));
+                let handle = answer.req.export.then(|| format!("kv-{id}"));
                 self.exports.extend(handle.clone());
-                sink.send_end(handle);
+                answer.send_end(handle);
                 false
             }
         };
-        if !open {
-            self.sinks.remove(&id);
+        if !is_open {
+            self.answers.remove(&id);
             self.model.cancel(id);
         }
     }
 }
 
-impl Sink {
-    fn is_silent(&self) -> bool {
+impl AnswerStream {
+    fn is_stalled(&self) -> bool {
         self.fault.stall_after.is_some_and(|at| self.position >= at)
     }
 
@@ -245,21 +245,21 @@
     fn send_token(&mut self) -> bool {
         let position = self.position;
         self.position += 1;
-        let faulty = |at: Option<u32>| at.is_some_and(|at| position >= at);
-        if faulty(self.fault.break_after) {
+        let reached = |at: Option<u32>| at.is_some_and(|at| position >= at);
+        if reached(self.fault.break_after) {
             let _ = self.tx.send(Err(std::io::Error::other("broken")));
             return false;
         }
-        if faulty(self.fault.stall_after) || self.fault.gap_at == Some(position) {
+        if reached(self.fault.stall_after) || self.fault.gap_at == Some(position) {
             return !self.tx.is_closed();
         }
         if self.fault.cross {
-            let mut other = self.ask.clone();
+            let mut other = self.req.clone();
             other.request.push_str("-other");
             let _ = self.tx.send(Ok(frame(&other, position, 1, "wrong ", self.chat, None)));
         }
         let text = token(&self.prompt, position);
-        let data = frame(&self.ask, position, 1, &text, self.chat, None);
+        let data = frame(&self.req, position, 1, &text, self.chat, None);
         if self.fault.duplicate {
             let _ = self.tx.send(Ok(data.clone()));
         }
@@ -267,19 +267,19 @@
     }
 
     fn send_end(&self, handle: Option<String>) {
-        let end = frame(&self.ask, self.position, 0, "", self.chat, Some(&End { handle }));
+        let end = frame(&self.req, self.position, 0, "", self.chat, Some(&EndFrame { handle }));
         let _ = self.tx.send(Ok(end));
         let _ = self.tx.send(Ok(Bytes::from_static(b"data: [DONE]\n\n")));
     }
 }
 
 /// The end of an answer, with the handle of an export.
-struct End {
+struct EndFrame {
     handle: Option<String>,
 }
 
 /// A server-sent event.
-fn frame(ask: &Ask, position: u32, tokens: u32, text: &str, chat: bool, end: Option<&End>) -> Bytes {
+fn frame(req: &Ask, position: u32, tokens: u32, text: &str, chat: bool, end: Option<&EndFrame>) -> Bytes {
     let finish = if end.is_some() { json!("length") } else { Value::Null };
     let choice = if chat {
         json!({ "index": 0, "delta": { "content": text }, "finish_reason": finish })
@@ -287,46 +287,46 @@
         json!({ "index": 0, "text": text, "finish_reason": finish })
     };
     let mark = Mark {
-        id: FrameId { request: ask.request.clone(), attempt: ask.attempt, position },
+        id: FrameId { request: req.request.clone(), attempt: req.attempt, position },
         tokens,
         end: end.is_some(),
         handle: end.and_then(|end| end.handle.clone()),
     };
     let object = if chat { "chat.completion.chunk" } else { "text_completion" };
-    let value = json!({ "id": ask.request, "object": object, "choices": [choice], EXTENSION: mark });
+    let value = json!({ "id": req.request, "object": object, "choices": [choice], EXTENSION: mark });
     Bytes::from(format!("data: {value}\n\n"))
 }
 
-async fn run_steps(engine: Shared) {
+async fn run_steps(engine: SharedEngine) {
     let mut at = Instant::now();
     loop {
         let started = engine.lock().model.start_step();
         let Some(seconds) = started else {
             engine.lock().sample_load();
-            engine.work.notified().await;
+            engine.work_added.notified().await;
             at = Instant::now();
             continue;
         };
         at += Duration::from_secs_f64(seconds);
         tokio::time::sleep_until(at.into()).await;
-        let mut inner = engine.lock();
-        for event in inner.model.finish_step() {
-            inner.deliver(event);
+        let mut state = engine.lock();
+        for event in state.model.finish_step() {
+            state.send_event(event);
         }
         let gap = engine.setup.params.cache_gap;
-        for prefix in inner.model.take_evicted() {
-            inner.note_cache(prefix, false, gap);
+        for prefix in state.model.take_evicted() {
+            state.record_cache_event(prefix, false, gap);
         }
-        inner.sample_load();
+        state.sample_load();
     }
 }
 
-async fn complete(State(engine): State<Shared>, Json(body): Json<Value>) -> Response {
+async fn complete(State(engine): State<SharedEngine>, Json(body): Json<Value>) -> Response {
     let prompt = body.get("prompt").and_then(Value::as_str).unwrap_or_default().to_owned();
     run(&engine, &body, prompt, false).await
 }
 
-async fn chat(State(engine): State<Shared>, Json(body): Json<Value>) -> Response {
+async fn chat(State(engine): State<SharedEngine>, Json(body): Json<Value>) -> Response {
     run(&engine, &body, chat_prompt(&body), true).await
 }
 
@@ -339,30 +339,31 @@
     contents.collect::<Vec<_>>().join("\n")
 }
 
-async fn run(engine: &Shared, body: &Value, prompt: String, chat: bool) -> Response {
-    let ask: Ask = body.get(EXTENSION).and_then(|v| serde_json::from_value(v.clone()).ok()).unwrap_or_else(direct_ask);
-    if let Some(import) = &ask.import
-        && !fetch_export(import).await
+async fn run(engine: &SharedEngine, body: &Value, prompt: String, chat: bool) -> Response {
+    let req: Ask =
+        body.get(EXTENSION).and_then(|v| serde_json::from_value(v.clone()).ok()).unwrap_or_else(direct_request);
+    if let Some(import) = &req.import
+        && !import_kv_cache(import).await
     {
         return (StatusCode::FAILED_DEPENDENCY, [(NOT_RUN, "1")], "no such export").into_response();
     }
     let output = body.get("max_tokens").and_then(Value::as_u64).unwrap_or(16) as u32;
-    let mut inner = engine.lock();
-    if inner.cordoned || inner.changing {
+    let mut state = engine.lock();
+    if state.cordoned || state.changing {
         return (StatusCode::SERVICE_UNAVAILABLE, [(NOT_RUN, "1")], "cordoned").into_response();
     }
-    engine.setup.history.note(Event::Ran { request: ask.request.clone(), attempt: ask.attempt, key: None });
-    let rx = inner.take_in(ask, prompt, output, chat);
-    drop(inner);
-    engine.work.notify_one();
+    engine.setup.history.record(Event::Ran { request: req.request.clone(), attempt: req.attempt, key: None });
+    let rx = state.accept_request(req, prompt, output, chat);
+    drop(state);
+    engine.work_added.notify_one();
     let body = Body::from_stream(UnboundedReceiverStream::new(rx));
     ([(CONTENT_TYPE, "text/event-stream")], body).into_response()
 }
 
-impl Inner {
-    fn take_in(
+impl EngineState {
+    fn accept_request(
         &mut self,
-        ask: Ask,
+        req: Ask,
         prompt: String,
         output: u32,
         chat: bool,
@@ -372,40 +373,40 @@
         let prefix = dahliaseam_core::hash::prefix(prompt.as_bytes());
         let job = Job {
             id: self.next_id,
-            prompt: prompt_tokens(&prompt) + ask.resume_at,
+            prompt_tokens: prompt_tokens(&prompt) + req.resume_at,
             prefix,
-            output: output.saturating_sub(ask.resume_at).max(1),
-            priority: ask.priority,
-            imported: ask.import.is_some(),
-            prefill_only: ask.export,
+            output_tokens: output.saturating_sub(req.resume_at).max(1),
+            priority: req.priority,
+            imported: req.import.is_some(),
+            prefill_only: req.export,
         };
         let mut fault = EngineFault::default();
         if self.fault.requests > 0 {
             self.fault.requests -= 1;
             fault = self.fault;
         }
-        let position = ask.resume_at;
-        self.sinks.insert(job.id, Sink { tx, ask, prompt, chat, position, fault });
+        let position = req.resume_at;
+        self.answers.insert(job.id, AnswerStream { tx, req, prompt, chat, position, fault });
         self.model.submit(job);
-        self.note_cache(prefix, true, 0);
+        self.record_cache_event(prefix, true, 0);
         self.sample_load();
         rx
     }
 }
 
-fn direct_ask() -> Ask {
+fn direct_request() -> Ask {
     Ask { request: "direct".to_owned(), attempt: 0, priority: 0, resume_at: 0, export: false, import: None }
 }
 
 /// Take an exported KV cache over from the engine that has it.
-async fn fetch_export(import: &Import) -> bool {
+async fn import_kv_cache(import: &Import) -> bool {
     let client = dahliaseam_border::http::HttpClient::new(dahliaseam_border::http::Reuse::Fresh);
     let url = format!("http://{}{RELEASE_PATH}", import.from);
     let answer = client.post::<_, Value>(&url, &import.handle, Duration::from_secs(2)).await;
     answer.is_ok()
 }
 
-async fn release(State(engine): State<Shared>, Json(handle): Json<String>) -> Response {
+async fn release(State(engine): State<SharedEngine>, Json(handle): Json<String>) -> Response {
     if engine.lock().exports.remove(&handle) {
         Json(Value::Null).into_response()
     } else {
@@ -413,27 +414,27 @@
     }
 }
 
-async fn set_fault(State(engine): State<Shared>, Json(fault): Json<EngineFault>) {
+async fn set_fault(State(engine): State<SharedEngine>, Json(fault): Json<EngineFault>) {
     engine.lock().fault = fault;
 }
 
-async fn status(State(engine): State<Shared>) -> Json<StatusReport> {
-    let mut inner = engine.lock();
-    inner.sample_load();
+async fn status(State(engine): State<SharedEngine>) -> Json<StatusReport> {
+    let mut state = engine.lock();
+    state.sample_load();
     let lag = Duration::from_secs_f64(engine.setup.params.report_lag);
     let now = Instant::now();
-    let old = inner.loads.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
-    let load = old.map(|(_, load)| *load).unwrap_or_default();
+    let sample = state.load_samples.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
+    let load = sample.map(|(_, load)| *load).unwrap_or_default();
     Json(StatusReport {
         status: EngineStatus {
-            boot: inner.boot,
-            role: inner.model.role(),
-            cordoned: inner.cordoned,
-            changing: inner.changing,
-            epoch: inner.last.0,
-            sequence: inner.last.1,
-            running: inner.sinks.len() as u32,
-            loaded: inner.loaded.clone(),
+            boot: state.boot,
+            role: state.model.role(),
+            cordoned: state.cordoned,
+            changing: state.changing,
+            epoch: state.last_order.0,
+            sequence: state.last_order.1,
+            running: state.answers.len() as u32,
+            loaded: state.loaded.clone(),
         },
         load,
         load_age_ms: lag.as_millis() as u64,
@@ -441,29 +442,29 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct After {
+struct CacheQuery {
     #[serde(default)]
     after: u64,
 }
 
-async fn cache(State(engine): State<Shared>, Query(query): Query<After>) -> Json<Vec<CacheEvent>> {
+async fn cache(State(engine): State<SharedEngine>, Query(query): Query<CacheQuery>) -> Json<Vec<CacheEvent>> {
     let lag = Duration::from_secs_f64(engine.setup.params.cache_lag);
     let now = Instant::now();
-    let inner = engine.lock();
-    let due = inner.cache.iter().filter(|(at, e)| e.number > query.after && now.duration_since(*at) >= lag);
+    let state = engine.lock();
+    let due = state.cache_events.iter().filter(|(at, e)| e.number > query.after && now.duration_since(*at) >= lag);
     Json(due.map(|(_, event)| event.clone()).collect())
 }
 
-async fn order(State(engine): State<Shared>, Json(req): Json<OrderRequest>) -> Json<OrderAnswer> {
+async fn order(State(engine): State<SharedEngine>, Json(req): Json<OrderRequest>) -> Json<OrderAnswer> {
     let delay = std::mem::take(&mut engine.lock().fault.order_delay_ms);
     tokio::time::sleep(Duration::from_millis(delay)).await;
     let order = req.order;
-    let mut inner = engine.lock();
-    if let Some(answer) = refuse(&engine, &mut inner, &order, req.not_after_ms) {
+    let mut state = engine.lock();
+    if let Some(answer) = check_order(&engine, &mut state, &order, req.not_after_ms) {
         return Json(answer);
     }
-    inner.last = (order.epoch, order.sequence);
-    engine.setup.history.note(Event::OrderTaken {
+    state.last_order = (order.epoch, order.sequence);
+    engine.setup.history.record(Event::OrderTaken {
         epoch: order.epoch,
         sequence: order.sequence,
         by: format!("{}@{}", order.by.vm, order.by.start),
@@ -471,43 +472,43 @@
         checks: engine.setup.fencing == Fencing::Checks,
     });
     match order.kind {
-        OrderKind::Cordon => inner.cordoned = true,
-        OrderKind::Uncordon => inner.cordoned = false,
+        OrderKind::Cordon => state.cordoned = true,
+        OrderKind::Uncordon => state.cordoned = false,
         OrderKind::Fence => {}
         OrderKind::SetRole(role) => {
-            inner.changing = true;
-            let (engine, ids) = (Arc::clone(&engine), (order.epoch, order.sequence));
-            tokio::spawn(change_role(engine, role, ids));
+            state.changing = true;
+            let (engine, number) = (Arc::clone(&engine), (order.epoch, order.sequence));
+            tokio::spawn(change_role(engine, role, number));
         }
-        OrderKind::Load(name) => inner.loaded.push(name),
+        OrderKind::Load(name) => state.loaded.push(name),
     }
     Json(OrderAnswer::Taken)
 }
 
-fn refuse(
+fn check_order(
     engine: &Engine,
-    inner: &mut Inner,
+    state: &mut EngineState,
     order: &dahliaseam_core::custody::Order,
     not_after_ms: u64,
 ) -> Option<OrderAnswer> {
     let refused = |why: &str| Some(OrderAnswer::Refused { why: why.to_owned() });
     if engine.setup.fencing == Fencing::Checks {
-        if !inner.fence.admit(order.epoch) {
-            let highest = inner.fence.highest();
-            engine.setup.history.note(Event::OrderFenced { epoch: order.epoch, highest });
+        if !state.fence.admit(order.epoch) {
+            let highest = state.fence.highest();
+            engine.setup.history.record(Event::OrderFenced { epoch: order.epoch, highest });
             return Some(OrderAnswer::Fenced { highest });
         }
-        if order.boot != inner.boot {
+        if order.boot != state.boot {
             return refused("another boot");
         }
-        if inner.last >= (order.epoch, order.sequence) {
+        if state.last_order >= (order.epoch, order.sequence) {
             return refused("an old sequence number");
         }
         if wall_millis() > not_after_ms {
             return refused("too late");
         }
     }
-    if inner.changing {
+    if state.changing {
         return refused("an order is being carried out");
     }
     None
@@ -518,25 +519,25 @@
     since.map_or(0, |d| d.as_millis() as u64)
 }
 
-async fn change_role(engine: Shared, role: Role, ids: (u64, u64)) {
-    let whole = Duration::from_secs_f64(engine.setup.params.change_seconds);
-    engine.lock().cut_all(&engine.setup.history);
-    tokio::time::sleep(whole / 2).await;
+async fn change_role(engine: SharedEngine, role: Role, number: (u64, u64)) {
+    let duration = Duration::from_secs_f64(engine.setup.params.change_seconds);
+    engine.lock().cut_requests(&engine.setup.history);
+    tokio::time::sleep(duration / 2).await;
     if engine.lock().fault.crash_in_change {
         // Starting again takes the other half; the role is the old one and the memory is gone.
-        tokio::time::sleep(whole / 2).await;
-        let mut inner = engine.lock();
-        inner.fault.crash_in_change = false;
-        inner.boot += 1;
-        inner.fence = Fence::default();
-        inner.last = (0, 0);
-        inner.changing = false;
-        inner.cordoned = false;
+        tokio::time::sleep(duration / 2).await;
+        let mut state = engine.lock();
+        state.fault.crash_in_change = false;
+        state.boot += 1;
+        state.fence = Fence::default();
+        state.last_order = (0, 0);
+        state.changing = false;
+        state.cordoned = false;
         return;
     }
-    tokio::time::sleep(whole / 2).await;
-    let mut inner = engine.lock();
-    inner.model.change_role(role);
-    inner.changing = false;
-    engine.setup.history.note(Event::OrderDone { epoch: ids.0, sequence: ids.1 });
+    tokio::time::sleep(duration / 2).await;
+    let mut state = engine.lock();
+    state.model.change_role(role);
+    state.changing = false;
+    engine.setup.history.record(Event::OrderDone { epoch: number.0, sequence: number.1 });
 }
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -95,8 +95,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     who: String,
-    out: Option<Arc<Mutex<File>>>,
-    kept: Arc<Mutex<Vec<Entry>>>,
+    file: Option<Arc<Mutex<File>>>,
+    entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl History {
@@ -112,12 +112,12 @@
     /// Why the file cannot be opened.
     pub fn to_file(who: &str, path: &Path) -> std::io::Result<Self> {
         let f = OpenOptions::new().create(true).append(true).open(path)?;
-        Ok(Self { who: who.to_owned(), out: Some(Arc::new(Mutex::new(f))), ..Self::default() })
+        Ok(Self { who: who.to_owned(), file: Some(Arc::new(Mutex::new(f))), ..Self::default() })
     }
 
     /// The same history under another name.
     #[must_use]
-    pub fn named(&self, who: &str) -> Self {
+    pub fn with_name(&self, who: &str) -> Self {
         Self { who: who.to_owned(), ..self.clone() }
     }
 
@@ -125,14 +125,14 @@
     ///
     /// # Panics
     /// When the file cannot be written: a proof without its history is none.
-    pub fn note(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         let entry = Entry { at: monotonic_micros(), who: self.who.clone(), event };
-        match &self.out {
-            None => self.kept.lock().expect("no holder panics").push(entry),
-            Some(out) => {
+        match &self.file {
+            None => self.entries.lock().expect("no holder panics").push(entry),
+            Some(file) => {
                 let mut line = serde_json::to_string(&entry).expect("entries are plain data");
                 line.push('\n');
-                let mut f = out.lock().expect("no holder panics");
+                let mut f = file.lock().expect("no holder panics");
                 f.write_all(line.as_bytes()).expect("the history can be written");
             }
         }
@@ -143,8 +143,8 @@
     /// # Panics
     /// When another thread panicked while noting.
     #[must_use]
-    pub fn kept(&self) -> Vec<Entry> {
-        self.kept.lock().expect("no holder panics").clone()
+    pub fn entries(&self) -> Vec<Entry> {
+        self.entries.lock().expect("no holder panics").clone()
     }
 }
 
--- a/stand-ins/src/kv.rs
+++ b/stand-ins/src/kv.rs
@@ -41,14 +41,14 @@
 }
 
 /// Time between two signs of life on a watch.
-const WATCH_ALIVE: Duration = Duration::from_millis(500);
+const WATCH_PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 /// Changes that a slow watch may lag behind.
-const WATCH_LAG: usize = 1_024;
+const WATCH_BUFFER: usize = 1_024;
 /// Largest value, as the platform has it.
-const MAX_VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredValue {
     value: String,
     mod_revision: i64,
     lease: i64,
@@ -57,13 +57,13 @@
 #[derive(Debug)]
 struct Store {
     revision: i64,
-    keys: BTreeMap<String, Stored>,
-    before: BTreeMap<String, Stored>,
+    keys: BTreeMap<String, StoredValue>,
+    previous: BTreeMap<String, StoredValue>,
     leases: HashMap<i64, (Instant, Duration)>,
     next_lease: i64,
     calls: BTreeMap<String, u64>,
     fault: KvFault,
-    changes: broadcast::Sender<(String, Option<Stored>)>,
+    changes: broadcast::Sender<(String, Option<StoredValue>)>,
 }
 
 type Shared = Arc<Mutex<Store>>;
@@ -83,12 +83,12 @@
         let state: Shared = Arc::new(Mutex::new(Store {
             revision: 1,
             keys: BTreeMap::new(),
-            before: BTreeMap::new(),
+            previous: BTreeMap::new(),
             leases: HashMap::new(),
             next_lease: 1,
             calls: BTreeMap::new(),
             fault: KvFault::default(),
-            changes: broadcast::channel(WATCH_LAG).0,
+            changes: broadcast::channel(WATCH_BUFFER).0,
         }));
         let router = Router::new()
             .route("/v3/kv/range", post(range))
@@ -110,8 +110,8 @@
     }
 
     /// Serve until the process ends.
-    pub async fn forever(self) {
-        self.server.forever().await;
+    pub async fn serve_forever(self) {
+        self.server.serve_forever().await;
     }
 }
 
@@ -124,7 +124,7 @@
 }
 
 /// Count the call and bring its fault about.
-async fn enter(state: &Shared, path: &str) -> Result<(), Response> {
+async fn begin_call(state: &Shared, path: &str) -> Result<(), Response> {
     let fault = {
         let mut store = state.lock().expect("no holder panics");
         *store.calls.entry(path.to_owned()).or_default() += 1;
@@ -132,21 +132,21 @@
         store.fault
     };
     tokio::time::sleep(Duration::from_millis(fault.slow_ms)).await;
-    if fault.down { Err(no_answer()) } else { Ok(()) }
+    if fault.down { Err(broken_response()) } else { Ok(()) }
 }
 
 /// An answer that breaks off, which is as good as none.
-fn no_answer() -> Response {
+fn broken_response() -> Response {
     let broken = stream::once(async { Err::<Bytes, _>(std::io::Error::other("no answer")) });
     Response::builder().header("content-length", "1000").body(Body::from_stream(broken)).unwrap_or_default()
 }
 
-fn key_of(body: &Value, field: &str) -> Vec<u8> {
+fn key_field(body: &Value, field: &str) -> Vec<u8> {
     let text = body.get(field).and_then(Value::as_str).unwrap_or_default();
     BASE64.decode(text).unwrap_or_default()
 }
 
-fn number(body: &Value, field: &str) -> i64 {
+fn int_field(body: &Value, field: &str) -> i64 {
     match body.get(field) {
         Some(Value::String(text)) => text.parse().unwrap_or(0),
         Some(value) => value.as_i64().unwrap_or(0),
@@ -157,16 +157,17 @@
 impl Store {
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<_> = self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|(id, _)| *id).collect();
-        for lease in over {
-            self.drop_lease(lease);
+        let expired: Vec<_> =
+            self.leases.iter().filter(|(_, (expires_at, _))| *expires_at <= now).map(|(id, _)| *id).collect();
+        for lease in expired {
+            self.remove_lease(lease);
         }
     }
 
-    fn drop_lease(&mut self, lease: i64) {
+    fn remove_lease(&mut self, lease: i64) {
         self.leases.remove(&lease);
-        let gone: Vec<_> = self.keys.iter().filter(|(_, s)| s.lease == lease).map(|(k, _)| k.clone()).collect();
-        for key in gone {
+        let attached: Vec<_> = self.keys.iter().filter(|(_, s)| s.lease == lease).map(|(k, _)| k.clone()).collect();
+        for key in attached {
             self.revision += 1;
             self.delete(&key);
         }
@@ -179,18 +180,18 @@
     }
 
     fn range(&self, body: &Value) -> Value {
-        let key = String::from_utf8_lossy(&key_of(body, "key")).into_owned();
-        let end = String::from_utf8_lossy(&key_of(body, "range_end")).into_owned();
+        let key = String::from_utf8_lossy(&key_field(body, "key")).into_owned();
+        let end = String::from_utf8_lossy(&key_field(body, "range_end")).into_owned();
         let entries: Vec<_> = if end.is_empty() {
             self.keys.get_key_value(&key).into_iter().collect()
         } else {
             self.keys.range(key..end).collect()
         };
-        let shown = |k: &String, s: &Stored| {
-            let old = self.before.get(k).filter(|_| self.fault.stale_reads);
-            raw(k, old.unwrap_or(s))
+        let kv_of = |k: &String, s: &StoredValue| {
+            let previous = self.previous.get(k).filter(|_| self.fault.stale_reads);
+            kv_json(k, previous.unwrap_or(s))
         };
-        let kvs: Vec<_> = entries.into_iter().map(|(k, s)| shown(k, s)).collect();
+        let kvs: Vec<_> = entries.into_iter().map(|(k, s)| kv_of(k, s)).collect();
         json!({ "header": self.header(), "kvs": kvs, "count": kvs.len().to_string() })
     }
 
@@ -209,9 +210,9 @@
     }
 
     fn compare(&self, compare: &Value) -> bool {
-        let key = String::from_utf8_lossy(&key_of(compare, "key")).into_owned();
+        let key = String::from_utf8_lossy(&key_field(compare, "key")).into_owned();
         let present = self.keys.get(&key).map_or(0, |s| s.mod_revision);
-        present == number(compare, "mod_revision")
+        present == int_field(compare, "mod_revision")
     }
 
     fn op(&mut self, op: &Value, revision: i64) -> Value {
@@ -221,7 +222,7 @@
         } else if let Some(range) = op.get("request_range") {
             json!({ "response_range": self.range(range) })
         } else if let Some(delete) = op.get("request_delete_range") {
-            let key = String::from_utf8_lossy(&key_of(delete, "key")).into_owned();
+            let key = String::from_utf8_lossy(&key_field(delete, "key")).into_owned();
             self.revision = revision;
             self.delete(&key);
             json!({ "response_delete_range": {} })
@@ -234,20 +235,20 @@
 
     fn put(&mut self, put: &Value, revision: i64) {
         self.revision = revision;
-        let key = String::from_utf8_lossy(&key_of(put, "key")).into_owned();
-        let stored = Stored {
+        let key = String::from_utf8_lossy(&key_field(put, "key")).into_owned();
+        let stored = StoredValue {
             value: put.get("value").and_then(Value::as_str).unwrap_or_default().to_owned(),
             mod_revision: revision,
-            lease: number(put, "lease"),
+            lease: int_field(put, "lease"),
         };
-        if let Some(old) = self.keys.insert(key.clone(), stored.clone()) {
-            self.before.insert(key.clone(), old);
+        if let Some(previous) = self.keys.insert(key.clone(), stored.clone()) {
+            self.previous.insert(key.clone(), previous);
         }
         let _ = self.changes.send((key, Some(stored)));
     }
 }
 
-fn raw(key: &str, stored: &Stored) -> Value {
+fn kv_json(key: &str, stored: &StoredValue) -> Value {
     json!({
         "key": BASE64.encode(key),
         "value": stored.value,
@@ -257,41 +258,41 @@
 }
 
 async fn range(State(state): State<Shared>, body: Bytes) -> Response {
-    if let Err(resp) = enter(&state, "range").await {
+    if let Err(resp) = begin_call(&state, "range").await {
         return resp;
     }
-    let body = parse(&body);
+    let body = parse_body(&body);
     Json(state.lock().expect("no holder panics").range(&body)).into_response()
 }
 
 /// The gateway takes any media type, so the body is read by hand.
-fn parse(body: &Bytes) -> Value {
+fn parse_body(body: &Bytes) -> Value {
     serde_json::from_slice(body).unwrap_or(Value::Null)
 }
 
 async fn txn(State(state): State<Shared>, body: Bytes) -> Response {
-    if let Err(resp) = enter(&state, "txn").await {
+    if let Err(resp) = begin_call(&state, "txn").await {
         return resp;
     }
-    if body.len() > MAX_VALUE * 4 / 3 + MAX_VALUE {
+    if body.len() > MAX_VALUE_BYTES * 4 / 3 + MAX_VALUE_BYTES {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
-    let body = parse(&body);
+    let body = parse_body(&body);
     let mut store = state.lock().expect("no holder panics");
     let revision = store.revision + 1;
     let answer = store.txn(&body, revision);
     if store.fault.lose_answers > 0 {
         store.fault.lose_answers -= 1;
-        return no_answer();
+        return broken_response();
     }
     Json(answer).into_response()
 }
 
 async fn grant(State(state): State<Shared>, body: Bytes) -> Response {
-    if let Err(resp) = enter(&state, "grant").await {
+    if let Err(resp) = begin_call(&state, "grant").await {
         return resp;
     }
-    let ttl = Duration::from_secs(number(&parse(&body), "TTL").max(1) as u64);
+    let ttl = Duration::from_secs(int_field(&parse_body(&body), "TTL").max(1) as u64);
     let mut store = state.lock().expect("no holder panics");
     store.next_lease += 1;
     let id = store.next_lease;
@@ -300,13 +301,13 @@
 }
 
 async fn keep_alive(State(state): State<Shared>, body: Bytes) -> Response {
-    if let Err(resp) = enter(&state, "keepalive").await {
+    if let Err(resp) = begin_call(&state, "keepalive").await {
         return resp;
     }
-    let id = number(&parse(&body), "ID");
+    let id = int_field(&parse_body(&body), "ID");
     let mut store = state.lock().expect("no holder panics");
-    let ttl = store.leases.get_mut(&id).map(|(until, ttl)| {
-        *until = Instant::now() + *ttl;
+    let ttl = store.leases.get_mut(&id).map(|(expires_at, ttl)| {
+        *expires_at = Instant::now() + *ttl;
         ttl.as_secs()
     });
     let result = json!({ "ID": id.to_string(), "TTL": ttl.unwrap_or(0).to_string() });
@@ -314,55 +315,55 @@
 }
 
 async fn revoke(State(state): State<Shared>, body: Bytes) -> Response {
-    if let Err(resp) = enter(&state, "revoke").await {
+    if let Err(resp) = begin_call(&state, "revoke").await {
         return resp;
     }
-    let id = number(&parse(&body), "ID");
-    state.lock().expect("no holder panics").drop_lease(id);
+    let id = int_field(&parse_body(&body), "ID");
+    state.lock().expect("no holder panics").remove_lease(id);
     Json(json!({})).into_response()
 }
 
 async fn watch(State(state): State<Shared>, body: Bytes) -> Response {
-    if let Err(resp) = enter(&state, "watch").await {
+    if let Err(resp) = begin_call(&state, "watch").await {
         return resp;
     }
-    let body = parse(&body);
-    let key = key_of(body.get("create_request").unwrap_or(&Value::Null), "key");
+    let body = parse_body(&body);
+    let key = key_field(body.get("create_request").unwrap_or(&Value::Null), "key");
     let key = String::from_utf8_lossy(&key).into_owned();
     let rx = state.lock().expect("no holder panics").changes.subscribe();
-    let lines = stream::unfold((rx, state, key, true), next_line);
-    Response::new(Body::from_stream(lines.map(Ok::<_, Infallible>)))
+    let watch_lines = stream::unfold((rx, state, key, true), next_watch_line);
+    Response::new(Body::from_stream(watch_lines.map(Ok::<_, Infallible>)))
 }
 
-type WatchState = (broadcast::Receiver<(String, Option<Stored>)>, Shared, String, bool);
+type WatchState = (broadcast::Receiver<(String, Option<StoredValue>)>, Shared, String, bool);
 
-async fn next_line((mut rx, state, key, first): WatchState) -> Option<(Bytes, WatchState)> {
-    if first {
-        return Some((line(&[]), (rx, state, key, false)));
+async fn next_watch_line((mut rx, state, key, is_first): WatchState) -> Option<(Bytes, WatchState)> {
+    if is_first {
+        return Some((watch_line(&[]), (rx, state, key, false)));
     }
     loop {
-        let change = tokio::time::timeout(WATCH_ALIVE, rx.recv()).await;
+        let change = tokio::time::timeout(WATCH_PROGRESS_INTERVAL, rx.recv()).await;
         if state.lock().expect("no holder panics").fault.down {
             return None;
         }
         let events = match change {
-            Ok(Ok((changed, stored))) if changed == key => vec![event(&key, stored.as_ref())],
+            Ok(Ok((changed, stored))) if changed == key => vec![event_json(&key, stored.as_ref())],
             Ok(Ok(_)) => continue,
             Ok(Err(_)) => return None,
             Err(_) => Vec::new(),
         };
-        return Some((line(&events), (rx, state, key, false)));
+        return Some((watch_line(&events), (rx, state, key, false)));
     }
 }
 
-fn event(key: &str, stored: Option<&Stored>) -> Value {
+fn event_json(key: &str, stored: Option<&StoredValue>) -> Value {
     match stored {
-        Some(stored) => json!({ "kv": raw(key, stored) }),
+        Some(stored) => json!({ "kv": kv_json(key, stored) }),
         None => json!({ "type": "DELETE", "kv": { "key": BASE64.encode(key) } }),
     }
 }
 
-fn line(events: &[Value]) -> Bytes {
+fn watch_line(events: &[Value]) -> Bytes {
     let mut text = json!({ "result": { "header": {}, "events": events } }).to_string();
     text.push('\n');
     Bytes::from(text)
--- a/stand-ins/src/model.rs
+++ b/stand-ins/src/model.rs
@@ -71,11 +71,11 @@
     /// The driver's identifier.
     pub id: u64,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
     /// Tokens to generate.
-    pub output: u32,
+    pub output_tokens: u32,
     /// Higher goes first.
     pub priority: u8,
     /// The prompt's KV cache comes with it.
@@ -101,12 +101,12 @@
 }
 
 impl Sequence {
-    fn generates(&self) -> bool {
+    fn is_generating(&self) -> bool {
         self.prompt_left <= 0.0
     }
 
     const fn kv(&self) -> u32 {
-        self.job.prompt + self.job.output
+        self.job.prompt_tokens + self.job.output_tokens
     }
 }
 
@@ -147,27 +147,27 @@
     pub fn change_role(&mut self, role: Role) -> Vec<u64> {
         self.role = role;
         self.prefixes.clear();
-        self.lose_all()
+        self.drop_jobs()
     }
 
     /// Lose all jobs, as in a crash.
-    pub fn lose_all(&mut self) -> Vec<u64> {
-        let gone = self.batch.drain(..).chain(self.waiting.drain(..));
-        gone.map(|s| s.job.id).collect()
+    pub fn drop_jobs(&mut self) -> Vec<u64> {
+        let jobs = self.batch.drain(..).chain(self.waiting.drain(..));
+        jobs.map(|s| s.job.id).collect()
     }
 
     /// Add a job.
     pub fn submit(&mut self, job: Job) {
-        let cached = self.touch(job.prefix);
-        let prompt = f64::from(job.prompt);
+        let cached = self.use_prefix(job.prefix);
+        let prompt = f64::from(job.prompt_tokens);
         let prompt_left = match (job.imported, cached) {
             (true, _) => 0.0,
             (false, true) => prompt * (1.0 - self.params.cached_share),
             (false, false) => prompt,
         };
-        let sequence = Sequence { job, prompt_left, output_left: job.output };
-        let at = self.waiting.partition_point(|w| w.job.priority >= job.priority);
-        self.waiting.insert(at, sequence);
+        let sequence = Sequence { job, prompt_left, output_left: job.output_tokens };
+        let index = self.waiting.partition_point(|w| w.job.priority >= job.priority);
+        self.waiting.insert(index, sequence);
     }
 
     /// Forget a job; returns whether it was there.
@@ -184,14 +184,14 @@
         if self.batch.is_empty() {
             return None;
         }
-        self.generating = self.batch.iter().filter(|s| s.generates()).map(|s| s.job.id).collect();
-        let mut room = f64::from(self.chunk());
+        self.generating = self.batch.iter().filter(|s| s.is_generating()).map(|s| s.job.id).collect();
+        let mut budget = f64::from(self.chunk());
         for sequence in &mut self.batch {
-            let part = sequence.prompt_left.min(room);
+            let part = sequence.prompt_left.min(budget);
             sequence.prompt_left -= part;
-            room -= part;
+            budget -= part;
         }
-        let chunk = f64::from(self.chunk()) - room;
+        let chunk = f64::from(self.chunk()) - budget;
         let generating = self.generating.len() as f64;
         let base = if self.generating.is_empty() { self.params.step / 4.0 } else { self.params.step };
         Some(base + generating * self.params.step_per_seq + chunk / self.params.prefill_rate)
@@ -202,9 +202,9 @@
         let mut events = Vec::new();
         for sequence in &mut self.batch {
             let id = sequence.job.id;
-            let first = sequence.generates() && sequence.output_left == sequence.job.output;
+            let first = sequence.is_generating() && sequence.output_left == sequence.job.output_tokens;
             if sequence.job.prefill_only {
-                if sequence.generates() {
+                if sequence.is_generating() {
                     sequence.output_left = 0;
                     events.push(Event::Done(id));
                 }
@@ -262,15 +262,15 @@
     }
 
     /// Note the use of a prefix; returns whether it was cached.
-    fn touch(&mut self, prefix: u64) -> bool {
-        let at = self.prefixes.iter().position(|p| *p == prefix);
-        if let Some(at) = at {
-            self.prefixes.remove(at);
+    fn use_prefix(&mut self, prefix: u64) -> bool {
+        let index = self.prefixes.iter().position(|p| *p == prefix);
+        if let Some(index) = index {
+            self.prefixes.remove(index);
         }
         self.prefixes.push_back(prefix);
         if self.prefixes.len() > self.params.prefixes {
             self.evicted.extend(self.prefixes.pop_front());
         }
-        at.is_some()
+        index.is_some()
     }
 }
--- a/stand-ins/src/plain.rs
+++ b/stand-ins/src/plain.rs
@@ -79,8 +79,8 @@
     }
 
     /// Serve until the process ends.
-    pub async fn forever(self) {
-        self.server.forever().await;
+    pub async fn serve_forever(self) {
+        self.server.serve_forever().await;
     }
 }
 
@@ -99,11 +99,11 @@
     if fault.refuse > 0 {
         return (StatusCode::SERVICE_UNAVAILABLE, [(NOT_RUN, "1")], "busy").into_response();
     }
-    let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
-    shared.setup.history.note(Event::Ran {
-        request: text(REQUEST).unwrap_or_default(),
-        attempt: text(ATTEMPT).and_then(|a| a.parse().ok()).unwrap_or(0),
-        key: text(IDEMPOTENCY_KEY),
+    let header = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
+    shared.setup.history.record(Event::Ran {
+        request: header(REQUEST).unwrap_or_default(),
+        attempt: header(ATTEMPT).and_then(|a| a.parse().ok()).unwrap_or(0),
+        key: header(IDEMPOTENCY_KEY),
     });
     tokio::time::sleep(Duration::from_millis(shared.setup.work_ms + fault.delay_ms)).await;
     if fault.lose_answers > 0 {
@@ -119,10 +119,10 @@
 /// The fault for one request, with its counts taken down.
 fn take_fault(shared: &Shared) -> PlainFault {
     let mut fault = shared.fault.lock().expect("no holder panics");
-    let now = *fault;
+    let current = *fault;
     fault.refuse = fault.refuse.saturating_sub(1);
-    if now.refuse == 0 {
+    if current.refuse == 0 {
         fault.lose_answers = fault.lose_answers.saturating_sub(1);
     }
-    now
+    current
 }
--- a/stand-ins/src/relay.rs
+++ b/stand-ins/src/relay.rs
@@ -50,21 +50,21 @@
     }
 
     /// Whether bytes wait that go to the target, or those that come back.
-    fn holds(self, is_way_back: bool) -> bool {
-        self == Self::Hold || (self == Self::HoldBack && is_way_back)
+    fn is_held(self, is_to_client: bool) -> bool {
+        self == Self::Hold || (self == Self::HoldBack && is_to_client)
     }
 
-    const fn ends(self) -> bool {
+    const fn closes(self) -> bool {
         matches!(self, Self::Cut | Self::Reset)
     }
 }
 
 /// How often a held connection looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How late a slow link passes bytes on.
-const SLOW: Duration = Duration::from_millis(120);
+const SLOW_DELAY: Duration = Duration::from_millis(120);
 /// Bytes moved at once.
-const CHUNK: usize = 16 << 10;
+const BUF_BYTES: usize = 16 << 10;
 
 /// A running relay.
 #[derive(Debug)]
@@ -86,7 +86,7 @@
         let state = Arc::clone(&link);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(carry(stream, target, Arc::clone(&state)));
+                tokio::spawn(relay_connection(stream, target, Arc::clone(&state)));
             }
         });
         Ok(Self { address, link, task })
@@ -99,7 +99,7 @@
     }
 
     /// End it, as the process behind it ends: its connections close, and new ones are refused.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         self.task.abort();
         self.set(Link::Cut);
     }
@@ -116,66 +116,66 @@
     }
 }
 
-fn now(link: &AtomicU8) -> Link {
+fn current(link: &AtomicU8) -> Link {
     Link::from_number(link.load(Ordering::SeqCst))
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, link: Arc<AtomicU8>) {
-    if now(&link).ends() {
-        end(&near, &link);
+async fn relay_connection(client: TcpStream, target: SocketAddr, link: Arc<AtomicU8>) {
+    if current(&link).closes() {
+        reset_if_set(&client, &link);
         return;
     }
     wait_while_held(&link, false).await;
-    let Ok(mut far) = TcpStream::connect(target).await else {
+    let Ok(mut target_stream) = TcpStream::connect(target).await else {
         // A port where nobody listens resets.
-        let _ = SockRef::from(&near).set_linger(Some(Duration::ZERO));
+        let _ = SockRef::from(&client).set_linger(Some(Duration::ZERO));
         return;
     };
-    let mut near = near;
+    let mut client = client;
     {
-        let (near_rx, near_tx) = near.split();
-        let (far_rx, far_tx) = far.split();
+        let (client_rx, client_tx) = client.split();
+        let (target_rx, target_tx) = target_stream.split();
         tokio::select! {
-            () = copy(near_rx, far_tx, &link, false) => {}
-            () = copy(far_rx, near_tx, &link, true) => {}
-            () = ended(&link) => {}
+            () = copy(client_rx, target_tx, &link, false) => {}
+            () = copy(target_rx, client_tx, &link, true) => {}
+            () = wait_until_closed(&link) => {}
         }
     }
-    end(&near, &link);
-    end(&far, &link);
+    reset_if_set(&client, &link);
+    reset_if_set(&target_stream, &link);
 }
 
 /// Have a connection reset when it is dropped, if the link does that.
-fn end(stream: &TcpStream, link: &AtomicU8) {
-    if now(link) == Link::Reset {
+fn reset_if_set(stream: &TcpStream, link: &AtomicU8) {
+    if current(link) == Link::Reset {
         let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-async fn copy(mut rx: ReadHalf<'_>, mut tx: WriteHalf<'_>, link: &AtomicU8, is_way_back: bool) {
-    let mut buf = vec![0; CHUNK];
+async fn copy(mut rx: ReadHalf<'_>, mut tx: WriteHalf<'_>, link: &AtomicU8, is_to_client: bool) {
+    let mut buf = vec![0; BUF_BYTES];
     while let Ok(n) = rx.read(&mut buf).await {
         if n == 0 {
             return;
         }
-        if now(link) == Link::Slow {
-            tokio::time::sleep(SLOW).await;
+        if current(link) == Link::Slow {
+            tokio::time::sleep(SLOW_DELAY).await;
         }
-        wait_while_held(link, is_way_back).await;
+        wait_while_held(link, is_to_client).await;
         if tx.write_all(&buf[..n]).await.is_err() {
             return;
         }
     }
 }
 
-async fn wait_while_held(link: &AtomicU8, is_way_back: bool) {
-    while now(link).holds(is_way_back) {
-        tokio::time::sleep(LOOK).await;
+async fn wait_while_held(link: &AtomicU8, is_to_client: bool) {
+    while current(link).is_held(is_to_client) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ended(link: &AtomicU8) {
-    while !now(link).ends() {
-        tokio::time::sleep(LOOK).await;
+async fn wait_until_closed(link: &AtomicU8) {
+    while !current(link).closes() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/stand-ins/src/serve.rs
+++ b/stand-ins/src/serve.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Ports that the system does not give to outgoing connections.
-const PORTS: std::ops::Range<u16> = 10_000..32_000;
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
 
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
@@ -20,12 +20,12 @@
 /// When no port is free.
 #[must_use]
 pub fn free_address() -> String {
-    let count = u32::from(PORTS.end - PORTS.start);
+    let count = u32::from(PORT_RANGE.end - PORT_RANGE.start);
     // Test processes that run side by side begin far apart.
     let first = std::process::id().wrapping_mul(331);
     let ports = (0..count).map(|_| {
         let n = first.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
-        PORTS.start + (n % count) as u16
+        PORT_RANGE.start + (n % count) as u16
     });
     // Daemons take some of them for datagrams.
     let is_free = |a: &String| std::net::TcpListener::bind(a).is_ok() && std::net::UdpSocket::bind(a).is_ok();
@@ -50,15 +50,15 @@
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let stop = CancellationToken::new();
-        let stopped = stop.clone();
+        let cancelled = stop.clone();
         let task = tokio::spawn(async move {
-            let prompt = listener.tap_io(|stream| {
+            let listener = listener.tap_io(|stream| {
                 let _ = stream.set_nodelay(true);
             });
-            let server = axum::serve(prompt, router);
+            let server = axum::serve(listener, router);
             tokio::select! {
                 _ = server => {}
-                () = stopped.cancelled() => {}
+                () = cancelled.cancelled() => {}
             }
         });
         Ok(Self { address, stop, task })
@@ -71,7 +71,7 @@
     }
 
     /// Serve until the process ends.
-    pub async fn forever(mut self) {
+    pub async fn serve_forever(mut self) {
         let _ = (&mut self.task).await;
     }
 }
--- a/stand-ins/src/vms.rs
+++ b/stand-ins/src/vms.rs
@@ -33,8 +33,8 @@
     }
 
     /// Serve until the process ends.
-    pub async fn forever(self) {
-        self.server.forever().await;
+    pub async fn serve_forever(self) {
+        self.server.serve_forever().await;
     }
 }
 
