--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -56,7 +56,7 @@
 }
 
 /// Take a request in, choose its endpoint, and hear that it ended.
-fn choice(c: &mut Criterion) {
+fn submit_request(c: &mut Criterion) {
     let mut group = c.benchmark_group("request");
     for endpoints in ENDPOINTS {
         let (mut dispatcher, pool) = dispatcher(endpoints);
@@ -106,7 +106,7 @@
                 n += 1;
                 let now = NOW + Span::millis(5 * n);
                 let prompt = Prompt::new("m", [(1, 400), (n % 400, 5_900), (n, 2_890)].into_iter(), 9_190, 100);
-                let ask = RouteRequest {
+                let req = RouteRequest {
                     service: "pool",
                     prompt: Some(&prompt),
                     objective_left: Span::millis(250),
@@ -120,7 +120,7 @@
                     isolation: None,
                     draw: n.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 };
-                let Ok(plan) = fleet.choose(&ask, now) else { return };
+                let Ok(plan) = fleet.choose(&req, now) else { return };
                 let (Plan::Single(step) | Plan::Disaggregated { prefill: step, .. }) = plan;
                 if let Some(sent) = fleet.begin(step.key, &step, Some(&prompt), now) {
                     fleet.end(&sent, StepEnd::Done, now);
@@ -137,7 +137,7 @@
     let tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
     let quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 1e9, burst: 1e9 };
     let mut client = QuotaClient::default();
-    let mut owned = Shard::taken_over(Time(0));
+    let mut shard_state = Shard::taken_over(Time(0));
     let mut n = 0;
     c.bench_function("quota of a request", |b| {
         b.iter(|| {
@@ -146,7 +146,7 @@
             let terms = ShardTerms::split(&quota, &tolerance);
             let need = CreditNeed { team: "team", terms: &terms, cost: 12_024, tie_breaker: n };
             let Next::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
-            if let Answer::Granted { left } = owned.take("team", &terms, need.cost, now) {
+            if let Answer::Granted { left } = shard_state.take("team", &terms, need.cost, now) {
                 client.record_level("team", shard, left, &terms, now);
             }
         });
@@ -224,13 +224,13 @@
 
 /// What each request costs for knowing which end replicas: its hash, its standing and its whole answer, while
 /// so many others are suspected.
-fn endings(c: &mut Criterion) {
+fn crash_tracking(c: &mut Criterion) {
     let body = vec![7; 18_000];
     let mut group = c.benchmark_group("endings of a request");
     for suspected in [0, 600, 4_000] {
-        let mut endings = CrashTracker::default();
+        let mut tracker = CrashTracker::default();
         for other in 0..suspected {
-            endings.record_crash(ContentHash(other), 1, NOW);
+            tracker.record_crash(ContentHash(other), 1, NOW);
         }
         let mut n = 0_u64;
         group.bench_function(BenchmarkId::from_parameter(suspected), |b| {
@@ -238,20 +238,20 @@
                 n += 1;
                 let now = NOW + Span::millis(n);
                 let content = ContentHash::of("POST", "shop.example", &n.to_string(), &body);
-                black_box(endings.verdict(content, 8, false, now));
-                endings.record_answer(content, now);
+                black_box(tracker.verdict(content, 8, false, now));
+                tracker.record_answer(content, now);
             });
         });
     }
     group.finish();
     let mut group = c.benchmark_group("endings told");
     for suspected in [0, 600, 4_000] {
-        let mut endings = CrashTracker::default();
+        let mut tracker = CrashTracker::default();
         for other in 0..suspected {
-            endings.record_crash(ContentHash(other), 1, NOW);
+            tracker.record_crash(ContentHash(other), 1, NOW);
         }
         group.bench_function(BenchmarkId::from_parameter(suspected), |b| {
-            b.iter(|| black_box(endings.due_notes(Recipients::HallPeers, 8, NOW)));
+            b.iter(|| black_box(tracker.due_notes(Recipients::HallPeers, 8, NOW)));
         });
     }
     group.finish();
@@ -260,6 +260,6 @@
 criterion_group! {
     name = scale;
     config = Criterion::default().sample_size(20).without_plots();
-    targets = choice, route_choice, quota, tick, membership, custody, endings
+    targets = submit_request, route_choice, quota, tick, membership, custody, crash_tracking
 }
 criterion_main!(scale);
--- a/experiments/examples/footprint.rs
+++ b/experiments/examples/footprint.rs
@@ -13,8 +13,8 @@
 use serde_json::json;
 
 const NOW: Time = Time(1_000_000_000);
-const LOADS: usize = 64;
-const NEWS: usize = 13;
+const MAX_LOADS: usize = 64;
+const MAX_UPDATES: usize = 13;
 
 fn contact(n: usize) -> Contact {
     Contact {
@@ -43,12 +43,12 @@
     }
 }
 
-fn bytes(probe: &Probe) -> usize {
+fn encoded_bytes(probe: &Probe) -> usize {
     serde_json::to_vec(probe).map_or(0, |v| v.len())
 }
 
 /// Resident memory of this process, in bytes; Linux only.
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE
@@ -74,29 +74,32 @@
 }
 
 fn main() {
-    println!("probe, quiet: {} bytes", bytes(&probe(1, 0)));
-    println!("probe, {NEWS} news: {} bytes", bytes(&probe(NEWS, 0)));
-    println!("probe, {NEWS} news and {LOADS} loads: {} bytes", bytes(&probe(NEWS, LOADS)));
+    println!("probe, quiet: {} bytes", encoded_bytes(&probe(1, 0)));
+    println!("probe, {MAX_UPDATES} news: {} bytes", encoded_bytes(&probe(MAX_UPDATES, 0)));
+    println!(
+        "probe, {MAX_UPDATES} news and {MAX_LOADS} loads: {} bytes",
+        encoded_bytes(&probe(MAX_UPDATES, MAX_LOADS))
+    );
     for endpoints in [12, 120, 2_000] {
         let size = serde_json::to_vec(&document(endpoints)).map_or(0, |v| v.len());
         println!("configuration with {endpoints} endpoints: {size} bytes");
     }
-    let before = resident();
+    let before = resident_bytes();
     let mut dispatcher = Dispatcher::new(Policy::default(), 1, NOW);
     let pool = dispatcher.add_pool(Rates::default());
     let mut keys = Vec::new();
     for n in 0..20_000 {
         keys.push(dispatcher.add_endpoint(&format!("engine-{n}"), pool, Role::Mixed));
     }
-    let rows = resident();
+    let rows = resident_bytes();
     println!("an endpoint's row without prefixes: {} bytes", (rows - before) / 20_000);
     for key in keys.iter().take(2_000) {
         for prefix in 0..512 {
             dispatcher.endpoint_mut(*key).expect("it is there").add_prefix(prefix, NOW);
         }
     }
-    println!("its 512 remembered prefixes: {} bytes", (resident() - rows) / 2_000);
-    let before = resident();
+    println!("its 512 remembered prefixes: {} bytes", (resident_bytes() - rows) / 2_000);
+    let before = resident_bytes();
     let tables: Vec<_> = (0..20)
         .map(|n| {
             let mut members = Members::new(MemberSettings::default(), contact(0), 1, n);
@@ -104,5 +107,5 @@
             members
         })
         .collect();
-    println!("a table of 690 members: {} bytes", (resident() - before) / tables.len());
+    println!("a table of 690 members: {} bytes", (resident_bytes() - before) / tables.len());
 }
--- a/experiments/examples/policy.rs
+++ b/experiments/examples/policy.rs
@@ -14,7 +14,7 @@
 };
 use experiments::{
     report::{Cell, csv, plot, table},
-    routing::Which,
+    routing::PolicyKind,
     workload::{User, Workload},
     world::{Fault, Setup, run},
 };
@@ -43,7 +43,7 @@
 
 const ENGINES: usize = 12;
 const DAEMONS: usize = 8;
-const SWING: f64 = 60.0;
+const MIX_PERIOD: f64 = 60.0;
 const LOADS: [f64; 5] = [0.5, 0.8, 1.0, 1.2, 1.5];
 
 /// One setting, to be run with several seeds.
@@ -61,10 +61,10 @@
 }
 
 impl Bench {
-    fn setup(&self, user: User, load: f64, which: Which) -> Setup {
+    fn setup(&self, user: User, load: f64, policy: PolicyKind) -> Setup {
         Setup {
-            workload: Workload { user, load, engines: ENGINES, seconds: self.seconds, swing: SWING },
-            which,
+            workload: Workload { user, load, engines: ENGINES, seconds: self.seconds, mix_period: MIX_PERIOD },
+            policy,
             daemons: DAEMONS,
             roles: vec![Role::Mixed; ENGINES],
             params: self.params,
@@ -78,12 +78,12 @@
         let mut tasks = Vec::new();
         for user in User::ALL {
             for load in LOADS {
-                for which in Which::ALL {
+                for policy in PolicyKind::ALL {
                     tasks.push(Task {
                         scenario: format!("{} at {load}", user.name()),
-                        policy: which.name().to_owned(),
+                        policy: policy.name().to_owned(),
                         x: load,
-                        setup: self.setup(user, load, which),
+                        setup: self.setup(user, load, policy),
                     });
                 }
             }
@@ -103,9 +103,9 @@
             ("a daemon deaf for 20 s", self.params, Fault::DaemonDeaf),
         ];
         for (name, params, fault) in cases {
-            for which in [Which::LeastReported, Which::TwoChoices, Which::Product] {
-                let setup = Setup { params, fault, ..self.setup(User::Fjordkjede, 0.9, which) };
-                tasks.push(Task { scenario: name.to_owned(), policy: which.name().to_owned(), x: 0.0, setup });
+            for policy in [PolicyKind::LeastReported, PolicyKind::TwoChoices, PolicyKind::Product] {
+                let setup = Setup { params, fault, ..self.setup(User::Fjordkjede, 0.9, policy) };
+                tasks.push(Task { scenario: name.to_owned(), policy: policy.name().to_owned(), x: 0.0, setup });
             }
         }
         tasks
@@ -135,7 +135,7 @@
         for user in User::ALL {
             for load in [0.8, 1.2] {
                 for (name, roles, planner) in modes {
-                    let setup = Setup { roles: roles.clone(), planner, ..self.setup(user, load, Which::Product) };
+                    let setup = Setup { roles: roles.clone(), planner, ..self.setup(user, load, PolicyKind::Product) };
                     let scenario = format!("{} at {load}", user.name());
                     tasks.push(Task { scenario, policy: name.to_owned(), x: load, setup });
                 }
@@ -182,9 +182,9 @@
         None => ModelParams::default(),
     };
     let bench = Bench { seeds: args.seeds, seconds: args.seconds, params };
-    let wanted = |part: &str| args.parts.is_empty() || args.parts.iter().any(|p| p == part);
+    let is_selected = |part: &str| args.parts.is_empty() || args.parts.iter().any(|p| p == part);
     for (part, tasks) in [("loads", bench.loads()), ("faults", bench.faults()), ("roles", bench.roles())] {
-        if !wanted(part) {
+        if !is_selected(part) {
             continue;
         }
         let cells = bench.run(tasks);
@@ -195,8 +195,9 @@
         std::fs::write(dir.join(format!("{part}.csv")), csv(&cells))?;
         if part == "loads" {
             for user in User::ALL {
-                let mine: Vec<_> = cells.iter().filter(|c| c.scenario.starts_with(user.name())).cloned().collect();
-                plot(&dir.join(format!("loads-{}.svg", user.name())), user.name(), &mine)?;
+                let cells_of_user: Vec<_> =
+                    cells.iter().filter(|c| c.scenario.starts_with(user.name())).cloned().collect();
+                plot(&dir.join(format!("loads-{}.svg", user.name())), user.name(), &cells_of_user)?;
             }
         }
     }
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -26,7 +26,7 @@
 /// Seconds of each play before anything is counted.
 const WARM_UP_S: f64 = 12.0;
 /// Seconds of each play.
-const LENGTH_S: f64 = 42.0;
+const DURATION_S: f64 = 42.0;
 
 /// One way to keep a quota.
 trait Limiter {
@@ -52,24 +52,24 @@
 /// A leader divides the rate by the demand that daemons report.
 struct LeaderGrants {
     buckets: Vec<TokenBucket>,
-    asked: Vec<f64>,
-    grant_at: Time,
+    requested: Vec<f64>,
+    next_grant_at: Time,
     messages: u64,
 }
 
 impl Limiter for LeaderGrants {
     fn take(&mut self, daemon: usize, cost: u64, _: u64, now: Time) -> bool {
-        if self.grant_at.is_past(now) {
-            self.grant_at = now + GRANT_INTERVAL;
-            let all = self.asked.iter().sum::<f64>().max(1.0);
-            for (bucket, asked) in self.buckets.iter_mut().zip(&mut self.asked) {
-                let share = *asked / all;
+        if self.next_grant_at.is_past(now) {
+            self.next_grant_at = now + GRANT_INTERVAL;
+            let all = self.requested.iter().sum::<f64>().max(1.0);
+            for (bucket, requested) in self.buckets.iter_mut().zip(&mut self.requested) {
+                let share = *requested / all;
                 bucket.resize(QUOTA.rate * share, (QUOTA.burst + TOLERANCE.slack) * share, now);
-                *asked *= 0.5;
+                *requested *= 0.5;
             }
             self.messages += 2 * self.buckets.len() as u64;
         }
-        self.asked[daemon] += cost as f64;
+        self.requested[daemon] += cost as f64;
         self.buckets[daemon].take(cost as f64, now)
     }
 
@@ -115,17 +115,17 @@
     }
 }
 
-fn limiter(way: &str, daemons: usize) -> Box<dyn Limiter> {
-    let part = |units: f64| units / daemons as f64;
-    match way {
+fn limiter(scheme: &str, daemons: usize) -> Box<dyn Limiter> {
+    let share = |units: f64| units / daemons as f64;
+    match scheme {
         "even shares" => {
-            let bucket = TokenBucket::new(part(QUOTA.rate), part(QUOTA.burst + TOLERANCE.slack), Time(0));
+            let bucket = TokenBucket::new(share(QUOTA.rate), share(QUOTA.burst + TOLERANCE.slack), Time(0));
             Box::new(EvenShares(vec![bucket; daemons]))
         }
         "leader's grants" => Box::new(LeaderGrants {
             buckets: vec![TokenBucket::new(0.0, 0.0, Time(0)); daemons],
-            asked: vec![0.0; daemons],
-            grant_at: Time(0),
+            requested: vec![0.0; daemons],
+            next_grant_at: Time(0),
             messages: 0,
         }),
         _ => {
@@ -141,52 +141,52 @@
 }
 
 /// What a play showed.
-struct Seen {
+struct Outcome {
     refused_share: f64,
     fullest_share: f64,
     messages_per_s: f64,
 }
 
-fn play(way: &str, daemons: usize, times: f64) -> Seen {
+fn simulate(scheme: &str, daemons: usize, load: f64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut limiter = limiter(way, daemons);
-    let (mut asked, mut refused) = (0, 0);
-    let mut spent: Vec<(f64, u64)> = Vec::new();
+    let mut limiter = limiter(scheme, daemons);
+    let (mut requested, mut refused) = (0, 0);
+    let mut admitted: Vec<(f64, u64)> = Vec::new();
     let mut at_s = 0.0;
-    while at_s < LENGTH_S {
+    while at_s < DURATION_S {
         let cost: u64 = if rng.random_bool(0.25) { 12_024 } else { 850 };
         let mean_cost = 0.25 * 12_024.0 + 0.75 * 850.0;
-        at_s += -rng.random::<f64>().max(1e-12).ln() * mean_cost / (QUOTA.rate * times);
+        at_s += -rng.random::<f64>().max(1e-12).ln() * mean_cost / (QUOTA.rate * load);
         let daemon = (rng.random::<f64>().powi(2) * daemons as f64) as usize;
-        let taken = limiter.take(daemon, cost, rng.random(), Time(0) + Span::seconds(at_s));
-        if taken {
-            spent.push((at_s, cost));
+        let is_admitted = limiter.take(daemon, cost, rng.random(), Time(0) + Span::seconds(at_s));
+        if is_admitted {
+            admitted.push((at_s, cost));
         }
         if at_s > WARM_UP_S {
-            asked += cost;
-            refused += if taken { 0 } else { cost };
+            requested += cost;
+            refused += if is_admitted { 0 } else { cost };
         }
     }
-    let fullest = spent.iter().map(|(from, _)| {
-        let window = spent.iter().filter(|(at, _)| at >= from && at - from < TOLERANCE.window.as_seconds());
+    let fullest = admitted.iter().map(|(from, _)| {
+        let window = admitted.iter().filter(|(at, _)| at >= from && at - from < TOLERANCE.window.as_seconds());
         window.map(|(_, cost)| cost).sum::<u64>()
     });
-    Seen {
-        refused_share: refused as f64 / asked as f64,
+    Outcome {
+        refused_share: refused as f64 / requested as f64,
         fullest_share: fullest.max().unwrap_or(0) as f64 / TOLERANCE.allowed(&QUOTA),
-        messages_per_s: limiter.messages() as f64 / LENGTH_S,
+        messages_per_s: limiter.messages() as f64 / DURATION_S,
     }
 }
 
 fn main() {
     println!("way             daemons  load  refused  fullest window  messages/s");
-    for way in ["even shares", "leader's grants", "sharded credit"] {
+    for scheme in ["even shares", "leader's grants", "sharded credit"] {
         for daemons in [7, 84, 295, 985] {
-            for times in [0.55, 0.9, 4.0] {
-                let seen = play(way, daemons, times);
+            for load in [0.55, 0.9, 4.0] {
+                let outcome = simulate(scheme, daemons, load);
                 println!(
-                    "{way:<15} {daemons:>7} {times:>5} {:>8.3} {:>15.3} {:>11.0}",
-                    seen.refused_share, seen.fullest_share, seen.messages_per_s
+                    "{scheme:<15} {daemons:>7} {load:>5} {:>8.3} {:>15.3} {:>11.0}",
+                    outcome.refused_share, outcome.fullest_share, outcome.messages_per_s
                 );
             }
         }
--- a/experiments/src/bound.rs
+++ b/experiments/src/bound.rs
@@ -12,7 +12,7 @@
 
 /// The largest weight that could be answered in time.
 #[must_use]
-pub fn upper(arrivals: &[Arrival], user: User, engines: usize, seconds: f64, params: &ModelParams) -> f64 {
+pub fn max_goodput(arrivals: &[Arrival], user: User, engines: usize, seconds: f64, params: &ModelParams) -> f64 {
     let kinds = user.kinds();
     let slack = kinds.iter().map(|k| k.deadline).fold(0.0, f64::max);
     let mut seen = HashSet::new();
@@ -25,13 +25,13 @@
         })
         .collect();
     jobs.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
-    let mut left = engines as f64 * (seconds + slack);
+    let mut remaining = engines as f64 * (seconds + slack);
     let mut total = 0.0;
     for (weight, cost) in jobs {
-        let part = (left / cost).min(1.0);
-        total += weight * part;
-        left -= cost * part;
-        if left <= 0.0 {
+        let fraction = (remaining / cost).min(1.0);
+        total += weight * fraction;
+        remaining -= cost * fraction;
+        if remaining <= 0.0 {
             break;
         }
     }
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -33,17 +33,17 @@
 impl Cell {
     /// The spread of a figure over the seeds.
     #[must_use]
-    pub fn spread(&self, figure: impl Fn(&Outcome) -> f64) -> Spread {
-        let mut values: Vec<_> = self.runs.iter().map(figure).collect();
+    pub fn spread(&self, value_of: impl Fn(&Outcome) -> f64) -> Spread {
+        let mut values: Vec<_> = self.runs.iter().map(value_of).collect();
         values.sort_by(f64::total_cmp);
-        let at = |i: usize| values.get(i).copied().unwrap_or(0.0);
-        Spread { median: at(values.len() / 2), low: at(0), high: at(values.len().saturating_sub(1)) }
+        let value_at = |i: usize| values.get(i).copied().unwrap_or(0.0);
+        Spread { median: value_at(values.len() / 2), low: value_at(0), high: value_at(values.len().saturating_sub(1)) }
     }
 }
 
 /// Goodput as a share of the bound.
 #[must_use]
-pub fn of_bound(outcome: &Outcome) -> f64 {
+pub fn goodput_ratio(outcome: &Outcome) -> f64 {
     outcome.goodput / outcome.bound.max(f64::MIN_POSITIVE)
 }
 
@@ -55,16 +55,16 @@
          wasted | changes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for cell in cells {
-        let good = cell.spread(of_bound);
-        let median = |figure: fn(&Outcome) -> f64| cell.spread(figure).median;
+        let goodput = cell.spread(goodput_ratio);
+        let median = |value_of: fn(&Outcome) -> f64| cell.spread(value_of).median;
         let _ = writeln!(
             out,
             "| {} | {} | {:.3} | {:.3} to {:.3} | {:.4} | {:.4} | {:.0} | {:.0} | {:.3} | {:.0} |",
             cell.scenario,
             cell.policy,
-            good.median,
-            good.low,
-            good.high,
+            goodput.median,
+            goodput.low,
+            goodput.high,
             median(|o| o.in_time[0]),
             median(|o| o.in_time[1]),
             median(|o| o.refused as f64),
@@ -127,8 +127,8 @@
     policies.dedup();
     for (n, policy) in policies.iter().enumerate() {
         let color = Palette99::pick(n).mix(1.0);
-        let mine = cells.iter().filter(|c| c.policy == *policy);
-        let points: Vec<_> = mine.map(|c| (c.x, c.spread(of_bound).median)).collect();
+        let points_of_policy = cells.iter().filter(|c| c.policy == *policy);
+        let points: Vec<_> = points_of_policy.map(|c| (c.x, c.spread(goodput_ratio).median)).collect();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
             .label(policy.as_str())
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -11,28 +11,28 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
     /// It waits until nothing runs.
-    Emptying(Role),
+    Draining(Role),
     /// It is away until this second.
-    Away(Role, f64),
+    Changing(Role, f64),
 }
 
 /// The planner of a run.
 #[derive(Debug)]
-pub struct Roles {
+pub struct RolePlanner {
     settings: PlannerSettings,
     rates: RoleRates,
     planner: Planner,
     /// Changes under way, by engine.
-    pub under_way: Vec<Option<Stage>>,
+    pub in_progress: Vec<Option<Stage>>,
     /// Changes decided on.
     pub changes: usize,
 }
 
-impl Roles {
+impl RolePlanner {
     /// A planner for so many engines.
     #[must_use]
     pub fn new(settings: PlannerSettings, rates: RoleRates, engines: usize) -> Self {
-        Self { settings, rates, planner: Planner::default(), under_way: vec![None; engines], changes: 0 }
+        Self { settings, rates, planner: Planner::default(), in_progress: vec![None; engines], changes: 0 }
     }
 
     /// The change to begin now: an engine and its new role.
@@ -43,12 +43,12 @@
         demands: &[AverageDemand],
         now: Time,
     ) -> Option<(usize, Role)> {
-        let sum = |pick: fn(&AverageDemand) -> Demand| demands.iter().map(pick).fold(Demand::default(), Demand::plus);
-        let outlook = AverageDemand { short: sum(|o| o.short), long: sum(|o| o.long) };
+        let sum = |part: fn(&AverageDemand) -> Demand| demands.iter().map(part).fold(Demand::default(), Demand::plus);
+        let demand = AverageDemand { short: sum(|o| o.short), long: sum(|o| o.long) };
         let mut counts = RoleCounts::default();
         for (engine, role) in roles.iter().enumerate() {
-            let role = match self.under_way[engine] {
-                Some(Stage::Emptying(role) | Stage::Away(role, _)) => role,
+            let role = match self.in_progress[engine] {
+                Some(Stage::Draining(role) | Stage::Changing(role, _)) => role,
                 None => *role,
             };
             match role {
@@ -58,11 +58,11 @@
                 Role::Plain => {}
             }
         }
-        let in_flight = self.under_way.iter().flatten().count();
-        let change = self.planner.plan(&self.settings, self.rates, counts, outlook, in_flight, now)?;
-        let candidates = (0..roles.len()).filter(|e| roles[*e] == change.from && self.under_way[*e].is_none());
+        let in_flight = self.in_progress.iter().flatten().count();
+        let change = self.planner.plan(&self.settings, self.rates, counts, demand, in_flight, now)?;
+        let candidates = (0..roles.len()).filter(|e| roles[*e] == change.from && self.in_progress[*e].is_none());
         let engine = candidates.min_by_key(|e| running[*e])?;
-        self.under_way[engine] = Some(Stage::Emptying(change.to));
+        self.in_progress[engine] = Some(Stage::Draining(change.to));
         self.changes += 1;
         Some((engine, change.to))
     }
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -15,7 +15,7 @@
 
 /// What a policy asks of the world.
 #[derive(Clone, Copy, Debug)]
-pub enum Order {
+pub enum Command {
     /// Send a request to an engine, its prompt to another first.
     Send {
         /// The request's index.
@@ -32,26 +32,26 @@
 }
 
 /// A policy under test; each call speaks of one daemon.
-pub trait Routing {
+pub trait RoutingPolicy {
     /// A request arrived.
-    fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Order>;
+    fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Command>;
     /// A token of a request arrived.
     fn token(&mut self, daemon: usize, request: usize, now: Time);
     /// A request is over, or was taken back.
-    fn ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Order>;
+    fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Command>;
     /// A load report reached a daemon.
     fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time);
     /// An engine is open to new work, or not, and plays a role.
-    fn duty(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Order>;
+    fn set_endpoint_state(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Command>;
     /// Time went on.
-    fn tick(&mut self, daemon: usize, now: Time) -> Vec<Order>;
+    fn tick(&mut self, daemon: usize, now: Time) -> Vec<Command>;
     /// The demand a daemon has seen: the short and the long average.
     fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::AverageDemand>;
 }
 
 /// Which policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum PolicyKind {
     /// The next engine in turn.
     RoundRobin,
     /// The least loaded by its last report.
@@ -64,7 +64,7 @@
     Product,
 }
 
-impl Which {
+impl PolicyKind {
     /// All of them.
     pub const ALL: [Self; 5] =
         [Self::RoundRobin, Self::LeastReported, Self::TwoChoices, Self::NoAdmission, Self::Product];
@@ -83,7 +83,7 @@
 
     /// The policy for so many daemons and engines of these roles.
     #[must_use]
-    pub fn build(self, daemons: usize, roles: &[Role], params: &ModelParams, seed: u64) -> Box<dyn Routing> {
+    pub fn build(self, daemons: usize, roles: &[Role], params: &ModelParams, seed: u64) -> Box<dyn RoutingPolicy> {
         match self {
             Self::Product => Box::new(Product::new(daemons, roles, params, seed, Policy::default())),
             Self::NoAdmission => {
@@ -122,7 +122,7 @@
             step_per_seq: params.step_per_seq,
             slots: params.slots,
         };
-        let make = |n: usize| {
+        let new_daemon = |n: usize| {
             let mut dispatcher = Dispatcher::new(policy, seed.wrapping_mul(31) + n as u64, Time::default());
             dispatcher.set_team_rates(std::collections::HashMap::new(), daemons, Time::default());
             let pool = dispatcher.add_pool(rates);
@@ -131,26 +131,26 @@
             let index = engines.iter().enumerate().map(|(i, key)| (*key, i)).collect();
             Daemon { dispatcher, pool, engines, index, requests: SecondaryMap::new() }
         };
-        Self { daemons: (0..daemons).map(make).collect(), keys: Vec::new() }
+        Self { daemons: (0..daemons).map(new_daemon).collect(), keys: Vec::new() }
     }
 
-    fn orders(&mut self, daemon: usize, actions: Vec<Action>) -> Vec<Order> {
+    fn commands(&mut self, daemon: usize, actions: Vec<Action>) -> Vec<Command> {
         let daemon = &mut self.daemons[daemon];
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for action in actions {
             match action {
-                Action::Send { request, choice, .. } => orders.push(Order::Send {
+                Action::Send { request, choice, .. } => commands.push(Command::Send {
                     request: daemon.requests[request],
                     engine: daemon.index[choice.chosen.endpoint],
                     prefill: choice.chosen.prefill.map(|key| daemon.index[key]),
                 }),
                 Action::Refuse { request, .. } => {
-                    orders.extend(daemon.requests.remove(request).map(Order::Refuse));
+                    commands.extend(daemon.requests.remove(request).map(Command::Refuse));
                 }
-                Action::Stop { request, .. } => orders.push(Order::Stop(daemon.requests[request])),
+                Action::Stop { request, .. } => commands.push(Command::Stop(daemon.requests[request])),
             }
         }
-        orders
+        commands
     }
 
     fn key(&self, request: usize) -> Option<RequestKey> {
@@ -158,11 +158,11 @@
     }
 }
 
-impl Routing for Product {
-    fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Order> {
-        let at = &mut self.daemons[daemon];
+impl RoutingPolicy for Product {
+    fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Command> {
+        let state = &mut self.daemons[daemon];
         let spec = RequestSpec {
-            pool: at.pool,
+            pool: state.pool,
             kind: kind.traits,
             prompt_tokens: arrival.prompt,
             output_tokens: arrival.output,
@@ -170,16 +170,16 @@
             adapter: 0,
             deadline: now + Span::seconds(kind.deadline),
         };
-        let Ok(key) = at.dispatcher.submit("team", spec, now) else {
-            return vec![Order::Refuse(request)];
+        let Ok(key) = state.dispatcher.submit("team", spec, now) else {
+            return vec![Command::Refuse(request)];
         };
-        at.requests.insert(key, request);
+        state.requests.insert(key, request);
         if self.keys.len() <= request {
             self.keys.resize(request + 1, None);
         }
         self.keys[request] = Some(key);
-        let actions = at.dispatcher.pump(at.pool, now);
-        self.orders(daemon, actions)
+        let actions = state.dispatcher.pump(state.pool, now);
+        self.commands(daemon, actions)
     }
 
     fn token(&mut self, daemon: usize, request: usize, now: Time) {
@@ -188,21 +188,21 @@
         }
     }
 
-    fn ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Order> {
+    fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Command> {
         let Some(key) = self.key(request) else { return Vec::new() };
-        let at = &mut self.daemons[daemon];
-        let next = at.dispatcher.attempt_ended(key, end, Site::Serving, now);
-        let mut orders = Vec::new();
+        let state = &mut self.daemons[daemon];
+        let next = state.dispatcher.attempt_ended(key, end, Site::Serving, now);
+        let mut commands = Vec::new();
         if let Next::Finished(_) = next {
             self.keys[request] = None;
-            at.requests.remove(key);
+            state.requests.remove(key);
             if end != AttemptEnd::Whole {
-                orders.push(Order::Refuse(request));
+                commands.push(Command::Refuse(request));
             }
         }
-        let actions = at.dispatcher.pump(at.pool, now);
-        orders.extend(self.orders(daemon, actions));
-        orders
+        let actions = state.dispatcher.pump(state.pool, now);
+        commands.extend(self.commands(daemon, actions));
+        commands
     }
 
     fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time) {
@@ -210,24 +210,24 @@
         daemon.dispatcher.observe(daemon.engines[engine], load, at);
     }
 
-    fn duty(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Order> {
-        let at = &mut self.daemons[daemon];
-        let key = at.engines[engine];
-        at.dispatcher.set_role(key, role);
+    fn set_endpoint_state(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Command> {
+        let state = &mut self.daemons[daemon];
+        let key = state.engines[engine];
+        state.dispatcher.set_role(key, role);
         let mut actions =
-            at.dispatcher.set_admin_state(key, if open { AdminState::Serving } else { AdminState::Draining });
-        actions.extend(at.dispatcher.pump(at.pool, now));
-        self.orders(daemon, actions)
+            state.dispatcher.set_admin_state(key, if open { AdminState::Serving } else { AdminState::Draining });
+        actions.extend(state.dispatcher.pump(state.pool, now));
+        self.commands(daemon, actions)
     }
 
-    fn tick(&mut self, daemon: usize, now: Time) -> Vec<Order> {
+    fn tick(&mut self, daemon: usize, now: Time) -> Vec<Command> {
         let actions = self.daemons[daemon].dispatcher.tick(now);
-        self.orders(daemon, actions)
+        self.commands(daemon, actions)
     }
 
     fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::AverageDemand> {
-        let at = &self.daemons[daemon];
-        let mix = at.dispatcher.demand(at.pool)?;
+        let state = &self.daemons[daemon];
+        let mix = state.dispatcher.demand(state.pool)?;
         Some(dahliaseam_core::planner::AverageDemand { short: mix.short(now), long: mix.long(now) })
     }
 }
@@ -235,100 +235,100 @@
 /// A baseline: it sends each request at once and never refuses.
 #[derive(Debug)]
 struct Baseline {
-    which: Which,
+    policy: PolicyKind,
     roles: Vec<Role>,
     open: Vec<bool>,
     next: Vec<usize>,
     loads: Vec<Vec<LoadReport>>,
-    own: Vec<Vec<u32>>,
-    at: Vec<Option<usize>>,
-    tries: Vec<u32>,
+    in_flight: Vec<Vec<u32>>,
+    assigned: Vec<Option<usize>>,
+    attempts: Vec<u32>,
     rng: SmallRng,
 }
 
 /// Tries of a baseline at one request. It does not learn that an engine is gone, so without a bound
 /// it would try for ever.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 impl Baseline {
-    fn new(which: Which, daemons: usize, roles: &[Role], seed: u64) -> Self {
+    fn new(policy: PolicyKind, daemons: usize, roles: &[Role], seed: u64) -> Self {
         Self {
-            which,
+            policy,
             roles: roles.to_vec(),
             open: vec![true; roles.len()],
             next: (0..daemons).collect(),
             loads: vec![vec![LoadReport::default(); roles.len()]; daemons],
-            own: vec![vec![0; roles.len()]; daemons],
-            at: Vec::new(),
-            tries: Vec::new(),
+            in_flight: vec![vec![0; roles.len()]; daemons],
+            assigned: Vec::new(),
+            attempts: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     fn load(&self, daemon: usize, engine: usize) -> f64 {
         let report = self.loads[daemon][engine];
-        let own = if self.which == Which::TwoChoices { self.own[daemon][engine] } else { 0 };
+        let own = if self.policy == PolicyKind::TwoChoices { self.in_flight[daemon][engine] } else { 0 };
         f64::from(report.running + report.waiting + own) + f64::from(report.queued_prefill) / 1_000.0
     }
 
-    fn pick(&mut self, daemon: usize, among: &[usize]) -> usize {
-        match self.which {
-            Which::RoundRobin => {
+    fn pick(&mut self, daemon: usize, candidates: &[usize]) -> usize {
+        match self.policy {
+            PolicyKind::RoundRobin => {
                 self.next[daemon] += 1;
-                among[self.next[daemon] % among.len()]
+                candidates[self.next[daemon] % candidates.len()]
             }
-            Which::TwoChoices => {
-                let mut draw = || among[self.rng.random_range(0..among.len())];
+            PolicyKind::TwoChoices => {
+                let mut draw = || candidates[self.rng.random_range(0..candidates.len())];
                 let (a, b) = (draw(), draw());
                 if self.load(daemon, a) <= self.load(daemon, b) { a } else { b }
             }
             _ => {
                 let least =
-                    among.iter().copied().min_by(|a, b| self.load(daemon, *a).total_cmp(&self.load(daemon, *b)));
-                least.unwrap_or(among[0])
+                    candidates.iter().copied().min_by(|a, b| self.load(daemon, *a).total_cmp(&self.load(daemon, *b)));
+                least.unwrap_or(candidates[0])
             }
         }
     }
 
-    fn send(&mut self, daemon: usize, request: usize) -> Vec<Order> {
-        let open = |this: &Self, test: fn(Role) -> bool| -> Vec<usize> {
-            (0..this.roles.len()).filter(|i| this.open[*i] && test(this.roles[*i])).collect()
+    fn send(&mut self, daemon: usize, request: usize) -> Vec<Command> {
+        let open = |baseline: &Self, test: fn(Role) -> bool| -> Vec<usize> {
+            (0..baseline.roles.len()).filter(|i| baseline.open[*i] && test(baseline.roles[*i])).collect()
         };
         let serving = open(self, |role| role != Role::Prefill);
         if serving.is_empty() {
-            return vec![Order::Refuse(request)];
+            return vec![Command::Refuse(request)];
         }
         let engine = self.pick(daemon, &serving);
         let prefilling = open(self, |role| role == Role::Prefill);
-        let split = self.roles[engine] == Role::Decode && !prefilling.is_empty();
-        let prefill = split.then(|| self.pick(daemon, &prefilling));
-        self.own[daemon][engine] += 1;
-        if self.at.len() <= request {
-            self.at.resize(request + 1, None);
+        let is_disaggregated = self.roles[engine] == Role::Decode && !prefilling.is_empty();
+        let prefill = is_disaggregated.then(|| self.pick(daemon, &prefilling));
+        self.in_flight[daemon][engine] += 1;
+        if self.assigned.len() <= request {
+            self.assigned.resize(request + 1, None);
         }
-        self.at[request] = Some(engine);
-        vec![Order::Send { request, engine, prefill }]
+        self.assigned[request] = Some(engine);
+        vec![Command::Send { request, engine, prefill }]
     }
 }
 
-impl Routing for Baseline {
-    fn arrive(&mut self, daemon: usize, request: usize, _: &Arrival, _: &Kind, _: Time) -> Vec<Order> {
+impl RoutingPolicy for Baseline {
+    fn arrive(&mut self, daemon: usize, request: usize, _: &Arrival, _: &Kind, _: Time) -> Vec<Command> {
         self.send(daemon, request)
     }
 
     fn token(&mut self, _: usize, _: usize, _: Time) {}
 
-    fn ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, _: Time) -> Vec<Order> {
-        if let Some(engine) = self.at.get_mut(request).and_then(Option::take) {
-            self.own[daemon][engine] = self.own[daemon][engine].saturating_sub(1);
+    fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, _: Time) -> Vec<Command> {
+        if let Some(engine) = self.assigned.get_mut(request).and_then(Option::take) {
+            self.in_flight[daemon][engine] = self.in_flight[daemon][engine].saturating_sub(1);
         }
-        if self.tries.len() <= request {
-            self.tries.resize(request + 1, 0);
+        if self.attempts.len() <= request {
+            self.attempts.resize(request + 1, 0);
         }
-        self.tries[request] += 1;
+        self.attempts[request] += 1;
         match end {
             AttemptEnd::Whole => Vec::new(),
-            _ if self.tries[request] > MAX_TRIES => vec![Order::Refuse(request)],
+            _ if self.attempts[request] > MAX_ATTEMPTS => vec![Command::Refuse(request)],
             _ => self.send(daemon, request),
         }
     }
@@ -337,13 +337,13 @@
         self.loads[daemon][engine] = load;
     }
 
-    fn duty(&mut self, _: usize, engine: usize, open: bool, role: Role, _: Time) -> Vec<Order> {
+    fn set_endpoint_state(&mut self, _: usize, engine: usize, open: bool, role: Role, _: Time) -> Vec<Command> {
         self.open[engine] = open;
         self.roles[engine] = role;
         Vec::new()
     }
 
-    fn tick(&mut self, _: usize, _: Time) -> Vec<Order> {
+    fn tick(&mut self, _: usize, _: Time) -> Vec<Command> {
         Vec::new()
     }
 
--- a/experiments/src/workload.rs
+++ b/experiments/src/workload.rs
@@ -109,7 +109,7 @@
     /// Seconds.
     pub seconds: f64,
     /// Seconds between two swings of the mix.
-    pub swing: f64,
+    pub mix_period: f64,
 }
 
 /// Share of the long-prompt kind in the two halves of a swing.
@@ -124,22 +124,22 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let kinds = self.user.kinds();
         let mut at = 0.0;
-        let mut out = Vec::new();
+        let mut arrivals = Vec::new();
         while at < self.seconds {
-            let long = LONG_SHARES[((at / self.swing) as usize) % 2];
+            let long = LONG_SHARES[((at / self.mix_period) as usize) % 2];
             let mean = long * kinds[0].mean_cost(params) + (1.0 - long) * kinds[1].mean_cost(params);
             let rate = self.load * self.engines as f64 / mean;
             at += -(1.0 - rng.random::<f64>()).ln() / rate;
             let kind = usize::from(rng.random::<f64>() >= long);
-            let draw = |rng: &mut SmallRng, (low, high): (u32, u32)| rng.random_range(low..=high);
-            out.push(Arrival {
+            let sample = |rng: &mut SmallRng, (low, high): (u32, u32)| rng.random_range(low..=high);
+            arrivals.push(Arrival {
                 at,
                 kind,
-                prompt: draw(&mut rng, kinds[kind].prompt),
-                output: draw(&mut rng, kinds[kind].output),
+                prompt: sample(&mut rng, kinds[kind].prompt),
+                output: sample(&mut rng, kinds[kind].output),
                 prefix: (rng.random::<f64>().powi(3) * PREFIXES) as u64 + 1,
             });
         }
-        out
+        arrivals
     }
 }
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -13,21 +13,21 @@
 use stand_ins::model::{EngineModel, Event as StepEvent, Job, ModelParams};
 
 use crate::{
-    roles::{Roles, Stage},
-    routing::{Order, Routing, Which},
+    roles::{RolePlanner, Stage},
+    routing::{Command, PolicyKind, RoutingPolicy},
     workload::{Arrival, Workload},
 };
 
 /// Seconds between two ticks of a daemon.
-const TICK: f64 = 0.02;
+const TICK_INTERVAL: f64 = 0.02;
 /// Seconds between two reports of an engine.
-const REPORT: f64 = 0.5;
+const REPORT_INTERVAL: f64 = 0.5;
 /// Seconds by which gossip delays a report at most.
-const GOSSIP: f64 = 1.0;
+const MAX_GOSSIP_DELAY: f64 = 1.0;
 /// Seconds between two looks of the planner.
-const PLAN: f64 = 1.0;
+const PLAN_INTERVAL: f64 = 1.0;
 /// Seconds after the last arrival until the run ends.
-const TAIL: f64 = 20.0;
+const DRAIN_TIME: f64 = 20.0;
 /// Marks a job that only processes a prompt.
 const PREFILL_BIT: u64 = 1 << 40;
 
@@ -50,7 +50,7 @@
     /// The requests.
     pub workload: Workload,
     /// The policy.
-    pub which: Which,
+    pub policy: PolicyKind,
     /// Daemons.
     pub daemons: usize,
     /// The engines' roles at the start.
@@ -87,130 +87,134 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum What {
+enum EventKind {
     Arrival(usize),
     Step(usize, u64),
     Report(usize),
-    Heard { daemon: usize, engine: usize, load: LoadReport, at: f64 },
+    ReportReceived { daemon: usize, engine: usize, load: LoadReport, at: f64 },
     Import { request: usize, engine: usize, generation: u32 },
     Tick(usize),
     Plan,
-    Back(usize),
+    RoleChangeDone(usize),
     Fault,
-    FaultOver,
+    FaultEnd,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Due {
+struct Event {
     at: f64,
-    number: u64,
-    what: What,
+    sequence: u64,
+    kind: EventKind,
 }
 
-impl Eq for Due {}
+impl Eq for Event {}
 
-impl PartialOrd for Due {
+impl PartialOrd for Event {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for Event {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.number.cmp(&other.number))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Progress {
+struct RequestState {
     daemon: usize,
     /// Counts attempts, so that what belongs to an earlier one is told apart.
     generation: u32,
     engine: Option<usize>,
     prefill: Option<usize>,
     tokens: u32,
-    over: bool,
+    is_finished: bool,
 }
 
 struct Engine {
     model: EngineModel,
     stepping: bool,
     step: u64,
-    gone: bool,
+    is_unavailable: bool,
 }
 
 struct World<'a> {
     setup: &'a Setup,
     arrivals: Vec<Arrival>,
-    routing: Box<dyn Routing>,
+    routing: Box<dyn RoutingPolicy>,
     engines: Vec<Engine>,
-    progress: Vec<Progress>,
-    roles: Option<Roles>,
-    queue: BinaryHeap<Reverse<Due>>,
-    number: u64,
+    requests: Vec<RequestState>,
+    roles: Option<RolePlanner>,
+    events: BinaryHeap<Reverse<Event>>,
+    sequence: u64,
     now: f64,
     rng: SmallRng,
     outcome: Outcome,
     tokens: (u64, u64),
-    counts: [(usize, usize); 2],
-    deaf: Option<usize>,
+    counts_by_kind: [(usize, usize); 2],
+    daemon_without_reports: Option<usize>,
 }
 
 /// Make a run.
 #[must_use]
 pub fn run(setup: &Setup) -> Outcome {
     let arrivals = setup.workload.arrivals(&setup.params, setup.seed);
-    let engine =
-        |role: &Role| Engine { model: EngineModel::new(setup.params, *role), stepping: false, step: 0, gone: false };
+    let engine = |role: &Role| Engine {
+        model: EngineModel::new(setup.params, *role),
+        stepping: false,
+        step: 0,
+        is_unavailable: false,
+    };
     let mut world = World {
-        routing: setup.which.build(setup.daemons, &setup.roles, &setup.params, setup.seed),
+        routing: setup.policy.build(setup.daemons, &setup.roles, &setup.params, setup.seed),
         engines: setup.roles.iter().map(engine).collect(),
-        progress: vec![Progress::default(); arrivals.len()],
-        roles: setup.planner.map(|(settings, rates)| Roles::new(settings, rates, setup.roles.len())),
-        queue: BinaryHeap::new(),
-        number: 0,
+        requests: vec![RequestState::default(); arrivals.len()],
+        roles: setup.planner.map(|(settings, rates)| RolePlanner::new(settings, rates, setup.roles.len())),
+        events: BinaryHeap::new(),
+        sequence: 0,
         now: 0.0,
         rng: SmallRng::seed_from_u64(setup.seed ^ 0x5eed),
         outcome: Outcome::default(),
         tokens: (0, 0),
-        counts: [(0, 0); 2],
-        deaf: None,
+        counts_by_kind: [(0, 0); 2],
+        daemon_without_reports: None,
         arrivals,
         setup,
     };
-    world.play();
+    world.run_events();
     world.finish()
 }
 
 impl World<'_> {
-    fn play(&mut self) {
-        let end = self.setup.workload.seconds + TAIL;
+    fn run_events(&mut self) {
+        let end = self.setup.workload.seconds + DRAIN_TIME;
         for daemon in 0..self.setup.daemons {
-            self.after(TICK * daemon as f64 / self.setup.daemons as f64, What::Tick(daemon));
+            self.schedule(TICK_INTERVAL * daemon as f64 / self.setup.daemons as f64, EventKind::Tick(daemon));
         }
         for engine in 0..self.engines.len() {
-            self.after(REPORT * engine as f64 / self.engines.len() as f64, What::Report(engine));
+            self.schedule(REPORT_INTERVAL * engine as f64 / self.engines.len() as f64, EventKind::Report(engine));
         }
         for request in 0..self.arrivals.len() {
             let at = self.arrivals[request].at;
-            self.after(at, What::Arrival(request));
+            self.schedule(at, EventKind::Arrival(request));
         }
-        self.after(PLAN, What::Plan);
+        self.schedule(PLAN_INTERVAL, EventKind::Plan);
         if self.setup.fault != Fault::None {
-            self.after(self.setup.workload.seconds / 3.0, What::Fault);
+            self.schedule(self.setup.workload.seconds / 3.0, EventKind::Fault);
         }
-        while let Some(Reverse(due)) = self.queue.pop() {
+        while let Some(Reverse(due)) = self.events.pop() {
             if due.at > end {
                 break;
             }
             self.now = due.at;
-            self.happen(due.what);
+            self.handle(due.kind);
         }
     }
 
-    fn after(&mut self, seconds: f64, what: What) {
-        self.number += 1;
-        self.queue.push(Reverse(Due { at: self.now + seconds, number: self.number, what }));
+    fn schedule(&mut self, seconds: f64, kind: EventKind) {
+        self.sequence += 1;
+        self.events.push(Reverse(Event { at: self.now + seconds, sequence: self.sequence, kind }));
     }
 
     fn time(&self) -> Time {
@@ -218,29 +222,29 @@
         Time::default() + Span::seconds(self.now + 1.0)
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrival(request) => self.arrive(request),
-            What::Step(engine, step) => self.step_over(engine, step),
-            What::Report(engine) => self.report(engine),
-            What::Heard { daemon, engine, load, at } => {
-                if self.deaf != Some(daemon) {
+    fn handle(&mut self, kind: EventKind) {
+        match kind {
+            EventKind::Arrival(request) => self.arrive(request),
+            EventKind::Step(engine, step) => self.finish_step(engine, step),
+            EventKind::Report(engine) => self.report(engine),
+            EventKind::ReportReceived { daemon, engine, load, at } => {
+                if self.daemon_without_reports != Some(daemon) {
                     self.routing.report(daemon, engine, load, Time::default() + Span::seconds(at + 1.0));
                 }
             }
-            What::Import { request, engine, generation } => self.import(request, engine, generation),
-            What::Tick(daemon) => {
-                let orders = self.routing.tick(daemon, self.time());
-                self.obey(orders);
-                self.after(TICK, What::Tick(daemon));
+            EventKind::Import { request, engine, generation } => self.import(request, engine, generation),
+            EventKind::Tick(daemon) => {
+                let commands = self.routing.tick(daemon, self.time());
+                self.execute(commands);
+                self.schedule(TICK_INTERVAL, EventKind::Tick(daemon));
             }
-            What::Plan => {
+            EventKind::Plan => {
                 self.plan();
-                self.after(PLAN, What::Plan);
+                self.schedule(PLAN_INTERVAL, EventKind::Plan);
             }
-            What::Back(engine) => self.back(engine),
-            What::Fault => self.fault(),
-            What::FaultOver => self.fault_over(),
+            EventKind::RoleChangeDone(engine) => self.finish_role_change(engine),
+            EventKind::Fault => self.fault(),
+            EventKind::FaultEnd => self.end_fault(),
         }
     }
 
@@ -248,78 +252,78 @@
         let arrival = self.arrivals[request];
         let kind = self.setup.workload.user.kinds()[arrival.kind];
         let daemon = self.rng.random_range(0..self.setup.daemons);
-        self.progress[request].daemon = daemon;
+        self.requests[request].daemon = daemon;
         self.outcome.offered += kind.traits.weight;
-        self.counts[arrival.kind].0 += 1;
-        let orders = self.routing.arrive(daemon, request, &arrival, &kind, self.time());
-        self.obey(orders);
+        self.counts_by_kind[arrival.kind].0 += 1;
+        let commands = self.routing.arrive(daemon, request, &arrival, &kind, self.time());
+        self.execute(commands);
     }
 
-    fn obey(&mut self, orders: Vec<Order>) {
-        let mut orders = std::collections::VecDeque::from(orders);
-        while let Some(order) = orders.pop_front() {
-            match order {
-                Order::Send { request, engine, prefill } => orders.extend(self.send(request, engine, prefill)),
-                Order::Refuse(request) => {
-                    self.progress[request].over = true;
+    fn execute(&mut self, commands: Vec<Command>) {
+        let mut commands = std::collections::VecDeque::from(commands);
+        while let Some(command) = commands.pop_front() {
+            match command {
+                Command::Send { request, engine, prefill } => commands.extend(self.send(request, engine, prefill)),
+                Command::Refuse(request) => {
+                    self.requests[request].is_finished = true;
                     self.outcome.refused += 1;
                 }
-                Order::Stop(request) => {
-                    self.take_back(request);
-                    orders.extend(self.ended(request, AttemptEnd::Cancelled));
+                Command::Stop(request) => {
+                    self.cancel_jobs(request);
+                    commands.extend(self.attempt_ended(request, AttemptEnd::Cancelled));
                 }
             }
         }
     }
 
-    fn send(&mut self, request: usize, engine: usize, prefill: Option<usize>) -> Vec<Order> {
+    fn send(&mut self, request: usize, engine: usize, prefill: Option<usize>) -> Vec<Command> {
         let at = prefill.unwrap_or(engine);
-        if self.engines[engine].gone || self.engines[at].gone {
-            return self.ended(request, AttemptEnd::NotSent);
+        if self.engines[engine].is_unavailable || self.engines[at].is_unavailable {
+            return self.attempt_ended(request, AttemptEnd::NotSent);
         }
-        let progress = &mut self.progress[request];
-        progress.generation += 1;
-        progress.engine = Some(engine);
-        progress.prefill = prefill;
+        let state = &mut self.requests[request];
+        state.generation += 1;
+        state.engine = Some(engine);
+        state.prefill = prefill;
         let job = self.job(request, prefill.is_some(), false);
-        self.submit(at, job);
+        self.submit_job(at, job);
         Vec::new()
     }
 
     fn job(&self, request: usize, prefill_only: bool, imported: bool) -> Job {
         let arrival = self.arrivals[request];
-        let progress = self.progress[request];
+        let state = self.requests[request];
         let kind = self.setup.workload.user.kinds()[arrival.kind];
         Job {
             id: request as u64 | if prefill_only { PREFILL_BIT } else { 0 },
-            prompt_tokens: arrival.prompt + progress.tokens,
+            prompt_tokens: arrival.prompt + state.tokens,
             prefix: arrival.prefix,
-            output_tokens: (arrival.output - progress.tokens).max(1),
+            output_tokens: (arrival.output - state.tokens).max(1),
             priority: kind.traits.priority,
             imported,
             prefill_only,
         }
     }
 
-    fn submit(&mut self, engine: usize, job: Job) {
+    fn submit_job(&mut self, engine: usize, job: Job) {
         self.engines[engine].model.submit(job);
         self.start_step(engine);
     }
 
     fn start_step(&mut self, engine: usize) {
-        let it = &mut self.engines[engine];
-        if it.stepping || it.gone {
+        let engine_state = &mut self.engines[engine];
+        if engine_state.stepping || engine_state.is_unavailable {
             return;
         }
-        if let Some(seconds) = it.model.start_step() {
-            it.stepping = true;
-            it.step += 1;
-            let step = it.step;
-            self.after(seconds, What::Step(engine, step));
+        if let Some(seconds) = engine_state.model.start_step() {
+            engine_state.stepping = true;
+            engine_state.step += 1;
+            let step = engine_state.step;
+            self.schedule(seconds, EventKind::Step(engine, step));
         }
     }
 
-    fn step_over(&mut self, engine: usize, step: u64) {
+    fn finish_step(&mut self, engine: usize, step: u64) {
         if self.engines[engine].step != step || !self.engines[engine].stepping {
             return;
         }
@@ -328,9 +332,9 @@
             match event {
                 StepEvent::Token(id) => {
                     let request = id as usize;
-                    self.progress[request].tokens += 1;
+                    self.requests[request].tokens += 1;
                     self.tokens.0 += 1;
-                    let (daemon, now) = (self.progress[request].daemon, self.time());
+                    let (daemon, now) = (self.requests[request].daemon, self.time());
                     self.routing.token(daemon, request, now);
                 }
                 StepEvent::Done(id) if id & PREFILL_BIT != 0 => self.prompt_done((id ^ PREFILL_BIT) as usize),
@@ -341,52 +345,52 @@
     }
 
     fn prompt_done(&mut self, request: usize) {
-        let progress = self.progress[request];
-        let Some(engine) = progress.engine else { return };
+        let state = self.requests[request];
+        let Some(engine) = state.engine else { return };
         let seconds = TRANSFER_BASE + TRANSFER_PER_KTOKEN * f64::from(self.arrivals[request].prompt) / 1_000.0;
-        self.after(seconds, What::Import { request, engine, generation: progress.generation });
+        self.schedule(seconds, EventKind::Import { request, engine, generation: state.generation });
     }
 
     fn import(&mut self, request: usize, engine: usize, generation: u32) {
-        let progress = self.progress[request];
-        if progress.generation != generation || progress.over || progress.engine != Some(engine) {
+        let state = self.requests[request];
+        if state.generation != generation || state.is_finished || state.engine != Some(engine) {
             return;
         }
-        if self.engines[engine].gone {
-            self.progress[request].engine = None;
-            let orders = self.ended(request, AttemptEnd::Broken);
-            self.obey(orders);
+        if self.engines[engine].is_unavailable {
+            self.requests[request].engine = None;
+            let commands = self.attempt_ended(request, AttemptEnd::Broken);
+            self.execute(commands);
             return;
         }
         let job = self.job(request, false, true);
-        self.submit(engine, job);
+        self.submit_job(engine, job);
     }
 
     fn done(&mut self, request: usize) {
         let arrival = self.arrivals[request];
         let kind = self.setup.workload.user.kinds()[arrival.kind];
-        self.progress[request].over = true;
-        self.progress[request].engine = None;
+        self.requests[request].is_finished = true;
+        self.requests[request].engine = None;
         if self.now <= arrival.at + kind.deadline {
             self.outcome.goodput += kind.traits.weight;
-            self.counts[arrival.kind].1 += 1;
+            self.counts_by_kind[arrival.kind].1 += 1;
         } else {
             self.outcome.late += 1;
             self.tokens.1 += u64::from(arrival.output);
         }
-        let orders = self.ended(request, AttemptEnd::Whole);
-        self.obey(orders);
+        let commands = self.attempt_ended(request, AttemptEnd::Whole);
+        self.execute(commands);
     }
 
-    fn ended(&mut self, request: usize, end: AttemptEnd) -> Vec<Order> {
-        let (daemon, now) = (self.progress[request].daemon, self.time());
-        self.routing.ended(daemon, request, end, now)
+    fn attempt_ended(&mut self, request: usize, end: AttemptEnd) -> Vec<Command> {
+        let (daemon, now) = (self.requests[request].daemon, self.time());
+        self.routing.attempt_ended(daemon, request, end, now)
     }
 
-    fn take_back(&mut self, request: usize) {
-        let progress = &mut self.progress[request];
-        progress.generation += 1;
-        let (engine, prefill) = (progress.engine.take(), progress.prefill.take());
+    fn cancel_jobs(&mut self, request: usize) {
+        let state = &mut self.requests[request];
+        state.generation += 1;
+        let (engine, prefill) = (state.engine.take(), state.prefill.take());
         for engine in engine.into_iter().chain(prefill) {
             self.engines[engine].model.cancel(request as u64);
             self.engines[engine].model.cancel(request as u64 | PREFILL_BIT);
@@ -394,15 +398,15 @@
     }
 
     fn report(&mut self, engine: usize) {
-        self.after(REPORT, What::Report(engine));
-        if self.engines[engine].gone {
+        self.schedule(REPORT_INTERVAL, EventKind::Report(engine));
+        if self.engines[engine].is_unavailable {
             return;
         }
         let load = self.engines[engine].model.load();
         let at = self.now;
         for daemon in 0..self.setup.daemons {
-            let delay = self.setup.params.report_lag + self.rng.random::<f64>() * GOSSIP;
-            self.after(delay, What::Heard { daemon, engine, load, at });
+            let delay = self.setup.params.report_lag + self.rng.random::<f64>() * MAX_GOSSIP_DELAY;
+            self.schedule(delay, EventKind::ReportReceived { daemon, engine, load, at });
         }
     }
 
@@ -413,39 +417,39 @@
         let present: Vec<_> = self.engines.iter().map(|e| e.model.role()).collect();
         let running: Vec<_> = self.engines.iter().map(|e| e.model.load().running).collect();
         if let Some((engine, _)) = roles.decide(&present, &running, &demands, now) {
-            self.tell(engine, false, present[engine]);
+            self.set_state_at_daemons(engine, false, present[engine]);
         }
         for engine in 0..self.engines.len() {
             let load = self.engines[engine].model.load();
-            if let Some(Stage::Emptying(role)) = roles.under_way[engine]
+            if let Some(Stage::Draining(role)) = roles.in_progress[engine]
                 && load.running + load.waiting == 0
             {
-                self.engines[engine].gone = true;
+                self.engines[engine].is_unavailable = true;
                 let away = self.setup.params.change_seconds;
-                roles.under_way[engine] = Some(Stage::Away(role, self.now + away));
-                self.after(away, What::Back(engine));
+                roles.in_progress[engine] = Some(Stage::Changing(role, self.now + away));
+                self.schedule(away, EventKind::RoleChangeDone(engine));
             }
         }
         self.roles = Some(roles);
     }
 
-    fn back(&mut self, engine: usize) {
-        let stage = self.roles.as_mut().and_then(|r| r.under_way[engine].take());
-        if let Some(Stage::Away(role, _)) = stage {
-            self.engines[engine].gone = false;
+    fn finish_role_change(&mut self, engine: usize) {
+        let stage = self.roles.as_mut().and_then(|r| r.in_progress[engine].take());
+        if let Some(Stage::Changing(role, _)) = stage {
+            self.engines[engine].is_unavailable = false;
             self.engines[engine].model.change_role(role);
-            self.tell(engine, true, role);
+            self.set_state_at_daemons(engine, true, role);
         }
     }
 
-    fn tell(&mut self, engine: usize, open: bool, role: Role) {
+    fn set_state_at_daemons(&mut self, engine: usize, open: bool, role: Role) {
         for daemon in 0..self.setup.daemons {
-            let orders = self.routing.duty(daemon, engine, open, role, self.time());
-            self.obey(orders);
+            let commands = self.routing.set_endpoint_state(daemon, engine, open, role, self.time());
+            self.execute(commands);
         }
     }
 
-    fn third(&self) -> usize {
+    fn affected_engines(&self) -> usize {
         self.engines.len() / 3
     }
 
@@ -453,40 +457,40 @@
         match self.setup.fault {
             Fault::None => {}
             Fault::Withdrawn => {
-                for engine in 0..self.third() {
+                for engine in 0..self.affected_engines() {
                     let role = self.engines[engine].model.role();
-                    self.tell(engine, false, role);
+                    self.set_state_at_daemons(engine, false, role);
                 }
             }
             Fault::HallLost => {
-                for engine in 0..self.third() {
+                for engine in 0..self.affected_engines() {
                     self.crash(engine);
                 }
-                self.after(30.0, What::FaultOver);
+                self.schedule(30.0, EventKind::FaultEnd);
             }
             Fault::DaemonDeaf => {
-                self.deaf = Some(0);
-                self.after(20.0, What::FaultOver);
+                self.daemon_without_reports = Some(0);
+                self.schedule(20.0, EventKind::FaultEnd);
             }
         }
     }
 
     fn crash(&mut self, engine: usize) {
-        self.engines[engine].gone = true;
+        self.engines[engine].is_unavailable = true;
         self.engines[engine].stepping = false;
         for id in self.engines[engine].model.drop_jobs() {
             let request = (id & !PREFILL_BIT) as usize;
-            self.take_back(request);
-            let orders = self.ended(request, AttemptEnd::Broken);
-            self.obey(orders);
+            self.cancel_jobs(request);
+            let commands = self.attempt_ended(request, AttemptEnd::Broken);
+            self.execute(commands);
         }
     }
 
-    fn fault_over(&mut self) {
-        self.deaf = None;
+    fn end_fault(&mut self) {
+        self.daemon_without_reports = None;
         if self.setup.fault == Fault::HallLost {
-            for engine in 0..self.third() {
-                self.engines[engine].gone = false;
+            for engine in 0..self.affected_engines() {
+                self.engines[engine].is_unavailable = false;
             }
         }
     }
@@ -494,9 +498,14 @@
     fn finish(mut self) -> Outcome {
         let workload = self.setup.workload;
         let share = |(all, good): (usize, usize)| if all == 0 { 1.0 } else { good as f64 / all as f64 };
-        self.outcome.in_time = [share(self.counts[0]), share(self.counts[1])];
-        self.outcome.bound =
-            crate::bound::upper(&self.arrivals, workload.user, workload.engines, workload.seconds, &self.setup.params);
+        self.outcome.in_time = [share(self.counts_by_kind[0]), share(self.counts_by_kind[1])];
+        self.outcome.bound = crate::bound::max_goodput(
+            &self.arrivals,
+            workload.user,
+            workload.engines,
+            workload.seconds,
+            &self.setup.params,
+        );
         self.outcome.wasted = self.tokens.1 as f64 / self.tokens.0.max(1) as f64;
         self.outcome.changes = self.roles.as_ref().map_or(0, |r| r.changes);
         self.outcome
