--- a/proofs/examples/latency.rs
+++ b/proofs/examples/latency.rs
@@ -57,7 +57,7 @@
     // An endpoint takes its starting rates from its pool when it is added.
     let engine = cluster.resource("entry-1", "endpoints", "engine-1").await["spec"].clone();
     let (status, _) =
-        cluster.operator_call("entry-1", "DELETE", "/v1/endpoints/engine-1", None).await.expect("it answers");
+        cluster.operator_call("entry-1", "DELETE", "/v1/endpoints/engine-1", None).await.expect("the daemon responds");
     assert!(status.is_success());
     cluster.apply_until_accepted(&[json!({ "kind": "endpoint", "name": "engine-1", "spec": engine })]).await;
     let pid = cluster.daemon("entry-1").id();
--- a/proofs/src/check.rs
+++ b/proofs/src/check.rs
@@ -1,16 +1,17 @@
-//! Checks of histories. Each returns what breaks the promise; nothing means that it holds.
+//! Checks of histories. Each returns the violations that it finds; an empty list means that the
+//! guarantee holds.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use dahliaseam_core::custody::OrderKind;
 use stand_ins::history::{Entry, Event};
 
-/// What breaks a promise.
+/// Descriptions of violated guarantees.
 pub type Violations = Vec<String>;
 
-/// No engine gets conflicting orders, whether or not it checks fencing numbers: each order it takes
-/// is newer than the one before, orders of two processes never cross, and none comes while one is
-/// carried out.
+/// Checks that no engine gets conflicting orders, whether or not it checks fencing numbers: each
+/// accepted order is newer than the one before, orders of two processes are never interleaved, and
+/// no order is accepted while another is being carried out.
 #[must_use]
 pub fn orders(history: &[Entry]) -> Violations {
     let mut by_engine: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
@@ -29,16 +30,17 @@
         match &entry.event {
             Event::OrderTaken { epoch, sequence, by, kind, .. } => {
                 if (*epoch, *sequence) <= last {
-                    violations.push(format!("{who} took ({epoch}, {sequence}) after {last:?}"));
+                    violations.push(format!("{who} accepted ({epoch}, {sequence}) after {last:?}"));
                 }
                 last = last.max((*epoch, *sequence));
-                // A process that wins the shard again is another giver under its new number.
+                // A process that takes the shard again is a different sender, with a new fencing number.
                 let sender = (by.as_str(), *epoch);
                 if senders.last() != Some(&sender) && senders.contains(&sender) {
-                    violations.push(format!("{who} got orders of {by} crossed with another's"));
+                    violations.push(format!("{who} accepted orders of {by} interleaved with those of another process"));
                 }
                 if let Some(in_progress) = in_progress {
-                    violations.push(format!("{who} took ({epoch}, {sequence}) while {in_progress:?} was carried out"));
+                    violations
+                        .push(format!("{who} accepted ({epoch}, {sequence}) while {in_progress:?} was carried out"));
                 }
                 if senders.last() != Some(&sender) {
                     senders.push(sender);
@@ -54,24 +56,24 @@
     violations
 }
 
-/// The same, but an order that is never done may be followed by others once the engine has
-/// started again.
+/// Like [`orders`], but permits further orders after one that was never completed, because the
+/// engine may have crashed and restarted.
 #[must_use]
 pub fn orders_with_crashes(history: &[Entry]) -> Violations {
     orders(history).into_iter().filter(|violation| !violation.contains("was carried out")).collect()
 }
 
-/// No request was cut by an order.
+/// Checks that no request was aborted because of an order.
 #[must_use]
 pub fn cut_requests(history: &[Entry]) -> Violations {
     let cut = history.iter().filter_map(|entry| match &entry.event {
-        Event::Cut { request } => Some(format!("{} cut {request}", entry.who)),
+        Event::Cut { request } => Some(format!("{} aborted {request}", entry.who)),
         _ => None,
     });
     cut.collect()
 }
 
-/// Each whole answer is exactly the expected one.
+/// Checks that each answer reported as whole is exactly the expected one.
 #[must_use]
 pub fn wrong_answers(history: &[Entry]) -> Violations {
     let wrong = history.iter().filter_map(|entry| match &entry.event {
@@ -83,7 +85,7 @@
     wrong.collect()
 }
 
-/// What was refused as not run was run by no endpoint.
+/// Checks that no endpoint ran a request that was refused as not run.
 #[must_use]
 pub fn not_run(history: &[Entry]) -> Violations {
     let ran: HashSet<&str> = history
@@ -97,14 +99,14 @@
         Event::Got { call, request: Some(request), outcome, .. }
             if outcome == "not_run" && ran.contains(request.as_str()) =>
         {
-            Some(format!("call {call} ({request}) was told not run, and ran"))
+            Some(format!("call {call} ({request}) was reported as not run, but ran"))
         }
         _ => None,
     });
     contradicted.collect()
 }
 
-/// No key ran more than once.
+/// Checks that no idempotency key ran more than once.
 #[must_use]
 pub fn at_most_once(history: &[Entry]) -> Violations {
     let mut runs: HashMap<&str, usize> = HashMap::new();
@@ -114,25 +116,26 @@
         }
     }
     let repeated = runs.into_iter().filter(|(_, count)| *count > 1);
-    repeated.map(|(key, count)| format!("key {key} ran {count} times")).collect()
+    repeated.map(|(key, count)| format!("key {key} was run {count} times")).collect()
 }
 
-/// No endpoint of `names` began to run anything after `since`.
+/// Checks that no endpoint in `names` started to run a request after `since`, in microseconds of
+/// the monotonic clock.
 #[must_use]
 pub fn late_starts(history: &[Entry], names: &[&str], since: u64) -> Violations {
     let late = history.iter().filter_map(|entry| match &entry.event {
         Event::Ran { request, .. } if entry.at > since && names.contains(&entry.who.as_str()) => {
-            Some(format!("{} began {request} {} ms too late", entry.who, (entry.at - since) / 1_000))
+            Some(format!("{} started {request} {} ms too late", entry.who, (entry.at - since) / 1_000))
         }
         _ => None,
     });
     late.collect()
 }
 
-/// Panics with the faults, if there are any.
+/// Panics with the violations, if there are any.
 ///
 /// # Panics
-/// When there is a fault.
+/// If there is a violation.
 pub fn expect_none(what: &str, violations: &Violations) {
-    assert!(violations.is_empty(), "{what}: {} faults\n{}", violations.len(), violations.join("\n"));
+    assert!(violations.is_empty(), "{what}: {} violations\n{}", violations.len(), violations.join("\n"));
 }
--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback, each part a process of its own.
+//! A whole deployment on loopback, with a separate process for each daemon and stand-in.
 
 use std::{
     collections::BTreeMap,
@@ -35,35 +35,35 @@
 
 use crate::process::{Process, program};
 
-/// The operators' token of every test.
+/// Operator token used by all tests.
 pub const TOKEN: &str = "operators-token-of-tests";
-/// The daemons' secret of every test.
+/// Secret shared by the daemons in all tests.
 pub const SECRET: &str = "daemons-secret-of-tests";
-/// Time for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for whatever a test waits for.
+/// Maximum time that a test waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two looks.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Time a caller waits for its answer.
+/// Maximum time that a caller waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What a deployment consists of.
+/// Configuration of a deployment.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Entry VMs, each with a daemon.
+    /// Number of entry VMs, each with a daemon.
     pub daemons: usize,
-    /// Engines, by their role and fencing.
+    /// Role and fencing of each engine.
     pub engines: Vec<(Role, Fencing)>,
-    /// Plain services.
+    /// Number of plain services.
     pub plain_services: usize,
-    /// The engines' model.
+    /// Parameters of the engine model.
     pub params: ModelParams,
-    /// Milliseconds of a plain call.
+    /// Duration of a plain call, in milliseconds.
     pub work_ms: u64,
-    /// Settings that replace the usual ones.
+    /// Settings that override the defaults of the tests.
     pub settings: Value,
-    /// Whether each daemon's links to the platform and to the others can be cut.
+    /// Whether each daemon's links to the platform and to its peers can be cut.
     pub links: bool,
 }
 
@@ -87,31 +87,31 @@
     }
 }
 
-/// A daemon of a cluster.
+/// Daemon of a cluster.
 #[derive(Debug)]
 pub struct DaemonProcess {
-    /// The process, when it runs.
+    /// Process, if it is running.
     pub process: Option<Process>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: String,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator_address: String,
-    /// Where other daemons reach it.
+    /// Address for other daemons.
     pub peer_address: String,
     settings: Value,
 }
 
-/// An endpoint of a cluster.
+/// Endpoint of a cluster.
 #[derive(Debug)]
 pub struct EndpointProcess {
-    /// The process, when it runs.
+    /// Process, if it is running.
     pub process: Option<Process>,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: String,
     command: Vec<String>,
 }
 
-/// The links of one daemon, each a relay.
+/// Links of one daemon, each a relay.
 #[derive(Debug)]
 struct Links {
     kv: Relay,
@@ -120,18 +120,18 @@
     peers: BTreeMap<String, Relay>,
 }
 
-/// A running deployment.
+/// Running deployment.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The key-value service's own address.
+    /// Address of the key-value service itself, without a relay.
     pub kv_address: String,
-    /// The list's address.
+    /// Address of the platform's list of VMs.
     pub vm_list_address: String,
-    /// The daemons by VM.
+    /// Daemons by VM.
     pub daemons: BTreeMap<String, DaemonProcess>,
-    /// The endpoints by name.
+    /// Endpoints by name.
     pub endpoints: BTreeMap<String, EndpointProcess>,
-    /// The plan it was made from.
+    /// Configuration from which it was started.
     pub config: ClusterConfig,
     links: BTreeMap<String, Links>,
     client: HttpClient,
@@ -144,15 +144,15 @@
 fn create_dir() -> PathBuf {
     let n = NEXT_DIR.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("dahliaseam-{}-{n}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder for the test");
+    std::fs::create_dir_all(&dir).expect("the test's directory can be created");
     dir
 }
 
 impl Cluster {
-    /// Start everything and wait until each daemon is ready.
+    /// Starts all processes and waits until each daemon is ready.
     ///
     /// # Panics
-    /// When that does not come about.
+    /// If a daemon is not ready in time.
     pub async fn start(config: ClusterConfig) -> Self {
         let mut cluster = Self::start_platform(config);
         if cluster.config.links {
@@ -168,10 +168,10 @@
         cluster
     }
 
-    /// Start all but the daemons.
+    /// Starts all processes except the daemons.
     ///
     /// # Panics
-    /// When a stand-in does not start.
+    /// If a stand-in does not start.
     #[must_use]
     pub fn start_platform(config: ClusterConfig) -> Self {
         let dir = create_dir();
@@ -197,10 +197,10 @@
 
     fn start_endpoints(&mut self) {
         let params = self.dir.join("params.json");
-        let text = serde_json::to_string(&self.config.params).expect("plain data");
-        std::fs::write(&params, text).expect("the folder can be written");
+        let text = serde_json::to_string(&self.config.params).expect("parameters can be serialized");
+        std::fs::write(&params, text).expect("the directory is writable");
         for (n, (role, fencing)) in self.config.engines.clone().into_iter().enumerate() {
-            let role = serde_json::to_value(role).expect("plain data");
+            let role = serde_json::to_value(role).expect("a role can be serialized");
             let mut args = vec!["--role".to_owned(), role.as_str().unwrap_or_default().to_owned()];
             args.extend(["--params".to_owned(), params.display().to_string()]);
             if fencing == Fencing::Checks {
@@ -223,19 +223,19 @@
         self.endpoints.insert(name.to_owned(), EndpointProcess { process: Some(process), address, command });
     }
 
-    /// Start a killed endpoint again at its address.
+    /// Restarts a killed endpoint at its address.
     ///
     /// # Panics
-    /// When there is no such endpoint.
+    /// If there is no such endpoint.
     pub fn restart_endpoint(&mut self, name: &str) {
-        let endpoint = self.endpoints.get_mut(name).expect("the endpoint is known");
+        let endpoint = self.endpoints.get_mut(name).expect("the endpoint exists");
         let mut command = Command::new(&endpoint.command[0]);
         command.args(&endpoint.command[1..]).args(["--address", &endpoint.address]);
         let (process, _) = Process::start_stand_in(&mut command);
         endpoint.process = Some(process);
     }
 
-    /// Add an entry VM without starting its daemon.
+    /// Adds an entry VM without starting its daemon.
     pub fn add_daemon(&mut self, vm: &str, hall: &str) {
         let (caller_address, operator_address, peer_address) = (free_address(), free_address(), free_address());
         let mut settings = json!({
@@ -255,39 +255,39 @@
         self.daemons.insert(vm.to_owned(), daemon);
     }
 
-    /// Change one daemon's settings before it starts.
+    /// Changes the settings of a daemon; takes effect at its next start.
     ///
     /// # Panics
-    /// When there is no such daemon.
+    /// If there is no such daemon.
     pub fn merge_settings(&mut self, vm: &str, settings: &Value) {
-        merge(&mut self.daemons.get_mut(vm).expect("the daemon is known").settings, settings);
+        merge(&mut self.daemons.get_mut(vm).expect("the daemon exists").settings, settings);
     }
 
-    /// Start a daemon, or start it again.
+    /// Starts or restarts a daemon.
     ///
     /// # Panics
-    /// When there is no such daemon.
+    /// If there is no such daemon.
     pub fn start_daemon(&mut self, vm: &str) {
         let path = self.dir.join(format!("{vm}.json"));
         let log = self.dir.join(format!("{vm}.log"));
-        let daemon = self.daemons.get_mut(vm).expect("the daemon is known");
-        std::fs::write(&path, daemon.settings.to_string()).expect("the folder can be written");
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(log).expect("the log opens");
+        let daemon = self.daemons.get_mut(vm).expect("the daemon exists");
+        std::fs::write(&path, daemon.settings.to_string()).expect("the directory is writable");
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(log).expect("the log file can be opened");
         let mut command = Command::new(program("dahliaseamd"));
         command.arg("--settings").arg(&path).stderr(log);
         daemon.process = Some(Process::start(&mut command));
     }
 
-    /// The process of a daemon.
+    /// Returns the process of a daemon.
     ///
     /// # Panics
-    /// When it does not run.
+    /// If it is not running.
     pub fn daemon(&mut self, vm: &str) -> &mut Process {
-        let daemon = self.daemons.get_mut(vm).expect("the daemon is known");
-        daemon.process.as_mut().expect("the daemon runs")
+        let daemon = self.daemons.get_mut(vm).expect("the daemon exists");
+        daemon.process.as_mut().expect("the daemon is running")
     }
 
-    /// Kill a daemon.
+    /// Kills a daemon.
     pub fn kill_daemon(&mut self, vm: &str) {
         self.daemon(vm).kill();
         if let Some(daemon) = self.daemons.get_mut(vm) {
@@ -295,37 +295,37 @@
         }
     }
 
-    /// Where the callers of each daemon connect.
+    /// Returns the address of each daemon for callers.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<String> {
         self.daemons.values().map(|d| d.caller_address.clone()).collect()
     }
 
-    /// A caller that notes its history.
+    /// Returns a caller that records its history under `name`.
     ///
     /// # Panics
-    /// When the history cannot be written.
+    /// If the history file cannot be opened.
     #[must_use]
     pub fn new_caller(&self, name: &str) -> Caller {
-        let history = History::to_file(name, &self.history_path(name)).expect("the folder can be written");
+        let history = History::to_file(name, &self.history_path(name)).expect("the directory is writable");
         Caller::new(history, ANSWER_TIMEOUT)
     }
 
-    /// The whole history so far.
+    /// Returns the events of all processes so far, ordered by time.
     ///
     /// # Panics
-    /// When it cannot be read.
+    /// If a history file cannot be read.
     #[must_use]
     pub fn history(&self) -> Vec<Entry> {
-        let files = std::fs::read_dir(&self.dir).expect("the folder can be read");
+        let files = std::fs::read_dir(&self.dir).expect("the directory is readable");
         let paths = files.filter_map(|f| Some(f.ok()?.path()));
         let histories = paths.filter(|p| p.extension().is_some_and(|e| e == "history"));
-        let mut all: Vec<_> = histories.flat_map(|p| read(&p).expect("the file can be read")).collect();
+        let mut all: Vec<_> = histories.flat_map(|p| read(&p).expect("the history file is readable")).collect();
         all.sort_by_key(|entry| entry.at);
         all
     }
 
-    /// What a daemon has logged.
+    /// Returns the log of a daemon.
     #[must_use]
     pub fn log(&self, vm: &str) -> String {
         std::fs::read_to_string(self.dir.join(format!("{vm}.log"))).unwrap_or_default()
@@ -335,17 +335,17 @@
         self.dir.join(format!("{name}.history"))
     }
 
-    /// The folder of this cluster's files.
+    /// Directory of this cluster's files.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Give each daemon relays of its own to the platform and to every other daemon.
+    /// Starts separate relays for each daemon to the platform and to every other daemon.
     async fn start_relays(&mut self) {
         let vms: Vec<_> = self.daemons.keys().cloned().collect();
         for vm in &vms {
-            let list_server = VmList::start("127.0.0.1:0").await.expect("a free port");
+            let list_server = VmList::start("127.0.0.1:0").await.expect("a free port is available");
             let list = start_relay(&list_server.server().address().to_string()).await;
             let kv = start_relay(&self.kv_address).await;
             let mut peers = BTreeMap::new();
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Cut a daemon off from the platform and the others, or join it again.
+    /// Sets all links of a daemon, to the platform and to and from its peers.
     pub fn set_daemon_links(&self, vm: &str, link: Link) {
         for (from, links) in &self.links {
             if from == vm {
@@ -375,12 +375,12 @@
         }
     }
 
-    /// Set only a daemon's link to the platform's list.
+    /// Sets only a daemon's link to the platform's list of VMs.
     pub fn set_vm_list_link(&self, vm: &str, link: Link) {
         self.links[vm].list.set(link);
     }
 
-    /// Set the platform's list: all VMs, those in `leaving` as leaving.
+    /// Sets the platform's list to all VMs, with those in `leaving` marked as leaving.
     pub async fn set_vms(&self, leaving: &[&str]) {
         let list = self.vm_list(leaving, |vm| self.daemons[vm].peer_address.clone());
         self.put_json(&format!("http://{}/vms", self.vm_list_address), &list).await;
@@ -410,39 +410,39 @@
         let req = Request::put(url)
             .header("content-type", "application/json")
             .body(Full::from(Bytes::from(value.to_string())))
-            .expect("the parts are valid");
-        self.client.fetch(req, CALL_TIMEOUT).await.expect("the stand-in answers");
+            .expect("the request is valid");
+        self.client.fetch(req, CALL_TIMEOUT).await.expect("the stand-in responds");
     }
 
-    /// Bring a fault about at a stand-in.
+    /// Injects a fault at a stand-in.
     ///
     /// # Panics
-    /// When the stand-in does not answer.
+    /// If the stand-in does not accept it.
     pub async fn inject_fault(&self, address: &str, fault: &Value) {
         let body = Bytes::from(fault.to_string());
         let req = Request::post(format!("http://{address}/fault"))
             .header("content-type", "application/json")
             .body(Full::from(body))
-            .expect("the parts are valid");
-        let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await.expect("the stand-in answers");
-        assert!(status.is_success(), "the fault is taken: {body:?}");
+            .expect("the request is valid");
+        let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await.expect("the stand-in responds");
+        assert!(status.is_success(), "fault not accepted: {body:?}");
     }
 
-    /// Bring a fault about at an endpoint.
+    /// Injects a fault at an endpoint.
     pub async fn inject_endpoint_fault(&self, name: &str, fault: &Value) {
         self.inject_fault(&self.endpoints[name].address, fault).await;
     }
 
-    /// The resources of this deployment: Fjordkjede's, with these endpoints and a protected kind
-    /// that engines serve.
+    /// Returns the resources of this deployment: those of Fjordkjede, with these endpoints and with a
+    /// protected kind that engines serve.
     ///
     /// # Panics
-    /// When the committed file is broken.
+    /// If the committed file is invalid.
     #[must_use]
     pub fn resources(&self) -> Vec<Value> {
         let file = include_str!("../../deploy/fjordkjede/resources.json");
-        let file: Value = serde_json::from_str(file).expect("the committed file is JSON");
-        let mut resources = file["resources"].as_array().expect("it has resources").clone();
+        let file: Value = serde_json::from_str(file).expect("the committed file is valid JSON");
+        let mut resources = file["resources"].as_array().expect("the file has resources").clone();
         let engine_index = |name: &str| name.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(1) - 1;
         for (name, endpoint) in &self.endpoints {
             let mut spec = json!({ "address": endpoint.address, "vm": format!("vm-{name}"), "hall": "hall-0" });
@@ -460,20 +460,20 @@
         resources.push(json!({ "kind": "kind", "name": "counter-answer", "spec": protected }));
         for resource in &mut resources {
             if resource["kind"] == "role" {
-                // Tests change roles themselves.
+                // Tests change roles themselves, so the planner must not.
                 resource["spec"]["planner"]["mode"] = json!("never");
             }
         }
         resources
     }
 
-    /// Send an operator's request.
+    /// Sends an operator's request.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// If there is no response.
     ///
     /// # Panics
-    /// When the path is no path.
+    /// If the path is invalid.
     pub async fn operator_call(
         &self,
         vm: &str,
@@ -486,74 +486,78 @@
             .uri(format!("http://{}{path}", self.daemons[vm].operator_address))
             .header(AUTHORIZATION, format!("Bearer {TOKEN}"))
             .body(Full::from(Bytes::from(body.map(Value::to_string).unwrap_or_default())))
-            .expect("the parts are valid");
+            .expect("the request is valid");
         let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await?;
         Ok((status, serde_json::from_slice(&body).unwrap_or_default()))
     }
 
-    /// Apply resources through the first daemon, as soon as it accepts.
+    /// Applies resources through the first daemon, retrying until it accepts them. Returns the
+    /// generation.
     ///
     /// # Panics
-    /// When it does not accept them in time, or refuses them as wrong.
+    /// If they are not accepted in time, or are rejected as invalid.
     pub async fn apply_until_accepted(&self, resources: &[Value]) -> u64 {
-        let vm = self.daemons.keys().next().expect("there is a daemon").clone();
+        let vm = self.daemons.keys().next().expect("the cluster has a daemon").clone();
         let body = json!({ "resources": resources });
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let answer = self.operator_call(&vm, "POST", "/v1/apply", Some(&body)).await;
             if let Ok((status, value)) = &answer {
                 if status.is_success() {
-                    let accepted: Accepted = serde_json::from_value(value.clone()).expect("an accepted change");
+                    let accepted: Accepted =
+                        serde_json::from_value(value.clone()).expect("the response is an accepted change");
                     return accepted.generation;
                 }
-                assert!(status.is_server_error(), "the resources are refused: {value}");
+                assert!(status.is_server_error(), "resources rejected: {value}");
             }
-            assert!(Instant::now() < deadline, "not accepted in time: {answer:?}\n{}", self.log(&vm));
+            assert!(Instant::now() < deadline, "resources not accepted in time: {answer:?}\n{}", self.log(&vm));
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Change one resource's specification through `vm`.
+    /// Merges `change` into the specification of a resource through `vm`. Returns the generation.
     ///
     /// # Panics
-    /// When it is not accepted.
+    /// If it is not accepted.
     pub async fn edit(&self, vm: &str, kind: &str, name: &str, change: &Value) -> u64 {
         let (_, resource) =
-            self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await.expect("it answers");
+            self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await.expect("the daemon responds");
         let mut spec = resource["spec"].clone();
         merge(&mut spec, change);
         let body = json!({ "resource_version": resource["resource_version"], "spec": spec });
-        let (status, value) =
-            self.operator_call(vm, "PUT", &format!("/v1/{kind}/{name}"), Some(&body)).await.expect("it answers");
-        assert!(status.is_success(), "the change is refused: {value}");
-        value["generation"].as_u64().expect("a generation")
+        let (status, value) = self
+            .operator_call(vm, "PUT", &format!("/v1/{kind}/{name}"), Some(&body))
+            .await
+            .expect("the daemon responds");
+        assert!(status.is_success(), "change rejected: {value}");
+        value["generation"].as_u64().expect("the response has a generation")
     }
 
-    /// A resource as `vm` sees it.
+    /// Returns a resource as `vm` shows it.
     pub async fn resource(&self, vm: &str, kind: &str, name: &str) -> Value {
         let answer = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
         answer.map(|(_, value)| value).unwrap_or_default()
     }
 
-    /// All resources of a kind as `vm` sees them.
+    /// Returns all resources of a kind as `vm` shows them.
     pub async fn list(&self, vm: &str, kind: &str) -> Option<ResourceList> {
         let (_, value) = self.operator_call(vm, "GET", &format!("/v1/{kind}"), None).await.ok()?;
         serde_json::from_value(value).ok()
     }
 
-    /// The deployment's status as `vm` gathers it.
+    /// Returns the status of the deployment as `vm` shows it.
     pub async fn status(&self, vm: &str) -> Option<StatusReport> {
         let (_, value) = self.operator_call(vm, "GET", "/v1/status", None).await.ok()?;
         serde_json::from_value(value).ok()
     }
 
-    /// Whether a daemon is ready.
+    /// Returns whether a daemon is ready.
     pub async fn is_ready(&self, vm: &str) -> bool {
         let answer = self.operator_call(vm, "GET", "/readyz", None).await;
         answer.is_ok_and(|(status, _)| status.is_success())
     }
 
-    /// Wait until all running daemons are ready, know each other and hold the same configuration.
+    /// Waits until all running daemons are ready, know each other and have the same configuration.
     pub async fn wait_until_ready(&self) {
         let running: Vec<_> =
             self.daemons.iter().filter(|(_, d)| d.process.is_some()).map(|(vm, _)| vm.clone()).collect();
@@ -570,72 +574,73 @@
         }
     }
 
-    /// The VM whose daemon holds the engines' shard, as `vm` sees it.
+    /// Returns the VM whose daemon holds the shard of the engines, as `vm` shows it.
     pub async fn shard_holder(&self, vm: &str) -> Option<String> {
         let report = self.status(vm).await?;
         report.vms.into_iter().find(|vm| !vm.shards.is_empty()).map(|vm| vm.vm)
     }
 
-    /// Wait until a daemon holds the engines' shard, as `vm` sees it.
+    /// Waits until a daemon holds the shard of the engines, as `vm` shows it.
     ///
     /// # Panics
-    /// When none does in time.
+    /// If none does in time.
     pub async fn wait_for_holder(&self, vm: &str) -> String {
-        self.wait_until("a holder", async || self.shard_holder(vm).await.is_some()).await;
-        self.shard_holder(vm).await.expect("there was one just now")
+        self.wait_until("a daemon holds the shard", async || self.shard_holder(vm).await.is_some()).await;
+        self.shard_holder(vm).await.expect("the shard still has a holder")
     }
 
-    /// Wait until an engine says that it plays a role.
+    /// Waits until an engine reports that it has a role and accepts work.
     ///
     /// # Panics
-    /// When it does not in time.
+    /// If it does not in time.
     pub async fn wait_for_role(&self, engine: &str, role: Role) {
-        let what = format!("{engine} plays {role:?}");
+        let what = format!("{engine} has role {role:?}");
         self.wait_until(&what, async || {
             self.engine_status(engine).await.is_some_and(|s| s.role == role && !s.cordoned)
         })
         .await;
     }
 
-    /// What an engine says of itself.
+    /// Returns the status that an engine reports.
     pub async fn engine_status(&self, engine: &str) -> Option<EngineStatus> {
         let url = format!("http://{}{STATUS_PATH}", self.endpoints[engine].address);
         self.client.get::<EngineReport>(&url, CALL_TIMEOUT).await.ok().map(|report| report.status)
     }
 
-    /// Have the engines' roles fixed through `vm`.
+    /// Fixes the roles of engines through `vm`.
     pub async fn fix_roles(&self, vm: &str, roles: &[(&str, Role)]) {
         let fixed: BTreeMap<_, _> = roles.iter().copied().collect();
         self.edit(vm, "roles", "catalogue", &json!({ "fixed": fixed })).await;
     }
 
-    /// Kill an endpoint.
+    /// Kills an endpoint.
     ///
     /// # Panics
-    /// When there is no such endpoint.
+    /// If there is no such endpoint.
     pub fn kill_endpoint(&mut self, name: &str) {
-        self.endpoints.get_mut(name).expect("the endpoint is known").process = None;
+        self.endpoints.get_mut(name).expect("the endpoint exists").process = None;
     }
 
-    /// A daemon's metrics as text.
+    /// Returns the metrics of a daemon as text.
     ///
     /// # Panics
-    /// When it does not answer.
+    /// If it does not respond.
     pub async fn metrics(&self, vm: &str) -> String {
         let req = Request::get(format!("http://{}/metrics", self.daemons[vm].operator_address)).body(Full::default());
-        let (_, body) = self.client.fetch(req.expect("the parts are valid"), CALL_TIMEOUT).await.expect("it answers");
+        let (_, body) =
+            self.client.fetch(req.expect("the parts are valid"), CALL_TIMEOUT).await.expect("the daemon responds");
         String::from_utf8_lossy(&body).into_owned()
     }
 
-    /// Calls that the key-value service has had.
+    /// Returns the number of calls to the key-value service so far, by path.
     pub async fn kv_calls(&self) -> BTreeMap<String, u64> {
         self.client.get(&format!("http://{}/calls", self.kv_address), CALL_TIMEOUT).await.unwrap_or_default()
     }
 
-    /// Wait until `holds`.
+    /// Waits until `holds` returns true.
     ///
     /// # Panics
-    /// When it does not hold in time; the daemons' logs are shown.
+    /// If it does not in time; prints the logs of the daemons.
     pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while !holds().await {
@@ -643,7 +648,7 @@
                 for vm in self.daemons.keys() {
                     eprintln!("--- {vm}\n{}", self.log(vm));
                 }
-                panic!("not in time: {what}");
+                panic!("timed out waiting until {what}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -661,10 +666,10 @@
 }
 
 async fn start_relay(target: &str) -> Relay {
-    Relay::start(target.parse().expect("an address")).await.expect("a free port")
+    Relay::start(target.parse().expect("the address is valid")).await.expect("a free port is available")
 }
 
-/// Put the members of `change` into `value`, deep.
+/// Merges the members of `change` into `value`, recursively.
 pub fn merge(value: &mut Value, change: &Value) {
     match (value, change) {
         (Value::Object(value), Value::Object(change)) => {
--- a/proofs/src/load.rs
+++ b/proofs/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests of every kind until they are told to stop.
+//! Callers that send requests of all kinds until they are stopped.
 
 use std::{
     sync::{
@@ -12,21 +12,21 @@
 use stand_ins::caller::{Answer, Call, Caller, NO_CONNECTION};
 use tokio::task::JoinSet;
 
-/// Requests of one caller at most, so that a test's load always ends.
+/// Maximum number of requests of one caller, so that the load always ends.
 const MAX_CALLS_PER_CALLER: u64 = 5_000;
 
-/// What callers send.
+/// Requests that callers send.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
-    /// Milliseconds between a caller's requests.
+    /// Pause between two requests of a caller, in milliseconds.
     pub pause_ms: u64,
-    /// Bytes of a catalogue query's prompt.
+    /// Size of a catalogue query's prompt, in bytes.
     pub prompt_bytes: usize,
-    /// Tokens of a chat reply.
+    /// Number of tokens of a chat reply.
     pub chat_tokens: u32,
-    /// Whether callers send to one daemon first and another after a refusal.
+    /// Whether callers try the other daemons after a refusal.
     pub try_other_daemons: bool,
-    /// The one kind to send, in place of all.
+    /// Single kind to send, instead of all kinds.
     pub only_kind: Option<&'static str>,
 }
 
@@ -44,10 +44,10 @@
     tasks: JoinSet<Vec<(Call, Answer)>>,
 }
 
-/// The kinds that a load consists of.
+/// Kinds that are sent by default.
 pub const KINDS: [&str; 5] = ["stock-ping", "order-confirm", "counter-answer", "chat-reply", "catalogue-query"];
 
-/// A request of the given kind, told apart by `n`.
+/// Returns a request of the given kind, made unique by `n`.
 #[must_use]
 pub fn call(kind: &str, n: u64, mix: &Mix) -> Call {
     let base = Call { kind: kind.to_owned(), team: "dealers".to_owned(), ..Call::default() };
@@ -82,7 +82,7 @@
 }
 
 impl Load {
-    /// Start `callers` callers at the daemons in `addresses`.
+    /// Starts `callers` callers that send to the daemons at `addresses`.
     #[must_use]
     pub fn start(caller: &Caller, addresses: &[String], callers: usize, seed: u64, mix: Mix) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
@@ -103,13 +103,13 @@
         Self { stop, sent, tasks }
     }
 
-    /// Requests sent so far.
+    /// Returns the number of requests sent so far.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Wait until `count` more requests were sent, or the time is over.
+    /// Waits until `count` more requests have been sent, for at most [`WAIT_TIMEOUT`](crate::cluster::WAIT_TIMEOUT).
     pub async fn wait_for_requests(&self, count: u64) {
         let deadline = std::time::Instant::now() + crate::cluster::WAIT_TIMEOUT;
         let target = self.sent() + count;
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Let each caller finish its request, and return what they got.
+    /// Stops the callers after their current requests, and returns all answers.
     ///
     /// # Panics
-    /// When a caller panicked.
+    /// If a caller panicked.
     pub async fn finish(mut self) -> Vec<(Call, Answer)> {
         self.stop.store(true, Ordering::Relaxed);
         let mut all = Vec::new();
@@ -132,7 +132,7 @@
     }
 }
 
-/// Requests of protected kinds that did not get their whole answer.
+/// Returns the requests of protected kinds that did not get a whole and exact answer.
 #[must_use]
 pub fn failed_protected(answers: &[(Call, Answer)]) -> Vec<String> {
     let protected = |call: &Call| matches!(call.kind.as_str(), "stock-ping" | "order-confirm" | "counter-answer");
@@ -166,8 +166,8 @@
         all
     }
 
-    /// Send as the platform's balancer does: another daemon when one accepts no connection or
-    /// says that nothing ran.
+    /// Sends a request as the platform's balancer does: tries another daemon if one accepts no
+    /// connection or is not ready.
     async fn send(&mut self, call: &Call) -> Answer {
         let start = self.rng.random_range(0..self.addresses.len());
         let attempts = if self.mix.try_other_daemons { self.addresses.len() } else { 1 };
--- a/proofs/src/process.rs
+++ b/proofs/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a test, stopped by its id when the test is over.
+//! A process of a test, killed by its id when the test ends.
 
 use std::{
     io::{BufRead, BufReader},
@@ -9,31 +9,31 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Time between two looks whether a process is over.
+/// Interval between checks whether a process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running process.
+/// Running process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
-/// The folder of the build that this test belongs to.
+/// Returns the build directory that this test belongs to.
 ///
 /// # Panics
-/// When the test is not run by cargo.
+/// If the test is not run by cargo.
 #[must_use]
 pub fn build_dir() -> PathBuf {
-    let exe = std::env::current_exe().expect("the test has a path");
-    let deps = exe.parent().expect("it is in a folder");
+    let exe = std::env::current_exe().expect("the test's path is known");
+    let deps = exe.parent().expect("the test is in a directory");
     let is_nested = deps.ends_with("deps") || deps.ends_with("examples");
-    if is_nested { deps.parent().expect("that has a parent").to_owned() } else { deps.to_owned() }
+    if is_nested { deps.parent().expect("the directory has a parent").to_owned() } else { deps.to_owned() }
 }
 
-/// A program of this workspace, or one of its examples as `examples/NAME`.
+/// Returns the path of a program of this workspace, or of an example as `examples/NAME`.
 ///
 /// # Panics
-/// When it was not built: run `cargo test --workspace`, which builds all of them.
+/// If it was not built: run `cargo test --workspace`, which builds all of them.
 #[must_use]
 pub fn program(name: &str) -> PathBuf {
     let path = build_dir().join(name);
@@ -41,12 +41,12 @@
     path
 }
 
-/// Clock ticks a second in `/proc/PID/stat`.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Bytes of a page of memory.
+/// Size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// Processor seconds and resident bytes of a process, on Linux.
+/// Returns the processor time of a process in seconds and its resident memory in bytes. Linux only.
 #[must_use]
 pub fn usage(pid: u32) -> (f64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
@@ -57,78 +57,78 @@
 }
 
 impl Process {
-    /// Start a program.
+    /// Starts a program.
     ///
     /// # Panics
-    /// When it cannot be started.
+    /// If it cannot be started.
     pub fn start(command: &mut Command) -> Self {
         Self { child: command.stdin(Stdio::null()).spawn().expect("the program starts") }
     }
 
-    /// Start a stand-in and read the address it prints.
+    /// Starts a stand-in and reads the address that it prints.
     ///
     /// # Panics
-    /// When it does not print one.
+    /// If it does not print one.
     pub fn start_stand_in(command: &mut Command) -> (Self, String) {
         let mut process = Self::start(command.stdout(Stdio::piped()));
-        let out = process.child.stdout.take().expect("it is piped");
+        let out = process.child.stdout.take().expect("standard output is piped");
         let mut line = String::new();
-        BufReader::new(out).read_line(&mut line).expect("it prints a line");
-        let address = line.trim().strip_prefix("listening ").expect("it prints its address").to_owned();
+        BufReader::new(out).read_line(&mut line).expect("the stand-in prints a line");
+        let address = line.trim().strip_prefix("listening ").expect("the line has the address").to_owned();
         (process, address)
     }
 
-    /// Its id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How it ended, if it did.
+    /// Returns the exit status, if the process has exited.
     ///
     /// # Panics
-    /// When the system does not tell.
+    /// If the system cannot tell.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
-        self.child.try_wait().expect("it can be waited for")
+        self.child.try_wait().expect("the process can be waited for")
     }
 
-    /// Tell it that its settings file has changed.
+    /// Signals the process to reload its settings file.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Ask for a planned stop.
+    /// Requests a planned stop.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kill it.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Freeze it.
+    /// Suspends the process.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Let a frozen one go on.
+    /// Resumes a suspended process.
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Wait for its end.
+    /// Waits until the process exits.
     ///
     /// # Panics
-    /// When it is not over within `timeout`.
+    /// If it does not exit within `timeout`.
     pub async fn wait(&mut self, timeout: Duration) -> ExitStatus {
         let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.exit_status() {
                 return status;
             }
-            assert!(Instant::now() < deadline, "process {} is not over in time", self.id());
+            assert!(Instant::now() < deadline, "process {} did not exit in time", self.id());
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
--- a/proofs/tests/answers.rs
+++ b/proofs/tests/answers.rs
@@ -1,4 +1,4 @@
-//! The whole answer to its own request, whatever happens to frames and engines.
+//! Each answer is whole and belongs to its own request, whatever happens to frames and engines.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
         cluster.inject_endpoint_fault(engine, fault).await;
     }
     let caller = cluster.new_caller("caller");
-    let vm = cluster.daemons.keys().next().expect("there is one").clone();
+    let vm = cluster.daemons.keys().next().expect("the cluster has a daemon").clone();
     for n in 0..4 {
         for stream in [true, false] {
             let call = Call { stream, ..call("chat-reply", n, &Mix::default()) };
--- a/proofs/tests/checkers.rs
+++ b/proofs/tests/checkers.rs
@@ -1,4 +1,5 @@
-//! Each checker rejects a history that breaks its promise, and passes one that keeps it.
+//! Each checker finds the violation in a history that breaks its guarantee, and none in one that
+//! keeps it.
 
 use dahliaseam_core::{custody::OrderKind, endpoint::Role};
 use proofs::check::{at_most_once, cut_requests, late_starts, not_run, orders, orders_with_crashes, wrong_answers};
@@ -34,12 +35,12 @@
         ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
         ("e", taken(1, 3, "a", OrderKind::Uncordon, false)),
     ]);
-    assert_eq!(orders(&crossed).len(), 2, "it is older, and it crosses");
+    assert_eq!(orders(&crossed).len(), 2, "the order is older, and it is interleaved");
     let late = entries(vec![
         ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
         ("e", taken(1, 1, "a", OrderKind::Uncordon, false)),
     ]);
-    assert_eq!(orders(&late).len(), 1, "the first order of a former holder comes late");
+    assert_eq!(orders(&late).len(), 1, "the first order of a former holder arrives late");
     let handed_over = entries(vec![
         ("e", taken(1, 1, "a", OrderKind::Cordon, false)),
         ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -1,5 +1,5 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts; and who is
-//! let in.
+//! An accepted configuration is in force at all daemons within seconds and never reverts.
+//! Unauthenticated and malformed calls are refused.
 
 use std::{
     collections::BTreeMap,
@@ -33,18 +33,18 @@
     .await
 }
 
-/// A register that is changed by compare-and-swap on its version.
+/// Register that is changed by compare-and-swap on its version.
 #[derive(Clone, Debug)]
 struct Register;
 
-/// One change or attempt at one.
+/// Attempted change.
 #[derive(Clone, Debug)]
 enum Op {
-    /// A change from one version, accepted as another.
+    /// Change that was based on one version and accepted as another.
     Accepted { based_on: u64, version: u64 },
-    /// A change from one version, refused because another was present.
+    /// Change that was rejected because another version was present.
     Conflict { based_on: u64, present: u64 },
-    /// A change whose outcome is not known.
+    /// Change with an unknown outcome.
     Unknown,
 }
 
@@ -61,8 +61,8 @@
         match op {
             Op::Accepted { based_on, version } => (state == based_on && version > state, *version),
             Op::Conflict { based_on, present } => (state == present && based_on != present, *state),
-            // It may have taken effect as any later version, or not; versions it made are seen
-            // by later operations, so only the chains without it are followed here.
+            // It may have taken effect as any later version, or not at all. Operations that saw its
+            // version come later, so only the histories in which it had no effect are checked here.
             Op::Unknown => (true, *state),
         }
     }
@@ -88,7 +88,7 @@
     assert!(!check_operations(&reverted));
 }
 
-/// Generations that each daemon showed, and when; a daemon that starts again is another one.
+/// Generations that each daemon showed, with the time. A restarted daemon is a separate entry.
 type Observed = BTreeMap<(String, u64), Vec<(u64, u64)>>;
 
 async fn watch_generations(cluster: &Cluster, stop: &AtomicBool) -> Observed {
@@ -109,12 +109,13 @@
 fn regressions(observed: &Observed) -> Vec<String> {
     let drops = observed.iter().flat_map(|(who, views)| {
         let drops = views.windows(2).filter(|pair| pair[1].1 < pair[0].1);
-        drops.map(move |pair| format!("{who:?} fell from {} to {}", pair[0].1, pair[1].1))
+        drops.map(move |pair| format!("{who:?} went back from {} to {}", pair[0].1, pair[1].1))
     });
     drops.collect()
 }
 
-/// Ready daemons that show an older generation more than `within` after one was accepted.
+/// Returns ready daemons that show an older generation more than `within` after a newer one was
+/// accepted.
 fn stale_views(observed: &Observed, accepted: &[(u64, u64)], within: Duration) -> Vec<String> {
     let mut faults = Vec::new();
     for (who, views) in observed {
@@ -122,7 +123,7 @@
             let in_force = accepted.iter().filter(|(when, _)| when + within.as_micros() as u64 <= *at);
             let expected = in_force.map(|(_, version)| *version).max().unwrap_or(0);
             if *generation < expected {
-                faults.push(format!("{who:?} still shows {generation}, {expected} was accepted"));
+                faults.push(format!("{who:?} still shows {generation} after {expected} was accepted"));
             }
         }
     }
@@ -137,7 +138,8 @@
     assert!(stale_views(&observed, &[(5, 5)], Duration::from_micros(40)).is_empty());
 }
 
-/// Change one team's rate again and again, from the version last read, through one daemon.
+/// Changes the rate of one team repeatedly through one daemon, each time based on the version it
+/// last read.
 async fn update_repeatedly(
     cluster: &Cluster,
     vm: &str,
@@ -155,14 +157,14 @@
         let return_time = monotonic_micros().cast_signed();
         let op = match answer {
             Ok((status, value)) if status.is_success() => {
-                let version = value["generation"].as_u64().expect("a generation");
+                let version = value["generation"].as_u64().expect("the response has a generation");
                 accepted.push((return_time.cast_unsigned(), version));
                 let op = Op::Accepted { based_on, version };
                 based_on = version;
                 Some(op)
             }
             Ok((status, value)) if status == 409 => {
-                let present = value["present_version"].as_u64().expect("the present version");
+                let present = value["present_version"].as_u64().expect("the response has the present version");
                 let op = Op::Conflict { based_on, present };
                 based_on = present;
                 Some(op)
@@ -217,19 +219,21 @@
         let mut accepted = Vec::new();
         for rate in 1..40 {
             let body = json!({ "spec": { "rate": rate } });
-            let (status, value) =
-                cluster.operator_call("entry-1", "PUT", "/v1/teams/cut", Some(&body)).await.expect("it answers");
+            let (status, value) = cluster
+                .operator_call("entry-1", "PUT", "/v1/teams/cut", Some(&body))
+                .await
+                .expect("the daemon responds");
             assert!(status.is_success(), "{value}");
-            accepted.push((monotonic_micros(), value["generation"].as_u64().expect("a generation")));
+            accepted.push((monotonic_micros(), value["generation"].as_u64().expect("the response has a generation")));
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         assert!(!cluster.is_ready("entry-3").await);
         let body = json!({ "spec": { "rate": 1 } });
         let (status, _) =
-            cluster.operator_call("entry-3", "PUT", "/v1/teams/cut", Some(&body)).await.expect("it answers");
+            cluster.operator_call("entry-3", "PUT", "/v1/teams/cut", Some(&body)).await.expect("the daemon responds");
         assert_eq!(status, 503, "a daemon without a majority accepts no change");
         cluster.set_daemon_links("entry-3", Link::Pass);
-        cluster.wait_until("it is ready again", async || cluster.is_ready("entry-3").await).await;
+        cluster.wait_until("the daemon is ready again", async || cluster.is_ready("entry-3").await).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         stop.store(true, Ordering::Relaxed);
         accepted
@@ -245,7 +249,7 @@
     let generation =
         cluster.apply_until_accepted(&[json!({ "kind": "team", "name": "new", "spec": { "rate": 5 } })]).await;
     cluster
-        .wait_until("all have it", async || {
+        .wait_until("all daemons have the new generation", async || {
             let report = cluster.status("entry-1").await;
             report.is_some_and(|r| r.vms.iter().all(|vm| vm.generation == generation))
         })
@@ -253,8 +257,10 @@
     cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     cluster.kill_daemon("entry-2");
     cluster.start_daemon("entry-2");
-    cluster.wait_until("it is ready without the service", async || cluster.is_ready("entry-2").await).await;
-    let report = cluster.status("entry-2").await.expect("it answers");
+    cluster
+        .wait_until("the daemon is ready without the key-value service", async || cluster.is_ready("entry-2").await)
+        .await;
+    let report = cluster.status("entry-2").await.expect("the daemon responds");
     assert!(report.vms.iter().all(|vm| vm.generation == generation), "{report:?}");
     let got = cluster
         .new_caller("caller")
@@ -264,9 +270,10 @@
         )
         .await;
     assert_eq!(got.outcome, "whole", "{got:?}");
-    // Nothing new can be accepted, and that is said.
+    // No new change can be accepted, and the response says so.
     let body = json!({ "spec": { "rate": 1 } });
-    let (status, _) = cluster.operator_call("entry-1", "PUT", "/v1/teams/new", Some(&body)).await.expect("it answers");
+    let (status, _) =
+        cluster.operator_call("entry-1", "PUT", "/v1/teams/new", Some(&body)).await.expect("the daemon responds");
     assert!(status == 503 || status == 504, "{status}");
 }
 
@@ -278,7 +285,7 @@
     let injecting = async {
         for rate in 1..4 {
             cluster.apply_until_accepted(&[json!({ "kind": "team", "name": "stale", "spec": { "rate": rate } })]).await;
-            // Watches break, and the read that follows shows the copy before the last change.
+            // Watches break, and the read that follows returns the values before the last change.
             cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
             tokio::time::sleep(Duration::from_millis(800)).await;
             cluster.inject_fault(&cluster.kv_address, &json!({ "stale_reads": true })).await;
@@ -306,24 +313,25 @@
         ("/v1/teams/t", json!({ "spec": { "rate": 1 }, "colour": "red" }), "colour"),
         ("/v1/teams/t", json!({ "spec": { "rate": "fast" } }), "spec.rate"),
     ];
-    let before = cluster.status("entry-1").await.expect("it answers").vms[0].generation;
+    let before = cluster.status("entry-1").await.expect("the daemon responds").vms[0].generation;
     for (path, body, field) in cases {
-        let (status, value) = cluster.operator_call("entry-1", "PUT", path, Some(&body)).await.expect("it answers");
+        let (status, value) =
+            cluster.operator_call("entry-1", "PUT", path, Some(&body)).await.expect("the daemon responds");
         assert_eq!(status, 422, "{value}");
-        let problems = value["problems"].as_array().expect("problems").clone();
+        let problems = value["the response lists problems"].as_array().expect("problems").clone();
         assert!(problems.iter().any(|p| p.to_string().contains(field)), "{field}: {value}");
     }
-    let after = cluster.status("entry-1").await.expect("it answers").vms[0].generation;
+    let after = cluster.status("entry-1").await.expect("the daemon responds").vms[0].generation;
     assert_eq!(before, after);
 }
 
 fn peer_client(cluster: &Cluster, vm: &str, secret: &str) -> RpcClient {
     let mut headers = http::HeaderMap::new();
-    headers.insert("authorization", format!("Bearer {secret}").parse().expect("plain text"));
+    headers.insert("authorization", format!("Bearer {secret}").parse().expect("the header is valid"));
     HttpClientBuilder::default()
         .set_headers(headers)
         .build(format!("http://{}", cluster.daemons[vm].peer_address))
-        .expect("an address")
+        .expect("the address is valid")
 }
 
 fn marks(epoch: u64, sequence: u64, leaving: &[&str]) -> Marks {
@@ -340,18 +348,21 @@
 async fn marks_of_a_holder_without_authority_have_no_effect() {
     let cluster = start(false).await;
     let client = peer_client(&cluster, "entry-1", SECRET);
-    assert!(client.marks(marks(5, 1, &["plain-1"])).await.expect("it answers").taken);
-    assert!(!client.marks(marks(4, 9, &[])).await.expect("it answers").taken, "an older holder");
-    assert!(!client.marks(marks(5, 0, &[])).await.expect("it answers").taken, "a late message of the same holder");
+    assert!(client.marks(marks(5, 1, &["plain-1"])).await.expect("the daemon responds").taken);
+    assert!(!client.marks(marks(4, 9, &[])).await.expect("the daemon responds").taken, "an older holder");
+    assert!(
+        !client.marks(marks(5, 0, &[])).await.expect("the daemon responds").taken,
+        "a late message of the same holder"
+    );
     let status = cluster.resource("entry-1", "endpoints", "plain-1").await;
     assert_eq!(status["status"]["open"], false, "{status}");
-    // The marks reach the others by gossip.
+    // The marks reach the other daemons by gossip.
     cluster
-        .wait_until("the others have them", async || {
+        .wait_until("the other daemons have the marks", async || {
             cluster.resource("entry-3", "endpoints", "plain-1").await["status"]["open"] == false
         })
         .await;
-    assert!(client.marks(marks(6, 1, &[])).await.expect("it answers").taken);
+    assert!(client.marks(marks(6, 1, &[])).await.expect("the daemon responds").taken);
     cluster
         .wait_until("the endpoint is open again", async || {
             cluster.resource("entry-3", "endpoints", "plain-1").await["status"]["open"] == true
@@ -370,7 +381,7 @@
     let operator = &cluster.daemons["entry-1"].operator_address;
     let limit = Duration::from_secs(5);
     let req = http::Request::get(format!("http://{operator}/v1/status")).body(http_body_util::Full::default());
-    let (status, _) = client.fetch(req.expect("valid"), limit).await.expect("it answers");
+    let (status, _) = client.fetch(req.expect("the request is valid"), limit).await.expect("the daemon responds");
     assert_eq!(status, 401);
     let bodies = [
         "",
@@ -384,7 +395,7 @@
             .header("authorization", format!("Bearer {SECRET}"))
             .header("content-type", "application/json")
             .body(http_body_util::Full::from(bytes::Bytes::from(body)));
-        let (_, answer) = client.fetch(req.expect("valid"), limit).await.expect("it answers");
+        let (_, answer) = client.fetch(req.expect("the request is valid"), limit).await.expect("the daemon responds");
         assert!(!String::from_utf8_lossy(&answer).contains("\"result\""), "{body}: {answer:?}");
     }
     let metrics = cluster.metrics("entry-1").await;
@@ -397,5 +408,5 @@
             &proofs::load::call("stock-ping", 1, &proofs::load::Mix::default()),
         )
         .await;
-    assert_eq!(got.outcome, "whole", "nothing was disturbed: {got:?}");
+    assert_eq!(got.outcome, "whole", "requests must still be served: {got:?}");
 }
--- a/proofs/tests/once.rs
+++ b/proofs/tests/once.rs
@@ -1,4 +1,4 @@
-//! What may not be repeated runs at most once, and "not run" is true.
+//! Requests that must not be repeated run at most once, and "not run" is true.
 
 use std::{
     sync::{
@@ -48,7 +48,7 @@
             assert!(whole(&got) || got.outcome == "unknown", "{got:?}");
         }
         let later = caller.send(&addresses[(n % 2) as usize], &order).await;
-        assert!(whole(&later), "the recorded answer comes again: {later:?}");
+        assert!(whole(&later), "the recorded answer must be returned again: {later:?}");
     }
     check_history(&cluster);
 }
@@ -83,7 +83,7 @@
     }
     for n in 0..4 {
         let got = caller.send(&cluster.caller_addresses()[0], &order(n)).await;
-        // Which of the two depends on whether the head of the answer came before the loss.
+        // The outcome depends on whether the head of the answer arrived before the connection broke.
         assert!(matches!(got.outcome.as_str(), "ran" | "unknown"), "{got:?}");
         let again = caller.send(&cluster.caller_addresses()[1], &order(n)).await;
         assert_eq!((again.status, &again.outcome), (409, &got.outcome), "{again:?}");
@@ -108,7 +108,8 @@
     for task in tasks {
         assert_eq!(task.await.expect("callers do not panic").outcome, "none");
     }
-    // The second try on another VM never runs it again: in progress, then unknown for good.
+    // A retry through another daemon never runs the request again: its outcome is in progress, later
+    // unknown.
     for n in 0..8 {
         let got = caller.send(&addresses[1], &order(n)).await;
         assert!(got.outcome == "unknown" || got.outcome == "whole", "{got:?}");
@@ -117,7 +118,7 @@
     cluster.wait_until_ready().await;
     for n in 0..8 {
         cluster
-            .wait_until("the outcome is final once the claim's owner is known to be over", async || {
+            .wait_until("the outcome is final after the claim's owner is known to have terminated", async || {
                 let got = caller.send(&addresses[1], &order(n)).await;
                 got.reason == "key_used" || got.outcome == "whole"
             })
@@ -136,20 +137,20 @@
         let got = caller.send(&addresses[(n % 2) as usize], &order(n)).await;
         assert_eq!((got.outcome.as_str(), got.reason.as_str()), ("not_run", "claims_unavailable"), "{got:?}");
         assert!(got.retry_after_ms.is_some());
-        // What needs no claim is served all the same.
+        // Requests that need no claim are still served.
         let ping = caller.send(&addresses[(n % 2) as usize], &call("stock-ping", n, &Mix::default())).await;
         assert_eq!(ping.outcome, "whole", "{ping:?}");
     }
     cluster.inject_fault(&cluster.kv_address, &json!({ "lose_answers": 5, "slow_ms": 10 })).await;
     cluster
-        .wait_until("orders are taken again", async || {
+        .wait_until("orders are accepted again", async || {
             let got = caller.send(&addresses[0], &order(100)).await;
             got.outcome == "whole"
         })
         .await;
     for n in 0..6 {
         cluster
-            .wait_until("the refused order runs at last", async || {
+            .wait_until("the refused order runs", async || {
                 caller.send(&addresses[(n % 2) as usize], &order(n)).await.outcome == "whole"
             })
             .await;
@@ -174,7 +175,7 @@
     check_history(&cluster);
 }
 
-/// How a raw endpoint treats a connection.
+/// When a raw endpoint closes a connection.
 #[derive(Clone, Copy, Debug)]
 enum CloseTime {
     OnAccept,
@@ -183,10 +184,11 @@
     AfterResponse,
 }
 
-/// An endpoint that closes connections at a chosen moment, and counts the requests it had whole.
+/// Starts an endpoint that closes connections at a chosen time and counts the complete requests that
+/// it received.
 async fn raw_endpoint(close_time: CloseTime) -> (String, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+    let address = listener.local_addr().expect("the listener is bound").to_string();
     let received = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&received);
     tokio::spawn(async move {
--- a/proofs/tests/orders.rs
+++ b/proofs/tests/orders.rs
@@ -18,7 +18,7 @@
 }
 
 fn other_than(cluster: &Cluster, vm: &str) -> String {
-    cluster.daemons.keys().find(|other| *other != vm).expect("there are several").clone()
+    cluster.daemons.keys().find(|other| *other != vm).expect("there are several daemons").clone()
 }
 
 fn roles(role: Role) -> [(&'static str, Role); 2] {
@@ -33,7 +33,7 @@
         let holder = cluster.wait_for_holder(&any).await;
         cluster.fix_roles(&holder, &roles(role)).await;
         cluster
-            .wait_until("an order was taken", async || {
+            .wait_until("an order was accepted", async || {
                 cluster.engine_status("engine-1").await.is_some_and(|s| s.cordoned)
             })
             .await;
@@ -61,22 +61,22 @@
 
     cluster.daemon(&holder).freeze();
     cluster
-        .wait_until("another holds the shard", async || {
+        .wait_until("another daemon holds the shard", async || {
             cluster.shard_holder(&other).await.is_some_and(|vm| vm != holder)
         })
         .await;
-    let next = cluster.shard_holder(&other).await.expect("there is one");
+    let next = cluster.shard_holder(&other).await.expect("the shard has a holder");
     cluster.fix_roles(&next, &roles(Role::Decode)).await;
-    // The engine that checks passes on at once; the one that ignores numbers keeps its role, and
-    // its status says why.
+    // The engine that checks fencing numbers gets a new custodian at once. The one that ignores them
+    // keeps its role, and its status shows the reason.
     cluster.wait_for_role("engine-1", Role::Decode).await;
     cluster
-        .wait_until("the status says what is waited for", async || {
+        .wait_until("the status shows the reason for the wait", async || {
             let status = cluster.resource(&next, "endpoints", "engine-2").await;
             status["status"]["waits_for"] == "former_custodian"
         })
         .await;
-    let status = cluster.engine_status("engine-2").await.expect("it answers");
+    let status = cluster.engine_status("engine-2").await.expect("the engine responds");
     assert_eq!(status.role, Role::Prefill);
 
     cluster.daemon(&holder).thaw();
@@ -135,7 +135,7 @@
     cluster.daemon(&holder).freeze();
     let other = other_than(&cluster, &holder);
     cluster
-        .wait_until("another holds the shard", async || {
+        .wait_until("another daemon holds the shard", async || {
             cluster.shard_holder(&other).await.is_some_and(|vm| vm != holder)
         })
         .await;
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -1,4 +1,4 @@
-//! Planned changes cut nothing: role changes, loads, drains and stops, all under load.
+//! Planned changes cut no requests: role changes, loads, drains and stops, all under load.
 
 use std::{
     process::ExitStatus,
@@ -19,8 +19,8 @@
 };
 
 const CALLERS: usize = 6;
-/// How long after its mark a leaving endpoint may still begin work: the list is read each 100 ms
-/// in these tests, and gossip rides on probes each 60 ms.
+/// Time after its mark within which a leaving endpoint may still start requests. In these tests the
+/// list is read every 100 ms, and gossip is sent with probes every 60 ms.
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
 async fn start(daemons: usize, links: bool) -> Cluster {
@@ -42,7 +42,7 @@
     expect_none("at most once", &at_most_once(&history));
     expect_none("orders", &orders(&history));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
-    assert!(lost.is_empty(), "a planned change cut {lost:?}");
+    assert!(lost.is_empty(), "cut by a planned change: {lost:?}");
 }
 
 #[tokio::test]
@@ -50,7 +50,7 @@
     let cluster = start(3, false).await;
     let caller = cluster.new_caller("caller");
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 3, Mix::default());
-    // Protected answers are always under way at every engine.
+    // Keeps requests of a protected kind running at every engine.
     let protected = Mix { chat_tokens: 120, only_kind: Some("counter-answer"), ..Mix::default() };
     let busy = Load::start(&caller, &cluster.caller_addresses(), 2 * CALLERS, 30, protected);
     let resources = [
@@ -102,8 +102,8 @@
     let caller = cluster.new_caller("caller");
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 5, Mix::default());
     load.wait_for_requests(50).await;
-    // The key-value service is down for all; one daemon has only its own view of the list lost,
-    // another is cut off from everything.
+    // The key-value service is down for all daemons. One daemon loses only its own access to the list
+    // of VMs, another loses all its links.
     cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     cluster.set_vm_list_link("entry-2", Link::Cut);
     cluster.set_daemon_links("entry-3", Link::Cut);
@@ -112,14 +112,14 @@
     let since = monotonic_micros();
     load.wait_for_requests(100).await;
     assert!(!cluster.is_ready("entry-3").await, "a daemon that is cut off is not ready");
-    assert!(cluster.is_ready("entry-2").await, "one that hears it from its peers is");
+    assert!(cluster.is_ready("entry-2").await, "a daemon that gets the list from its peers is ready");
     cluster.set_daemon_links("entry-3", Link::Pass);
     cluster.set_vm_list_link("entry-2", Link::Pass);
-    cluster.wait_until("the daemon is back", async || cluster.is_ready("entry-3").await).await;
+    cluster.wait_until("the daemon is ready again", async || cluster.is_ready("entry-3").await).await;
     load.wait_for_requests(50).await;
     let answers = load.finish().await;
     expect_none("leaving", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
-    // Orders need the key-value service, which is down; they are refused truly.
+    // Orders need the key-value service, which is down, so they are refused as not run.
     expect_none("not run is true", &not_run(&cluster.history()));
     let cut: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
     assert!(cut.is_empty(), "{cut:?}");
--- a/proofs/tests/whole_path.rs
+++ b/proofs/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! One request from end to end, each part a process of its own.
+//! Requests from end to end, with a separate process for each daemon and stand-in.
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
@@ -35,13 +35,13 @@
     };
     let cluster = Cluster::start(config).await;
     let caller = cluster.new_caller("caller");
-    let vm = cluster.daemons.keys().next().expect("there is one").clone();
+    let vm = cluster.daemons.keys().next().expect("the cluster has a daemon").clone();
     let mix = Mix { prompt_bytes: 4_000, ..Mix::default() };
     let got = caller.send(&cluster.daemons[&vm].caller_address, &call("catalogue-query", 1, &mix)).await;
     assert_eq!((got.outcome.as_str(), got.exact), ("whole", true), "{got:?}");
-    let request = got.request.expect("every answer names its request");
+    let request = got.request.expect("every answer has a request id");
     let (_, record) =
-        cluster.operator_call(&vm, "GET", &format!("/v1/requests/{request}"), None).await.expect("it answers");
+        cluster.operator_call(&vm, "GET", &format!("/v1/requests/{request}"), None).await.expect("the daemon responds");
     assert_eq!(record["attempts"][0]["prefill"], "engine-1", "{record}");
     assert_eq!(record["attempts"][0]["endpoint"], "engine-2", "{record}");
 }
@@ -52,9 +52,9 @@
     let caller = cluster.new_caller("caller");
     let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
     let got = caller.send(&cluster.daemons[&vms[0]].caller_address, &call("chat-reply", 1, &Mix::default())).await;
-    let request = got.request.expect("every answer names its request");
+    let request = got.request.expect("every answer has a request id");
     let path = format!("/v1/requests/{request}");
-    let (status, record) = cluster.operator_call(&vms[1], "GET", &path, None).await.expect("it answers");
+    let (status, record) = cluster.operator_call(&vms[1], "GET", &path, None).await.expect("the daemon responds");
     assert!(status.is_success(), "{record}");
     assert_eq!(record["outcome"], "whole");
     let candidates = record["attempts"][0]["candidates"].as_array().map(Vec::len);
