--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost at the sizes of today and of the target.
+//! Benchmarks of the decisions, at the sizes of current deployments and of the target.
 
 use std::{hint::black_box, net::SocketAddr, sync::Arc};
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Take a request in, choose its endpoint, and hear that it ended.
+/// Submits a request, chooses its endpoint, and records its end.
 fn submit_request(c: &mut Criterion) {
     let mut group = c.benchmark_group("request");
     for endpoints in ENDPOINTS {
@@ -65,7 +65,7 @@
             b.iter(|| {
                 n += 1;
                 let now = NOW + Span::millis(200 * n);
-                let key = dispatcher.submit("team", spec(pool, n, now), now).expect("there is room");
+                let key = dispatcher.submit("team", spec(pool, n, now), now).expect("the queue has room");
                 black_box(dispatcher.pump(pool, now));
                 dispatcher.progress(key, 1, now);
                 dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, now);
@@ -75,7 +75,7 @@
     group.finish();
 }
 
-/// Engines in five halls, two thirds of which read.
+/// Creates engines in five halls, two thirds of which are prefill engines.
 fn engines(replicas: usize) -> Fleet {
     let mut fleet = Fleet::new("hall-0", FleetPolicy::default(), Time(0));
     for n in 0..replicas {
@@ -95,7 +95,7 @@
     fleet
 }
 
-/// Choose the engines of a prompt on a route, and note that it begins and ends there.
+/// Chooses the engines for a prompt on a route, and records that the step begins and ends.
 fn route_choice(c: &mut Criterion) {
     let mut group = c.benchmark_group("route request");
     for replicas in REPLICAS {
@@ -132,7 +132,7 @@
     group.finish();
 }
 
-/// Where to ask for a request's credit, and what its owner does.
+/// Chooses the shard to ask for a request's credit, and grants the credit as its owner.
 fn quota(c: &mut Criterion) {
     let tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
     let quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 1e9, burst: 1e9 };
@@ -222,8 +222,9 @@
     c.bench_function("custody step", |b| b.iter(|| black_box(next_step(&record, &view))));
 }
 
-/// What each request costs for knowing which end replicas: its hash, its standing and its whole answer, while
-/// so many others are suspected.
+/// Measures the cost per request of crash tracking: hashing its content, checking whether it is suspected, and
+/// recording its answer, while
+/// the given number of other requests are suspected.
 fn crash_tracking(c: &mut Criterion) {
     let body = vec![7; 18_000];
     let mut group = c.benchmark_group("endings of a request");
--- a/experiments/examples/footprint.rs
+++ b/experiments/examples/footprint.rs
@@ -1,4 +1,5 @@
-//! Bytes of the messages between daemons and of the rows they keep, at several sizes.
+//! Prints the sizes of messages between daemons and of the rows that daemons keep in memory, at several
+//! cluster sizes.
 
 use dahliaseam_core::{
     dispatch::{Dispatcher, Policy},
@@ -47,7 +48,7 @@
     serde_json::to_vec(probe).map_or(0, |v| v.len())
 }
 
-/// Resident memory of this process, in bytes; Linux only.
+/// Returns the resident memory of this process, in bytes. Linux only.
 fn resident_bytes() -> usize {
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -95,7 +96,7 @@
     println!("an endpoint's row without prefixes: {} bytes", (rows - before) / 20_000);
     for key in keys.iter().take(2_000) {
         for prefix in 0..512 {
-            dispatcher.endpoint_mut(*key).expect("it is there").add_prefix(prefix, NOW);
+            dispatcher.endpoint_mut(*key).expect("the endpoint exists").add_prefix(prefix, NOW);
         }
     }
     println!("its 512 remembered prefixes: {} bytes", (resident_bytes() - rows) / 2_000);
--- a/experiments/examples/policy.rs
+++ b/experiments/examples/policy.rs
@@ -1,4 +1,4 @@
-//! Compare the policies through swings of the mix, and write tables, CSV and plots.
+//! Compares the policies while the mix of requests changes, and writes tables, CSV and plots.
 
 use std::{
     error::Error,
@@ -24,16 +24,16 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Seeds of each setting
+    /// Number of seeds for each setting
     #[bpaf(argument("N"), fallback(10))]
     seeds: u64,
-    /// Seconds of each run
+    /// Duration of each run, in seconds
     #[bpaf(argument("N"), fallback(240.0))]
     seconds: f64,
-    /// Folder for the CSV and the plots
+    /// Directory for the CSV files and plots
     #[bpaf(argument("DIR"))]
     out: Option<PathBuf>,
-    /// File with the engine model's parameters, in JSON
+    /// JSON file with the parameters of the engine model
     #[bpaf(argument("FILE"))]
     params: Option<PathBuf>,
     /// Parts to run: loads, faults, roles
@@ -46,7 +46,7 @@
 const MIX_PERIOD: f64 = 60.0;
 const LOADS: [f64; 5] = [0.5, 0.8, 1.0, 1.2, 1.5];
 
-/// One setting, to be run with several seeds.
+/// One setting, which is run with several seeds.
 struct Task {
     scenario: String,
     policy: String,
@@ -144,7 +144,7 @@
         tasks
     }
 
-    /// Run all seeds of all tasks on all cores.
+    /// Runs all seeds of all tasks, in parallel on all cores.
     fn run(&self, tasks: Vec<Task>) -> Vec<Cell> {
         let next = AtomicUsize::new(0);
         let seeds = self.seeds as usize;
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -1,10 +1,11 @@
-//! Ways to keep a team's quota over all daemons, compared without a network.
+//! Compares ways to enforce a team's quota across all daemons, without a network.
 //!
 //!     cargo run --release -p experiments --example quota
 //!
-//! A team sends prompts of two sizes to daemons of unequal popularity, first at a part of its quota and
-//! then far beyond it. Printed are the units refused below the quota, the fullest window as a part of what
-//! a window allows, and the messages of all daemons a second.
+//! A team sends requests of two sizes to daemons of unequal popularity, at loads below and far above its
+//! quota. For each load the program prints the fraction of units refused, the units admitted in the fullest
+//! window relative to what a window
+//! allows, and the messages of all daemons per second.
 
 use dahliaseam_core::{
     bucket::TokenBucket,
@@ -21,22 +22,22 @@
 const TEAM: &str = "red";
 const QUOTA: Quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 134_000.0, burst: 134_000.0 };
 const TOLERANCE: Tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
-/// Time between two grants of a leader.
+/// Interval between grants of the leader.
 const GRANT_INTERVAL: Span = Span::millis(500);
-/// Seconds of each play before anything is counted.
+/// Time at the start of each run in which nothing is counted, in seconds.
 const WARM_UP_S: f64 = 12.0;
-/// Seconds of each play.
+/// Duration of each run, in seconds.
 const DURATION_S: f64 = 42.0;
 
-/// One way to keep a quota.
+/// Scheme that enforces a quota.
 trait Limiter {
-    /// Take the units of a request at a daemon.
+    /// Takes the units of a request at a daemon. Returns whether the request is admitted.
     fn take(&mut self, daemon: usize, cost: u64, draw: u64, now: Time) -> bool;
-    /// Messages so far.
+    /// Number of messages sent so far.
     fn messages(&self) -> u64;
 }
 
-/// Each daemon has an equal part of the rate and the burst.
+/// Each daemon has an equal share of the rate and the burst.
 struct EvenShares(Vec<TokenBucket>);
 
 impl Limiter for EvenShares {
@@ -49,7 +50,7 @@
     }
 }
 
-/// A leader divides the rate by the demand that daemons report.
+/// A leader divides the rate in proportion to the demand that daemons report.
 struct LeaderGrants {
     buckets: Vec<TokenBucket>,
     requested: Vec<f64>,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Owners of shards grant credit for each request.
+/// The owners of shards grant credit for each request.
 struct ShardedCredit {
     terms: ShardTerms,
     shards: Vec<(u8, Shard)>,
@@ -140,7 +141,7 @@
     }
 }
 
-/// What a play showed.
+/// Result of a run.
 struct Outcome {
     refused_share: f64,
     fullest_share: f64,
--- a/experiments/src/bound.rs
+++ b/experiments/src/bound.rs
@@ -1,8 +1,9 @@
-//! What no policy can exceed.
+//! Upper bound on the goodput of any policy.
 //!
-//! A relaxation: engines that always run full batches, never wait for prompts, keep every prefix
-//! cached after its first use and may serve parts of requests. Then the best choice is by worth
-//! for cost until the engines' time is used up, in each stretch of the run that holds together.
+//! The bound relaxes the problem: engines always run full batches, never wait for prompts, keep each
+//! prefix cached after its first use, and may serve fractions of requests. The optimum is then to
+//! serve requests by weight per cost until the engines' time is used up: that of the run, plus the
+//! longest deadline.
 
 use std::collections::HashSet;
 
@@ -10,7 +11,7 @@
 
 use crate::workload::{Arrival, User, cost};
 
-/// The largest weight that could be answered in time.
+/// Returns the largest total weight of requests that could be answered in time.
 #[must_use]
 pub fn max_goodput(arrivals: &[Arrival], user: User, engines: usize, seconds: f64, params: &ModelParams) -> f64 {
     let kinds = user.kinds();
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -1,9 +1,10 @@
-//! A bench of the decisions, not a simulator of a cluster.
+//! Compares routing and planning decisions; this is not a simulator of a whole cluster.
 //!
-//! It drives the dispatchers of several daemons, which do not see each other's state, against the
-//! engine model that the engine stand-in runs too. [`workload`] makes the requests, [`routing`]
-//! holds the policies that are compared, [`world`] plays one run, [`bound`] says what no policy
-//! can exceed and [`report`] writes tables, CSV and plots.
+//! The dispatchers of several daemons, which do not share state, run against the same engine model as
+//! the engine stand-in. [`workload`] generates the requests, [`routing`] contains the compared
+//! policies, [`roles`] plans role changes, [`world`] simulates one run, [`bound`] computes what no
+//! policy can exceed, and [`report`]
+//! writes tables, CSV and plots.
 
 pub mod bound;
 pub mod report;
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! Medians and spreads over seeds, as tables, CSV and plots.
+//! Medians and ranges over seeds, as tables, CSV and plots.
 
 use std::{error::Error, fmt::Write, path::Path};
 
@@ -6,32 +6,32 @@
 
 use crate::world::Outcome;
 
-/// The runs of one setting, one for each seed.
+/// Runs of one setting, one for each seed.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// What is compared: the scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// And the policy.
+    /// Name of the policy.
     pub policy: String,
-    /// A number to plot against, such as the load.
+    /// Value on the x axis, such as the load.
     pub x: f64,
-    /// The runs.
+    /// Outcomes of the runs.
     pub runs: Vec<Outcome>,
 }
 
-/// Median, least and greatest.
+/// Median and range of a value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
-    /// The median.
+    /// Median.
     pub median: f64,
-    /// The least.
+    /// Minimum.
     pub low: f64,
-    /// The greatest.
+    /// Maximum.
     pub high: f64,
 }
 
 impl Cell {
-    /// The spread of a figure over the seeds.
+    /// Returns the median and range of a value over the seeds.
     #[must_use]
     pub fn spread(&self, value_of: impl Fn(&Outcome) -> f64) -> Spread {
         let mut values: Vec<_> = self.runs.iter().map(value_of).collect();
@@ -41,13 +41,13 @@
     }
 }
 
-/// Goodput as a share of the bound.
+/// Returns the goodput as a fraction of the upper bound.
 #[must_use]
 pub fn goodput_ratio(outcome: &Outcome) -> f64 {
     outcome.goodput / outcome.bound.max(f64::MIN_POSITIVE)
 }
 
-/// A Markdown table.
+/// Returns a Markdown table.
 #[must_use]
 pub fn table(cells: &[Cell]) -> String {
     let mut out = String::from(
@@ -76,7 +76,7 @@
     out
 }
 
-/// One line a run.
+/// Returns CSV with one line for each run.
 #[must_use]
 pub fn csv(cells: &[Cell]) -> String {
     let mut out = String::from(
@@ -105,10 +105,10 @@
     out
 }
 
-/// Lines of goodput over `x`, one for each policy, as SVG.
+/// Plots the goodput over `x` as SVG, with one line for each policy.
 ///
 /// # Errors
-/// Why the file cannot be written.
+/// If the file cannot be written.
 pub fn plot(path: &Path, title: &str, cells: &[Cell]) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, (720, 440)).into_drawing_area();
     root.fill(&WHITE)?;
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -1,4 +1,4 @@
-//! Role changes in a run: the planner's decisions, carried out as control does it.
+//! Role changes in a run: the planner's decisions, carried out as the daemon's control loop does.
 
 use dahliaseam_core::{
     endpoint::Role,
@@ -7,35 +7,35 @@
     time::Time,
 };
 
-/// A change under way.
+/// Stage of a role change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// It waits until nothing runs.
+    /// The engine is to get this role, and waits until no request runs.
     Draining(Role),
-    /// It is away until this second.
+    /// The engine changes to this role until the given time, in seconds.
     Changing(Role, f64),
 }
 
-/// The planner of a run.
+/// Planner of the role changes in a run.
 #[derive(Debug)]
 pub struct RolePlanner {
     settings: PlannerSettings,
     rates: RoleRates,
     planner: Planner,
-    /// Changes under way, by engine.
+    /// Changes in progress, by engine.
     pub in_progress: Vec<Option<Stage>>,
-    /// Changes decided on.
+    /// Number of changes started.
     pub changes: usize,
 }
 
 impl RolePlanner {
-    /// A planner for so many engines.
+    /// Creates a planner for the given number of engines.
     #[must_use]
     pub fn new(settings: PlannerSettings, rates: RoleRates, engines: usize) -> Self {
         Self { settings, rates, planner: Planner::default(), in_progress: vec![None; engines], changes: 0 }
     }
 
-    /// The change to begin now: an engine and its new role.
+    /// Returns the change to start now: an engine and its new role.
     pub fn decide(
         &mut self,
         roles: &[Role],
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared: the product's own, and baselines.
+//! Compared policies: that of dahliaseam, and baselines.
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Next, Policy, Site},
@@ -13,63 +13,63 @@
 
 use crate::workload::{Arrival, Kind};
 
-/// What a policy asks of the world.
+/// Command of a policy to the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Command {
-    /// Send a request to an engine, its prompt to another first.
+    /// Send a request to an engine, possibly with its prompt to another first.
     Send {
-        /// The request's index.
+        /// Index of the request.
         request: usize,
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
-        /// Where its prompt goes.
+        /// Index of the engine that processes the prompt first, if any.
         prefill: Option<usize>,
     },
-    /// The request is refused.
+    /// Refuse a request.
     Refuse(usize),
-    /// Take the request back from its engine.
+    /// Cancel a request at its engine.
     Stop(usize),
 }
 
-/// A policy under test; each call speaks of one daemon.
+/// Policy under test. Each call concerns one daemon.
 pub trait RoutingPolicy {
     /// A request arrived.
     fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Command>;
     /// A token of a request arrived.
     fn token(&mut self, daemon: usize, request: usize, now: Time);
-    /// A request is over, or was taken back.
+    /// An attempt at a request ended or was cancelled.
     fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Command>;
-    /// A load report reached a daemon.
+    /// A load report arrived.
     fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time);
-    /// An engine is open to new work, or not, and plays a role.
+    /// An engine was opened to or closed for new work, or has another role.
     fn set_endpoint_state(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Command>;
-    /// Time went on.
+    /// Called at regular intervals.
     fn tick(&mut self, daemon: usize, now: Time) -> Vec<Command>;
-    /// The demand a daemon has seen: the short and the long average.
+    /// Returns the short and long averages of the demand seen by a daemon.
     fn demand(&self, daemon: usize, now: Time) -> Option<dahliaseam_core::planner::AverageDemand>;
 }
 
-/// Which policy.
+/// Kind of policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     /// The next engine in turn.
     RoundRobin,
-    /// The least loaded by its last report.
+    /// The engine with the least load in its last report.
     LeastReported,
-    /// The better of two drawn at random, by report and own requests in flight.
+    /// The better of two engines drawn at random, by report and own requests in flight.
     TwoChoices,
-    /// The product's, without early refusal.
+    /// The policy of dahliaseam, without early refusal.
     NoAdmission,
-    /// The product's.
+    /// The policy of dahliaseam.
     Product,
 }
 
 impl PolicyKind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Self; 5] =
         [Self::RoundRobin, Self::LeastReported, Self::TwoChoices, Self::NoAdmission, Self::Product];
 
-    /// Its name.
+    /// Name in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The policy for so many daemons and engines of these roles.
+    /// Creates the policy for the given number of daemons and roles of engines.
     #[must_use]
     pub fn build(self, daemons: usize, roles: &[Role], params: &ModelParams, seed: u64) -> Box<dyn RoutingPolicy> {
         match self {
@@ -95,7 +95,7 @@
     }
 }
 
-/// One daemon's dispatcher and the names it knows things by.
+/// Dispatcher of one daemon, with the mapping between its keys and the simulation's indices.
 #[derive(Debug)]
 struct Daemon {
     dispatcher: Dispatcher,
@@ -105,7 +105,7 @@
     requests: SecondaryMap<RequestKey, usize>,
 }
 
-/// The product's policy: one dispatcher for each daemon.
+/// The policy of dahliaseam, with a dispatcher for each daemon.
 #[derive(Debug)]
 pub struct Product {
     daemons: Vec<Daemon>,
@@ -113,7 +113,7 @@
 }
 
 impl Product {
-    /// Dispatchers for so many daemons.
+    /// Creates dispatchers for the given number of daemons.
     #[must_use]
     pub fn new(daemons: usize, roles: &[Role], params: &ModelParams, seed: u64, policy: Policy) -> Self {
         let rates = Rates {
@@ -232,7 +232,7 @@
     }
 }
 
-/// A baseline: it sends each request at once and never refuses.
+/// Baseline policy, which sends each request at once, without admission control.
 #[derive(Debug)]
 struct Baseline {
     policy: PolicyKind,
@@ -246,8 +246,9 @@
     rng: SmallRng,
 }
 
-/// Tries of a baseline at one request. It does not learn that an engine is gone, so without a bound
-/// it would try for ever.
+/// Maximum number of retries of a baseline for one request. It does not learn that an engine is
+/// unavailable, so without a limit
+/// it would retry forever.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl Baseline {
--- a/experiments/src/workload.rs
+++ b/experiments/src/workload.rs
@@ -1,13 +1,13 @@
-//! The requests of the two users, through swings of the mix.
+//! Requests of the two users, while the mix of kinds changes periodically.
 
 use dahliaseam_core::request::KindTraits;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stand_ins::model::ModelParams;
 
-/// One of the two users.
+/// User of dahliaseam.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum User {
-    /// Catalogue queries with long prompts, chat replies.
+    /// Catalogue queries with long prompts, and chat replies.
     Fjordkjede,
     /// Eligibility answers over long contracts, for which a person waits, and chat.
     Portalinea,
@@ -17,7 +17,7 @@
     /// Both users.
     pub const ALL: [Self; 2] = [Self::Fjordkjede, Self::Portalinea];
 
-    /// Its name.
+    /// Name in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -26,7 +26,8 @@
         }
     }
 
-    /// The kind with long prompts and the kind with long answers, as its example file has them.
+    /// Returns the kind with long prompts and the kind with long answers, as in the user's example
+    /// configuration.
     #[must_use]
     pub const fn kinds(self) -> [Kind; 2] {
         match self {
@@ -42,14 +43,14 @@
     }
 }
 
-/// A kind of request that engines serve.
+/// Kind of requests that engines serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind.
     pub name: &'static str,
-    /// What decisions know of it.
+    /// Properties that decisions depend on.
     pub traits: KindTraits,
-    /// Seconds within which an answer counts.
+    /// Time within which an answer counts, in seconds.
     pub deadline: f64,
     prompt: (u32, u32),
     output: (u32, u32),
@@ -76,49 +77,49 @@
     }
 }
 
-/// Seconds of one engine's work at a full batch, the least that a request can take.
+/// Returns the engine time of a request at a full batch, in seconds, which is the least possible.
 #[must_use]
 pub fn cost(prompt: f64, output: f64, params: &ModelParams) -> f64 {
     prompt / params.prefill_rate + output * (params.step / f64::from(params.slots) + params.step_per_seq)
 }
 
-/// One request.
+/// Generated request.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Seconds from the start.
+    /// Time since the start of the run, in seconds.
     pub at: f64,
     /// Index of its kind.
     pub kind: usize,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Tokens of its answer.
+    /// Number of tokens to generate.
     pub output: u32,
-    /// Its prefix.
+    /// Hash of the prompt's prefix.
     pub prefix: u64,
 }
 
-/// What requests come.
+/// Parameters of the generated requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
-    /// Whose.
+    /// User whose requests are generated.
     pub user: User,
-    /// Work that arrives, as a multiple of what the engines could do at best.
+    /// Arriving work as a fraction of the engines' capacity at full batches.
     pub load: f64,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Seconds.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Seconds between two swings of the mix.
+    /// Time between two changes of the mix, in seconds.
     pub mix_period: f64,
 }
 
-/// Share of the long-prompt kind in the two halves of a swing.
+/// Fractions of long-prompt requests, between which the mix alternates.
 const LONG_SHARES: [f64; 2] = [0.7, 0.1];
-/// Distinct prefixes; a few are popular.
+/// Number of distinct prefixes; a few of them are popular.
 const PREFIXES: f64 = 400.0;
 
 impl Workload {
-    /// The requests, in order of time.
+    /// Generates the requests, ordered by time.
     #[must_use]
     pub fn arrivals(&self, params: &ModelParams, seed: u64) -> Vec<Arrival> {
         let mut rng = SmallRng::seed_from_u64(seed);
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -1,4 +1,4 @@
-//! One run: arrivals, engines that step, reports that lag, and faults.
+//! Simulation of one run: arrivals, engine steps, delayed reports, and faults.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -18,71 +18,71 @@
     workload::{Arrival, Workload},
 };
 
-/// Seconds between two ticks of a daemon.
+/// Interval of a daemon's ticks, in seconds.
 const TICK_INTERVAL: f64 = 0.02;
-/// Seconds between two reports of an engine.
+/// Interval of an engine's load reports, in seconds.
 const REPORT_INTERVAL: f64 = 0.5;
-/// Seconds by which gossip delays a report at most.
+/// Maximum delay of a report by gossip, in seconds.
 const MAX_GOSSIP_DELAY: f64 = 1.0;
-/// Seconds between two looks of the planner.
+/// Interval of the planner's decisions, in seconds.
 const PLAN_INTERVAL: f64 = 1.0;
-/// Seconds after the last arrival until the run ends.
+/// Time that the run continues after the last arrival, in seconds.
 const DRAIN_TIME: f64 = 20.0;
-/// Marks a job that only processes a prompt.
+/// Bit that marks the id of a job that only processes a prompt.
 const PREFILL_BIT: u64 = 1 << 40;
 
-/// What goes wrong in a run.
+/// Fault in a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A third of the engines is withdrawn a third into the run, as planned.
+    /// A third of the engines is withdrawn as planned, after a third of the run.
     Withdrawn,
-    /// A third of the engines crashes a third into the run and is gone for 30 s.
+    /// A third of the engines crashes after a third of the run, and is unavailable for 30 s.
     HallLost,
-    /// One daemon hears no report for 20 s.
+    /// One daemon receives no reports for 20 s.
     DaemonDeaf,
 }
 
-/// A run to make.
+/// Setup of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The requests.
+    /// Generated requests.
     pub workload: Workload,
-    /// The policy.
+    /// Policy under test.
     pub policy: PolicyKind,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// The engines' roles at the start.
+    /// Initial roles of the engines.
     pub roles: Vec<Role>,
-    /// The engines.
+    /// Parameters of the engines.
     pub params: ModelParams,
-    /// The planner, if roles may change.
+    /// Planner, if roles may change.
     pub planner: Option<(PlannerSettings, RoleRates)>,
-    /// What goes wrong.
+    /// Fault to inject.
     pub fault: Fault,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Weight answered whole and in time.
+    /// Total weight of requests answered whole and in time.
     pub goodput: f64,
-    /// The most that was possible.
+    /// Upper bound on the goodput.
     pub bound: f64,
-    /// Weight that arrived.
+    /// Total weight of arrived requests.
     pub offered: f64,
-    /// Share in time, by kind.
+    /// Fraction of requests answered in time, by kind.
     pub in_time: [f64; 2],
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: usize,
-    /// Requests answered too late.
+    /// Number of requests answered too late.
     pub late: usize,
-    /// Share of the generated tokens that belong to late answers.
+    /// Fraction of the generated tokens that belong to late answers.
     pub wasted: f64,
-    /// Role changes.
+    /// Number of role changes.
     pub changes: usize,
 }
 
@@ -124,7 +124,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestState {
     daemon: usize,
-    /// Counts attempts, so that what belongs to an earlier one is told apart.
+    /// Number of the current attempt, by which events of earlier ones are recognized.
     generation: u32,
     engine: Option<usize>,
     prefill: Option<usize>,
@@ -156,7 +156,7 @@
     daemon_without_reports: Option<usize>,
 }
 
-/// Make a run.
+/// Simulates a run.
 #[must_use]
 pub fn run(setup: &Setup) -> Outcome {
     let arrivals = setup.workload.arrivals(&setup.params, setup.seed);
@@ -218,7 +218,7 @@
     }
 
     fn time(&self) -> Time {
-        // The core takes zero for "never", so the run begins a second later.
+        // Zero means "never" in dahliaseam-core, so the run starts at one second.
         Time::default() + Span::seconds(self.now + 1.0)
     }
 
--- a/proofs/examples/cost.rs
+++ b/proofs/examples/cost.rs
@@ -1,6 +1,7 @@
-//! What idle daemons cost at several sizes: calls to the key-value service, bytes between daemons,
-//! processor time and memory. Run in a release build after `cargo build --release --workspace
-//! --bins --examples`.
+//! Measures the cost of idle daemons at several cluster sizes: calls to the key-value service, bytes
+//! sent between daemons, processor time and memory.
+//!
+//! Run in a release build after `cargo build --release --workspace --bins --examples`.
 
 use std::time::Duration;
 
@@ -11,10 +12,10 @@
 };
 use serde_json::json;
 
-/// How long is measured.
+/// Duration of the measurement.
 const MEASURE_TIME: Duration = Duration::from_secs(10);
 
-/// Bytes that the loopback device has carried.
+/// Returns the number of bytes that the loopback device has received.
 fn loopback_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:")).unwrap_or_default().to_owned();
@@ -40,7 +41,7 @@
             ..ClusterConfig::default()
         };
         let mut cluster = Cluster::start(config).await;
-        // The engines' first loads are paced; what is measured is the steady state.
+        // The first loads of the engines are rate-limited; only the steady state is measured.
         tokio::time::sleep(Duration::from_secs(30)).await;
         let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
         let pids: Vec<_> = vms.iter().map(|vm| cluster.daemon(vm).id()).collect();
--- a/proofs/examples/latency.rs
+++ b/proofs/examples/latency.rs
@@ -1,6 +1,7 @@
-//! What a daemon adds to the first token and to each answer, against the caller talking to the
-//! stand-in itself, in one run; requests a second; memory idle and with live streams. Run in a
-//! release build after `cargo build --release --workspace --bins --examples`.
+//! Measures the latency that a daemon adds, compared with callers that talk to the stand-in directly
+//! in the same run, the throughput, and the memory of an idle daemon and of one with open streams.
+//!
+//! Run in a release build after `cargo build --release --workspace --bins --examples`.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +15,13 @@
 use serde_json::json;
 use stand_ins::{caller::Call, model::ModelParams};
 
-/// Requests of each comparison.
+/// Number of requests sent directly and through the daemon.
 const REQUESTS: u64 = 2_000;
-/// Callers at once in the throughput run.
+/// Number of concurrent callers in the throughput measurement.
 const CALLERS: u64 = 64;
-/// Length of the throughput run.
+/// Duration of the throughput measurement.
 const THROUGHPUT_TIME: Duration = Duration::from_secs(5);
-/// Live streams whose memory is measured.
+/// Number of open streams in the memory measurement.
 const STREAMS: u64 = 100;
 
 fn print_quantiles(what: &str, h: &Histogram<u64>) {
@@ -28,13 +29,13 @@
     println!("{what}: p50 {:.3} ms, p99 {:.3} ms", ms(0.5), ms(0.99));
 }
 
-/// A call of a team without a limit.
+/// Returns a call of a team without a rate limit.
 fn call_without_limit(kind: &str, n: u64) -> Call {
     Call { team: "measured".to_owned(), deadline_ms: Some(60_000), ..call(kind, n, &Mix::default()) }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are few enough")
+    Histogram::new(3).expect("three significant digits are supported")
 }
 
 #[tokio::main]
@@ -54,7 +55,7 @@
     let rates = json!({ "rates": { "prefill": 1e6, "step": 0.002, "step_per_seq": 0.0, "slots": 2_048 } });
     cluster.edit("entry-1", "pools", "catalogue", &rates).await;
     cluster.edit("entry-1", "kinds", "chat-reply", &json!({ "deadline_ms": 60_000 })).await;
-    // An endpoint takes its starting rates from its pool when it is added.
+    // An endpoint takes its initial rates from its pool when it is added, so it is added again.
     let engine = cluster.resource("entry-1", "endpoints", "engine-1").await["spec"].clone();
     let (status, _) =
         cluster.operator_call("entry-1", "DELETE", "/v1/endpoints/engine-1", None).await.expect("the daemon responds");
@@ -82,7 +83,7 @@
     streams(&cluster, &daemon, pid).await;
 }
 
-/// Short plain calls from many callers; requests for each second of the daemon's processor time.
+/// Measures short plain calls from many callers, also per second of the daemon's processor time.
 async fn throughput(cluster: &Cluster, daemon: &str, pid: u32) {
     let deadline = Instant::now() + THROUGHPUT_TIME;
     let before = usage(pid).0;
@@ -112,7 +113,7 @@
     print_quantiles("their time", &all);
 }
 
-/// Long streams held open at once.
+/// Measures many long streams that are open at the same time.
 async fn streams(cluster: &Cluster, daemon: &str, pid: u32) {
     let (before, idle) = usage(pid);
     let tasks: Vec<_> = (0..STREAMS)
--- a/stand-ins/examples/engine.rs
+++ b/stand-ins/examples/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as a process of its own.
+//! Runs the model engine stand-in as a process.
 
 use std::path::PathBuf;
 
@@ -10,22 +10,22 @@
     model::ModelParams,
 };
 
-/// A model engine on a loopback address.
+/// Model engine on a loopback address.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// IP:port to serve at; port 0 takes a free one
+    /// IP:port to listen on; port 0 selects a free one
     #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_owned()))]
     address: String,
-    /// Name in the history
+    /// Name of this process in the history
     #[bpaf(argument("NAME"), fallback("engine".to_owned()))]
     name: String,
-    /// Role to start with: prefill, decode or mixed
+    /// Initial role: prefill, decode or mixed
     #[bpaf(argument::<String>("ROLE"), parse(|text| serde_json::from_value::<Role>(text.into())), fallback(Role::Mixed))]
     role: Role,
-    /// Refuse orders with an old fencing number
+    /// Reject orders with an old fencing number
     checks: bool,
-    /// File with the model's parameters, in JSON
+    /// JSON file with the parameters of the engine model
     #[bpaf(argument("FILE"))]
     params: Option<PathBuf>,
     /// File to append the history to
--- a/stand-ins/examples/kv.rs
+++ b/stand-ins/examples/kv.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process of its own.
+//! Runs the key-value service stand-in as a process.
 
 use bpaf::Parser;
 use stand_ins::kv::Kv;
--- a/stand-ins/examples/plain.rs
+++ b/stand-ins/examples/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service as a process of its own.
+//! Runs the plain service stand-in as a process.
 
 use std::path::PathBuf;
 
@@ -8,17 +8,17 @@
     plain::{Plain, PlainSetup},
 };
 
-/// A plain service on a loopback address.
+/// Plain service on a loopback address.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// IP:port to serve at; port 0 takes a free one
+    /// IP:port to listen on; port 0 selects a free one
     #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_owned()))]
     address: String,
-    /// Name in the history
+    /// Name of this process in the history
     #[bpaf(argument("NAME"), fallback("plain".to_owned()))]
     name: String,
-    /// Milliseconds of one call
+    /// Duration of a call, in milliseconds
     #[bpaf(argument("MS"), fallback(5))]
     work_ms: u64,
     /// File to append the history to
--- a/stand-ins/examples/vms.rs
+++ b/stand-ins/examples/vms.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process of its own.
+//! Runs the stand-in for the platform's list of VMs as a process.
 
 use bpaf::Parser;
 use stand_ins::vms::VmList;
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that knows the answer it must get and notes what it got.
+//! A caller that knows the expected answer and records what it received.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -23,54 +23,54 @@
 
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
-/// Reason when the daemon accepted no connection.
+/// Reason recorded if the daemon accepted no connection.
 pub const NO_CONNECTION: &str = "no_connection";
 
-/// One request of a caller.
+/// Request of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// Its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// The model, or the pool of plain services.
+    /// Name of the model, or of the pool of plain services.
     pub target: String,
-    /// The prompt, or the body.
+    /// Prompt, or the request body for a plain service.
     pub prompt: String,
-    /// Tokens wanted; zero for a plain service.
+    /// Number of tokens to generate; zero for a plain service.
     pub tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Whether the chat API is used.
     pub chat: bool,
-    /// The idempotency key.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Milliseconds within which the answer is useful.
+    /// Deadline of the request, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
-/// What a caller got.
+/// Final answer to a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The HTTP status; zero when no answer came.
+    /// HTTP status; zero if there was no response.
     pub status: u16,
-    /// The request's identifier.
+    /// Request id.
     pub request: Option<String>,
     /// `whole`, `not_run`, `ran`, `unknown`, or `none`.
     pub outcome: String,
-    /// The reason of a refusal.
+    /// Reason of a refusal.
     pub reason: String,
-    /// When to come back.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// The text of the answer.
+    /// Text of the answer.
     pub text: String,
-    /// Whether the answer is exactly the expected one.
+    /// Whether the text is exactly the expected one.
     pub exact: bool,
-    /// Microseconds to the first byte of the answer's text.
+    /// Time to the first byte of the text, in microseconds.
     pub first_micros: u64,
 }
 
-/// A caller.
+/// Sends calls and records them in a history.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
@@ -79,13 +79,13 @@
 }
 
 impl Caller {
-    /// A caller that waits at most `timeout` for each answer.
+    /// Creates a caller that waits at most `timeout` for each answer.
     #[must_use]
     pub fn new(history: History, timeout: Duration) -> Self {
         Self { client: HttpClient::new(Reuse::Keep), history, timeout }
     }
 
-    /// Send `call` to the daemon at `address` and wait for its final answer.
+    /// Sends `call` to the daemon at `address` and waits for the final answer.
     pub async fn send(&self, address: &str, call: &Call) -> Answer {
         let number = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
         self.history.record(Event::Sent { call: number, kind: call.kind.clone(), key: call.key.clone() });
@@ -129,7 +129,7 @@
     }
 }
 
-/// The whole answer to `call`.
+/// Returns the expected complete answer to `call`.
 #[must_use]
 pub fn expected(call: &Call) -> String {
     if call.tokens == 0 { plain::answer(&call.prompt) } else { answer::full(&call.prompt, call.tokens) }
@@ -163,7 +163,7 @@
     if let Some(deadline) = call.deadline_ms {
         req = req.header(DEADLINE, deadline);
     }
-    req.body(Full::from(body)).expect("the parts are valid")
+    req.body(Full::from(body)).expect("the request is valid")
 }
 
 async fn read_body(resp: Response<Incoming>) -> Result<Bytes, CallError> {
@@ -200,7 +200,7 @@
     let mut buf = String::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| CallError::Lost(e.to_string()));
-        // A broken stream is an answer too: not a whole one.
+        // A stream that breaks off is recorded as an incomplete answer, not as an error.
         let Ok(frame) = frame else { break };
         buf.push_str(&String::from_utf8_lossy(frame.data_ref().map_or(&[][..], |d| d)));
         while let Some(end) = buf.find("\n\n") {
--- a/stand-ins/src/engine.rs
+++ b/stand-ins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: the engine model behind the completions API, in real time.
+//! A model engine stand-in: the engine model behind the completions API, in real time.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -36,46 +36,46 @@
     serve::Server,
 };
 
-/// How the engine misbehaves towards the next requests or orders.
+/// Faults in the engine's handling of the next requests or orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFault {
-    /// Requests that the faults below apply to.
+    /// Number of requests that the faults of streams below apply to.
     pub requests: u32,
-    /// Break the connection after so many tokens.
+    /// Break the connection after this number of tokens.
     pub break_after: Option<u32>,
-    /// Leave the token at this position out.
+    /// Omit the token at this position.
     pub gap_at: Option<u32>,
     /// Send each frame twice.
     pub duplicate: bool,
-    /// Before each frame send one of another request.
+    /// Send a frame of another request before each frame.
     pub cross: bool,
-    /// Fall silent after so many tokens.
+    /// Stop sending after this number of tokens, without closing the connection.
     pub stall_after: Option<u32>,
-    /// Crash in the middle of the next role change and start again with the old role.
+    /// Crash during the next role change, and restart with the old role.
     pub crash_in_change: bool,
-    /// Milliseconds before the next order is looked at.
+    /// Delay before the next order is handled, in milliseconds.
     pub order_delay_ms: u64,
 }
 
-/// How an engine is set up.
+/// Setup of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSetup {
-    /// Where to serve.
+    /// Address to listen on.
     pub address: String,
-    /// The role it starts with.
+    /// Initial role.
     pub role: Role,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it rejects orders with an old fencing number.
     pub fencing: Fencing,
-    /// The model's parameters.
+    /// Parameters of the engine model.
     pub params: ModelParams,
-    /// Where to note what ran.
+    /// History in which requests and orders are recorded.
     pub history: History,
 }
 
-/// Samples of the load that are kept to report an old one.
+/// Number of load samples kept, from which a load of some time ago is reported.
 const MAX_LOAD_SAMPLES: usize = 4_096;
-/// Cache events that are kept.
+/// Number of cache events kept.
 const MAX_CACHE_EVENTS: usize = 1_024;
 
 struct AnswerStream {
@@ -112,7 +112,7 @@
 
 type SharedEngine = Arc<Engine>;
 
-/// The stand-in.
+/// Running engine stand-in.
 #[derive(Debug)]
 pub struct EngineStandIn {
     server: Server,
@@ -126,10 +126,10 @@
 }
 
 impl EngineStandIn {
-    /// Serve an idle engine.
+    /// Starts an idle engine.
     ///
     /// # Errors
-    /// Why the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn start(setup: EngineSetup) -> std::io::Result<Self> {
         let address = setup.address.clone();
         let engine: SharedEngine = Arc::new(Engine {
@@ -165,13 +165,13 @@
         Ok(Self { server: Server::start(&address, router).await?, steps })
     }
 
-    /// The server.
+    /// Server of this stand-in.
     #[must_use]
     pub const fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Serve until the process ends.
+    /// Serves until the process is killed.
     pub async fn serve_forever(self) {
         std::future::pending::<()>().await;
     }
@@ -179,7 +179,7 @@
 
 impl Engine {
     fn lock(&self) -> std::sync::MutexGuard<'_, EngineState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 }
 
@@ -210,7 +210,7 @@
         for id in self.model.drop_jobs() {
             if let Some(answer) = self.answers.remove(&id) {
                 history.record(Event::Cut { request: answer.req.request.clone() });
-                let _ = answer.tx.send(Err(std::io::Error::other("cut")));
+                let _ = answer.tx.send(Err(std::io::Error::other("request aborted by an order")));
             }
         }
     }
@@ -220,7 +220,7 @@
         let Some(answer) = self.answers.get_mut(&id) else { return };
         let is_open = match event {
             model::Event::Token(_) => answer.send_token(),
-            // A silent engine does not say that it has ended either.
+            // A stalled stream must not send its end either.
             model::Event::Done(_) if answer.is_stalled() => return,
             model::Event::Done(_) => {
                 let handle = answer.req.export.then(|| format!("kv-{id}"));
@@ -241,13 +241,13 @@
         self.fault.stall_after.is_some_and(|at| self.position >= at)
     }
 
-    /// Send the next token; returns whether the stream goes on.
+    /// Sends the next token. Returns whether the stream continues.
     fn send_token(&mut self) -> bool {
         let position = self.position;
         self.position += 1;
         let reached = |at: Option<u32>| at.is_some_and(|at| position >= at);
         if reached(self.fault.break_after) {
-            let _ = self.tx.send(Err(std::io::Error::other("broken")));
+            let _ = self.tx.send(Err(std::io::Error::other("connection broken by an injected fault")));
             return false;
         }
         if reached(self.fault.stall_after) || self.fault.gap_at == Some(position) {
@@ -273,12 +273,12 @@
     }
 }
 
-/// The end of an answer, with the handle of an export.
+/// End of an answer, with the handle of an exported KV cache.
 struct EndFrame {
     handle: Option<String>,
 }
 
-/// A server-sent event.
+/// Returns a server-sent event.
 fn frame(req: &Ask, position: u32, tokens: u32, text: &str, chat: bool, end: Option<&EndFrame>) -> Bytes {
     let finish = if end.is_some() { json!("length") } else { Value::Null };
     let choice = if chat {
@@ -330,7 +330,7 @@
     run(&engine, &body, chat_prompt(&body), true).await
 }
 
-/// The prompt that a chat's messages make.
+/// Returns the prompt made from the messages of a chat request.
 #[must_use]
 pub fn chat_prompt(body: &Value) -> String {
     let empty = Vec::new();
@@ -398,7 +398,7 @@
     Ask { request: "direct".to_owned(), attempt: 0, priority: 0, resume_at: 0, export: false, import: None }
 }
 
-/// Take an exported KV cache over from the engine that has it.
+/// Takes an exported KV cache from the engine that holds it. Returns whether it was there.
 async fn import_kv_cache(import: &Import) -> bool {
     let client = dahliaseam_border::http::HttpClient::new(dahliaseam_border::http::Reuse::Fresh);
     let url = format!("http://{}{RELEASE_PATH}", import.from);
@@ -524,7 +524,8 @@
     engine.lock().cut_requests(&engine.setup.history);
     tokio::time::sleep(duration / 2).await;
     if engine.lock().fault.crash_in_change {
-        // Starting again takes the other half; the role is the old one and the memory is gone.
+        // The restart takes the other half. The engine has its old role, and its fencing and sequence
+        // numbers are lost.
         tokio::time::sleep(duration / 2).await;
         let mut state = engine.lock();
         state.fault.crash_in_change = false;
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -1,6 +1,6 @@
-//! The history that checkers read: one JSON object a line, from every process.
+//! History of events that the checkers read: one JSON object per line, written by each process.
 //!
-//! Times are of the machine's monotonic clock, which all processes share.
+//! Times are taken from the machine's monotonic clock, which all processes share.
 
 use std::{
     fs::{File, OpenOptions},
@@ -12,86 +12,86 @@
 use dahliaseam_core::custody::OrderKind;
 use serde::{Deserialize, Serialize};
 
-/// One event of a history.
+/// Entry of a history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Microseconds of the monotonic clock.
+    /// Time of the monotonic clock, in microseconds.
     pub at: u64,
-    /// The process.
+    /// Name of the process.
     pub who: String,
-    /// What happened.
+    /// Event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What happened.
+/// Event in a history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// An engine took an order.
+    /// An engine accepted an order.
     OrderTaken {
-        /// Its fencing number.
+        /// Fencing number of the order.
         epoch: u64,
-        /// Its sequence number.
+        /// Sequence number of the order.
         sequence: u64,
-        /// The process that gave it.
+        /// Process that sent the order.
         by: String,
-        /// What it asks.
+        /// What the order tells the engine to do.
         kind: OrderKind,
-        /// Whether the engine refuses old fencing numbers.
+        /// Whether the engine rejects orders with an old fencing number.
         checks: bool,
     },
-    /// An engine refused an order as fenced.
+    /// An engine rejected an order because of its fencing number.
     OrderFenced {
-        /// Its fencing number.
+        /// Fencing number of the order.
         epoch: u64,
-        /// The highest that the engine had seen.
+        /// Highest fencing number that the engine had seen.
         highest: u64,
     },
-    /// An order was carried out.
+    /// An engine completed an order.
     OrderDone {
-        /// Its fencing number.
+        /// Fencing number of the order.
         epoch: u64,
-        /// Its sequence number.
+        /// Sequence number of the order.
         sequence: u64,
     },
-    /// An endpoint began to run a request.
+    /// An endpoint started to run a request.
     Ran {
-        /// The request.
+        /// Request id.
         request: String,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// The idempotency key.
+        /// Idempotency key, if any.
         key: Option<String>,
     },
-    /// An endpoint cut a request because of an order.
+    /// An endpoint aborted a request because of an order.
     Cut {
-        /// The request.
+        /// Request id.
         request: String,
     },
     /// A caller sent a request.
     Sent {
-        /// The caller's own number for it.
+        /// Number of the call, assigned by the caller.
         call: u64,
-        /// Its kind.
+        /// Name of the kind.
         kind: String,
-        /// The idempotency key.
+        /// Idempotency key, if any.
         key: Option<String>,
     },
-    /// A caller got its final answer.
+    /// A caller received its final answer, or none.
     Got {
-        /// The caller's own number for it.
+        /// Number of the call, assigned by the caller.
         call: u64,
-        /// The request's identifier, if an answer came at all.
+        /// Request id, if there was a response.
         request: Option<String>,
-        /// `whole`, `not_run`, `ran`, `unknown`, or `none` when no answer came.
+        /// `whole`, `not_run`, `ran`, `unknown`, or `none` if no outcome was received.
         outcome: String,
         /// Whether the answer is exactly the expected one.
         exact: bool,
     },
 }
 
-/// Where a process writes its part.
+/// Records the events of one process, in memory or in a file.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     who: String,
@@ -100,58 +100,58 @@
 }
 
 impl History {
-    /// A history kept in memory.
+    /// Creates a history that is kept in memory.
     #[must_use]
     pub fn in_memory(who: &str) -> Self {
         Self { who: who.to_owned(), ..Self::default() }
     }
 
-    /// A history appended to a file, line by line.
+    /// Creates a history that is appended to a file, line by line.
     ///
     /// # Errors
-    /// Why the file cannot be opened.
+    /// If the file cannot be opened.
     pub fn to_file(who: &str, path: &Path) -> std::io::Result<Self> {
         let f = OpenOptions::new().create(true).append(true).open(path)?;
         Ok(Self { who: who.to_owned(), file: Some(Arc::new(Mutex::new(f))), ..Self::default() })
     }
 
-    /// The same history under another name.
+    /// Returns the same history for another process name.
     #[must_use]
     pub fn with_name(&self, who: &str) -> Self {
         Self { who: who.to_owned(), ..self.clone() }
     }
 
-    /// Note an event.
+    /// Records an event.
     ///
     /// # Panics
-    /// When the file cannot be written: a proof without its history is none.
+    /// If the file cannot be written: a check of an incomplete history would prove nothing.
     pub fn record(&self, event: Event) {
         let entry = Entry { at: monotonic_micros(), who: self.who.clone(), event };
         match &self.file {
-            None => self.entries.lock().expect("no holder panics").push(entry),
+            None => self.entries.lock().expect("the lock is not poisoned").push(entry),
             Some(file) => {
-                let mut line = serde_json::to_string(&entry).expect("entries are plain data");
+                let mut line = serde_json::to_string(&entry).expect("entries can be serialized");
                 line.push('\n');
-                let mut f = file.lock().expect("no holder panics");
-                f.write_all(line.as_bytes()).expect("the history can be written");
+                let mut f = file.lock().expect("the lock is not poisoned");
+                f.write_all(line.as_bytes()).expect("the history is writable");
             }
         }
     }
 
-    /// What was kept in memory so far.
+    /// Returns the entries recorded in memory so far.
     ///
     /// # Panics
-    /// When another thread panicked while noting.
+    /// If another thread panicked while it recorded an event.
     #[must_use]
     pub fn entries(&self) -> Vec<Entry> {
-        self.entries.lock().expect("no holder panics").clone()
+        self.entries.lock().expect("the lock is not poisoned").clone()
     }
 }
 
-/// Read a history file; a last line that a kill cut short is left out.
+/// Reads a history file. A last line that was cut short when its process was killed is skipped.
 ///
 /// # Errors
-/// Why the file cannot be read.
+/// If the file cannot be read.
 pub fn read(path: &Path) -> std::io::Result<Vec<Entry>> {
     let lines = BufReader::new(File::open(path)?).lines();
     let mut entries = Vec::new();
@@ -164,7 +164,7 @@
     Ok(entries)
 }
 
-/// Microseconds of the monotonic clock.
+/// Returns the time of the monotonic clock, in microseconds.
 #[must_use]
 pub fn monotonic_micros() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
--- a/stand-ins/src/kv.rs
+++ b/stand-ins/src/kv.rs
@@ -1,7 +1,8 @@
-//! The key-value service: the subset of etcd's v3 JSON gateway that the product uses.
+//! The key-value service: the subset of etcd's v3 JSON gateway that dahliaseam uses.
 //!
-//! `/fault` takes it down, slows it, or makes writes take effect while their answer is lost.
-//! `/calls` tells how many calls it has had, by path.
+//! `/fault` makes the service unavailable or slow, makes reads stale, or makes writes take effect
+//! although their responses are lost.
+//! `/calls` returns the number of calls by path.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -26,25 +27,25 @@
 
 use crate::serve::Server;
 
-/// How the service misbehaves.
+/// Faults of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KvFault {
-    /// Every call gets no answer and has no effect.
+    /// Calls get no response and have no effect.
     pub down: bool,
-    /// Milliseconds before each call.
+    /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
-    /// So many writes take effect and lose their answer.
+    /// Number of writes that take effect although their responses are lost.
     pub lose_answers: u32,
-    /// Reads show what was there before the last change.
+    /// Reads return values from before the last change.
     pub stale_reads: bool,
 }
 
-/// Time between two signs of life on a watch.
+/// Interval of empty messages on an idle watch.
 const WATCH_PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
-/// Changes that a slow watch may lag behind.
+/// Number of changes that a slow watch may lag behind before it is closed.
 const WATCH_BUFFER: usize = 1_024;
-/// Largest value, as the platform has it.
+/// Maximum size of a value in bytes, as on the platform.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug)]
@@ -68,17 +69,17 @@
 
 type Shared = Arc<Mutex<Store>>;
 
-/// The stand-in.
+/// Running key-value service.
 #[derive(Debug)]
 pub struct Kv {
     server: Server,
 }
 
 impl Kv {
-    /// Serve at `address`, empty.
+    /// Starts an empty service at `address`.
     ///
     /// # Errors
-    /// Why the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn start(address: &str) -> std::io::Result<Self> {
         let state: Shared = Arc::new(Mutex::new(Store {
             revision: 1,
@@ -103,30 +104,30 @@
         Ok(Self { server: Server::start(address, router).await? })
     }
 
-    /// The server.
+    /// Server of this stand-in.
     #[must_use]
     pub const fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Serve until the process ends.
+    /// Serves until the process is killed.
     pub async fn serve_forever(self) {
         self.server.serve_forever().await;
     }
 }
 
 async fn set_fault(State(state): State<Shared>, Json(fault): Json<KvFault>) {
-    state.lock().expect("no holder panics").fault = fault;
+    state.lock().expect("the lock is not poisoned").fault = fault;
 }
 
 async fn calls(State(state): State<Shared>) -> Json<BTreeMap<String, u64>> {
-    Json(state.lock().expect("no holder panics").calls.clone())
+    Json(state.lock().expect("the lock is not poisoned").calls.clone())
 }
 
-/// Count the call and bring its fault about.
+/// Counts the call and applies the fault.
 async fn begin_call(state: &Shared, path: &str) -> Result<(), Response> {
     let fault = {
-        let mut store = state.lock().expect("no holder panics");
+        let mut store = state.lock().expect("the lock is not poisoned");
         *store.calls.entry(path.to_owned()).or_default() += 1;
         store.expire();
         store.fault
@@ -135,9 +136,9 @@
     if fault.down { Err(broken_response()) } else { Ok(()) }
 }
 
-/// An answer that breaks off, which is as good as none.
+/// Returns a response whose body breaks off, which is equivalent to none.
 fn broken_response() -> Response {
-    let broken = stream::once(async { Err::<Bytes, _>(std::io::Error::other("no answer")) });
+    let broken = stream::once(async { Err::<Bytes, _>(std::io::Error::other("response lost by an injected fault")) });
     Response::builder().header("content-length", "1000").body(Body::from_stream(broken)).unwrap_or_default()
 }
 
@@ -199,7 +200,7 @@
         json!({ "revision": self.revision.to_string() })
     }
 
-    /// Run a transaction at the revision that its writes will have.
+    /// Runs a transaction; its writes get this revision.
     fn txn(&mut self, body: &Value, revision: i64) -> Value {
         let empty = Vec::new();
         let list = |field: &str| body.get(field).and_then(Value::as_array).unwrap_or(&empty).clone();
@@ -262,10 +263,10 @@
         return resp;
     }
     let body = parse_body(&body);
-    Json(state.lock().expect("no holder panics").range(&body)).into_response()
+    Json(state.lock().expect("the lock is not poisoned").range(&body)).into_response()
 }
 
-/// The gateway takes any media type, so the body is read by hand.
+/// The gateway accepts any media type, so the body is parsed without the `Json` extractor.
 fn parse_body(body: &Bytes) -> Value {
     serde_json::from_slice(body).unwrap_or(Value::Null)
 }
@@ -278,7 +279,7 @@
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
     let body = parse_body(&body);
-    let mut store = state.lock().expect("no holder panics");
+    let mut store = state.lock().expect("the lock is not poisoned");
     let revision = store.revision + 1;
     let answer = store.txn(&body, revision);
     if store.fault.lose_answers > 0 {
@@ -293,7 +294,7 @@
         return resp;
     }
     let ttl = Duration::from_secs(int_field(&parse_body(&body), "TTL").max(1) as u64);
-    let mut store = state.lock().expect("no holder panics");
+    let mut store = state.lock().expect("the lock is not poisoned");
     store.next_lease += 1;
     let id = store.next_lease;
     store.leases.insert(id, (Instant::now() + ttl, ttl));
@@ -305,7 +306,7 @@
         return resp;
     }
     let id = int_field(&parse_body(&body), "ID");
-    let mut store = state.lock().expect("no holder panics");
+    let mut store = state.lock().expect("the lock is not poisoned");
     let ttl = store.leases.get_mut(&id).map(|(expires_at, ttl)| {
         *expires_at = Instant::now() + *ttl;
         ttl.as_secs()
@@ -319,7 +320,7 @@
         return resp;
     }
     let id = int_field(&parse_body(&body), "ID");
-    state.lock().expect("no holder panics").remove_lease(id);
+    state.lock().expect("the lock is not poisoned").remove_lease(id);
     Json(json!({})).into_response()
 }
 
@@ -330,7 +331,7 @@
     let body = parse_body(&body);
     let key = key_field(body.get("create_request").unwrap_or(&Value::Null), "key");
     let key = String::from_utf8_lossy(&key).into_owned();
-    let rx = state.lock().expect("no holder panics").changes.subscribe();
+    let rx = state.lock().expect("the lock is not poisoned").changes.subscribe();
     let watch_lines = stream::unfold((rx, state, key, true), next_watch_line);
     Response::new(Body::from_stream(watch_lines.map(Ok::<_, Infallible>)))
 }
@@ -343,7 +344,7 @@
     }
     loop {
         let change = tokio::time::timeout(WATCH_PROGRESS_INTERVAL, rx.recv()).await;
-        if state.lock().expect("no holder panics").fault.down {
+        if state.lock().expect("the lock is not poisoned").fault.down {
             return None;
         }
         let events = match change {
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the systems that dahliaseam meets, for tests and the quick start.
+//! Small stand-ins for the systems around dahliaseam, for tests and the quick start.
 //!
-//! Each is a value that serves on a loopback address and has a `/fault` path by which a test
-//! brings a failure about. The examples of this package run each as a process of its own.
-//! [`model`] is the engine model, without input or output, which the bench uses too.
+//! Each is a value that serves on a loopback address; tests inject faults through its `/fault` path.
+//! The examples of this package run each stand-in as a separate process.
+//! [`model`] is the engine model without I/O, which the experiments use too.
 
 pub mod answer;
 pub mod caller;
--- a/stand-ins/src/model.rs
+++ b/stand-ins/src/model.rs
@@ -1,46 +1,46 @@
-//! The engine model: continuous batching, step by step, without input or output.
+//! Engine model: continuous batching, step by step, without I/O.
 //!
-//! Each step generates one token for each sequence whose prompt is done and processes a chunk of
-//! waiting prompts. The step's length is the base, plus a part for each generating sequence, plus
-//! the chunk over the prefill rate, so prompts slow generation down. A role sets the chunk: a
-//! prefill engine takes large ones, a decode engine small ones.
+//! Each step generates one token for each sequence whose prompt has been processed, and processes a
+//! chunk of the remaining prompts. A step takes a base time, plus a time for each generating
+//! sequence, plus the chunk size divided by the prefill rate, so prompts slow generation down. The
+//! chunk size depends on the role: large on a prefill engine, small on a decode engine.
 
 use std::collections::VecDeque;
 
 use dahliaseam_core::endpoint::{LoadReport, Role};
 use serde::{Deserialize, Serialize};
 
-/// Parameters of the model; the users' own figures are not settled.
+/// Parameters of the model. The users have not yet provided figures of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ModelParams {
-    /// Prompt tokens a second when nothing else runs.
+    /// Prompt tokens per second when nothing else runs.
     pub prefill_rate: f64,
-    /// Seconds of a step with an empty batch.
+    /// Base time of a step, in seconds.
     pub step: f64,
-    /// Seconds that each generating sequence adds.
+    /// Time that each generating sequence adds to a step, in seconds.
     pub step_per_seq: f64,
-    /// Sequences in the batch at most.
+    /// Maximum number of sequences in the batch.
     pub slots: u32,
-    /// Tokens of KV cache at most.
+    /// Maximum number of tokens in the KV cache.
     pub kv_tokens: u32,
-    /// Prefixes cached at most.
+    /// Maximum number of cached prefixes.
     pub prefixes: usize,
-    /// Share of a prompt that a cached prefix saves.
+    /// Fraction of a prompt that a cached prefix saves.
     pub cached_share: f64,
-    /// Prompt tokens a step, by role.
+    /// Prompt tokens per step of a prefill engine.
     pub chunk_prefill: u32,
-    /// Prompt tokens a step of a mixed engine.
+    /// Prompt tokens per step of a mixed engine.
     pub chunk_mixed: u32,
-    /// Prompt tokens a step of a decode engine.
+    /// Prompt tokens per step of a decode engine.
     pub chunk_decode: u32,
-    /// Seconds that a role change takes the engine away.
+    /// Time that an engine is unavailable during a role change, in seconds.
     pub change_seconds: f64,
-    /// Seconds by which a load report lags.
+    /// Age of reported loads, in seconds.
     pub report_lag: f64,
-    /// Seconds by which cache events lag.
+    /// Delay of cache events, in seconds.
     pub cache_lag: f64,
-    /// One of so many cache events is lost; zero for none.
+    /// One of this number of cache events is lost; zero for none.
     pub cache_gap: u64,
 }
 
@@ -65,31 +65,31 @@
     }
 }
 
-/// A request as the model sees it.
+/// Request in the model.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// The driver's identifier.
+    /// Identifier chosen by the user of the model.
     pub id: u64,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
-    /// Higher goes first.
+    /// Priority; jobs with a higher one run first.
     pub priority: u8,
-    /// The prompt's KV cache comes with it.
+    /// Whether the KV cache of the prompt is imported, so that the prompt need not be processed.
     pub imported: bool,
-    /// Only the prompt is processed.
+    /// Whether only the prompt is processed.
     pub prefill_only: bool,
 }
 
-/// What a step brought about.
+/// Result of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A token was generated.
+    /// The job with this id generated a token.
     Token(u64),
-    /// The job is done; its last token came before.
+    /// The job with this id is complete; its last token was reported before.
     Done(u64),
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// One engine.
+/// Model of one engine.
 #[derive(Debug)]
 pub struct EngineModel {
     params: ModelParams,
@@ -123,7 +123,7 @@
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub const fn new(params: ModelParams, role: Role) -> Self {
         Self {
@@ -137,26 +137,26 @@
         }
     }
 
-    /// The role.
+    /// Current role.
     #[must_use]
     pub const fn role(&self) -> Role {
         self.role
     }
 
-    /// Take another role; all jobs are lost and returned.
+    /// Changes the role. All jobs are dropped; returns their ids.
     pub fn change_role(&mut self, role: Role) -> Vec<u64> {
         self.role = role;
         self.prefixes.clear();
         self.drop_jobs()
     }
 
-    /// Lose all jobs, as in a crash.
+    /// Drops all jobs, as in a crash, and returns their ids.
     pub fn drop_jobs(&mut self) -> Vec<u64> {
         let jobs = self.batch.drain(..).chain(self.waiting.drain(..));
         jobs.map(|s| s.job.id).collect()
     }
 
-    /// Add a job.
+    /// Adds a job.
     pub fn submit(&mut self, job: Job) {
         let cached = self.use_prefix(job.prefix);
         let prompt = f64::from(job.prompt_tokens);
@@ -170,7 +170,7 @@
         self.waiting.insert(index, sequence);
     }
 
-    /// Forget a job; returns whether it was there.
+    /// Removes a job. Returns whether it was present.
     pub fn cancel(&mut self, id: u64) -> bool {
         let before = self.batch.len() + self.waiting.len();
         self.batch.retain(|s| s.job.id != id);
@@ -178,7 +178,7 @@
         before > self.batch.len() + self.waiting.len()
     }
 
-    /// Begin a step and return its length in seconds; `None` when there is nothing to do.
+    /// Starts a step and returns its duration in seconds, or `None` if there is nothing to do.
     pub fn start_step(&mut self) -> Option<f64> {
         self.admit();
         if self.batch.is_empty() {
@@ -197,7 +197,7 @@
         Some(base + generating * self.params.step_per_seq + chunk / self.params.prefill_rate)
     }
 
-    /// End the step.
+    /// Finishes the step.
     pub fn finish_step(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         for sequence in &mut self.batch {
@@ -222,7 +222,7 @@
         events
     }
 
-    /// The load at this moment.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> LoadReport {
         let all = self.batch.iter().chain(&self.waiting);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Prefixes that left the cache since the last call.
+    /// Returns the prefixes evicted from the cache since the last call.
     pub fn take_evicted(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.evicted)
     }
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Note the use of a prefix; returns whether it was cached.
+    /// Records the use of a prefix. Returns whether it was cached.
     fn use_prefix(&mut self, prefix: u64) -> bool {
         let index = self.prefixes.iter().position(|p| *p == prefix);
         if let Some(index) = index {
--- a/stand-ins/src/plain.rs
+++ b/stand-ins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service: a till application or a porting lookup.
+//! A plain service, such as a till application or a porting lookup.
 
 use std::{
     sync::{Arc, Mutex},
@@ -25,26 +25,26 @@
     serve::Server,
 };
 
-/// How the service misbehaves.
+/// Faults of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainFault {
-    /// Milliseconds before each answer, after the run.
+    /// Delay of each answer in milliseconds, after the request has run.
     pub delay_ms: u64,
-    /// So many requests run and then lose their answer.
+    /// Number of requests that run although their answers are lost.
     pub lose_answers: u32,
-    /// So many requests are refused as not run.
+    /// Number of requests that are refused without running.
     pub refuse: u32,
 }
 
-/// How a plain service is set up.
+/// Setup of a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainSetup {
-    /// Where to serve.
+    /// Address to listen on.
     pub address: String,
-    /// Milliseconds of one call.
+    /// Duration of a call, in milliseconds.
     pub work_ms: u64,
-    /// Where to note what ran.
+    /// History in which requests are recorded.
     pub history: History,
 }
 
@@ -54,17 +54,17 @@
     fault: Arc<Mutex<PlainFault>>,
 }
 
-/// The stand-in.
+/// Running plain service.
 #[derive(Debug)]
 pub struct Plain {
     server: Server,
 }
 
 impl Plain {
-    /// Serve any path; the answer repeats the request's body.
+    /// Starts a service that accepts any path and returns the request body in its answer.
     ///
     /// # Errors
-    /// Why the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn start(setup: PlainSetup) -> std::io::Result<Self> {
         let address = setup.address.clone();
         let shared = Shared { setup: Arc::new(setup), fault: Arc::default() };
@@ -72,23 +72,23 @@
         Ok(Self { server: Server::start(&address, router).await? })
     }
 
-    /// The server.
+    /// Server of this stand-in.
     #[must_use]
     pub const fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Serve until the process ends.
+    /// Serves until the process is killed.
     pub async fn serve_forever(self) {
         self.server.serve_forever().await;
     }
 }
 
 async fn set_fault(State(shared): State<Shared>, Json(fault): Json<PlainFault>) {
-    *shared.fault.lock().expect("no holder panics") = fault;
+    *shared.fault.lock().expect("the lock is not poisoned") = fault;
 }
 
-/// What the service answers to `body`.
+/// Returns the answer to `body`.
 #[must_use]
 pub fn answer(body: &str) -> String {
     format!("done: {body}")
@@ -107,7 +107,7 @@
     });
     tokio::time::sleep(Duration::from_millis(shared.setup.work_ms + fault.delay_ms)).await;
     if fault.lose_answers > 0 {
-        let broken = stream::once(async { Err::<Bytes, _>(std::io::Error::other("lost")) });
+        let broken = stream::once(async { Err::<Bytes, _>(std::io::Error::other("answer lost by an injected fault")) });
         return Response::builder()
             .header("content-length", "1000")
             .body(Body::from_stream(broken.boxed()))
@@ -116,9 +116,9 @@
     answer(&String::from_utf8_lossy(&body)).into_response()
 }
 
-/// The fault for one request, with its counts taken down.
+/// Returns the fault for one request, and decrements its counters.
 fn take_fault(shared: &Shared) -> PlainFault {
-    let mut fault = shared.fault.lock().expect("no holder panics");
+    let mut fault = shared.fault.lock().expect("the lock is not poisoned");
     let current = *fault;
     fault.refuse = fault.refuse.saturating_sub(1);
     if current.refuse == 0 {
--- a/stand-ins/src/relay.rs
+++ b/stand-ins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that stands in for a link, and that a test can hold or cut.
+//! A TCP relay that stands in for a network link, which tests can hold, cut, reset or slow down.
 
 use std::{
     net::SocketAddr,
@@ -18,26 +18,26 @@
     },
 };
 
-/// What the relay does with bytes.
+/// What the relay does with data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Link {
-    /// It passes them on.
+    /// Forwards it.
     Pass = 0,
-    /// It keeps them, and accepts connections without passing anything on.
+    /// Holds it. Connections are accepted, but nothing is forwarded.
     Hold = 1,
-    /// It closes connections at once.
+    /// Closes connections at once.
     Cut = 2,
-    /// It resets connections at once.
+    /// Resets connections at once.
     Reset = 3,
-    /// It passes all bytes on late.
+    /// Forwards it with a delay.
     Slow = 4,
-    /// It passes on what goes to the target, and keeps what comes back.
+    /// Forwards data to the target, and holds the data that it returns.
     HoldBack = 5,
 }
 
 impl Link {
-    /// The mode with this number.
+    /// Returns the state with this number.
     const fn from_number(number: u8) -> Self {
         match number {
             1 => Self::Hold,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether bytes wait that go to the target, or those that come back.
+    /// Returns whether data in the given direction is held.
     fn is_held(self, is_to_client: bool) -> bool {
         self == Self::Hold || (self == Self::HoldBack && is_to_client)
     }
@@ -59,14 +59,14 @@
     }
 }
 
-/// How often a held connection looks whether it may go on.
+/// Interval at which a held connection checks the state of the link.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How late a slow link passes bytes on.
+/// Delay of a slow link.
 const SLOW_DELAY: Duration = Duration::from_millis(120);
-/// Bytes moved at once.
+/// Size of the copy buffer, in bytes.
 const BUF_BYTES: usize = 16 << 10;
 
-/// A running relay.
+/// Running relay.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -75,10 +75,10 @@
 }
 
 impl Relay {
-    /// Relay from a free loopback port to `target`.
+    /// Starts a relay from a free loopback port to `target`.
     ///
     /// # Errors
-    /// Why no port can be bound.
+    /// If no port can be bound.
     pub async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -92,19 +92,19 @@
         Ok(Self { address, link, task })
     }
 
-    /// Where it listens.
+    /// Address it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// End it, as the process behind it ends: its connections close, and new ones are refused.
+    /// Stops the relay like a process that exits: open connections are closed, new ones are refused.
     pub fn shut_down(&self) {
         self.task.abort();
         self.set(Link::Cut);
     }
 
-    /// Change what it does.
+    /// Changes the state of the link.
     pub fn set(&self, link: Link) {
         self.link.store(link as u8, Ordering::SeqCst);
     }
@@ -127,7 +127,7 @@
     }
     wait_while_held(&link, false).await;
     let Ok(mut target_stream) = TcpStream::connect(target).await else {
-        // A port where nobody listens resets.
+        // A port without a listener resets the connection.
         let _ = SockRef::from(&client).set_linger(Some(Duration::ZERO));
         return;
     };
@@ -145,7 +145,7 @@
     reset_if_set(&target_stream, &link);
 }
 
-/// Have a connection reset when it is dropped, if the link does that.
+/// Makes the connection reset when it is dropped, if the link is in state [`Link::Reset`].
 fn reset_if_set(stream: &TcpStream, link: &AtomicU8) {
     if current(link) == Link::Reset {
         let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
--- a/stand-ins/src/serve.rs
+++ b/stand-ins/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving a stand-in on a loopback address until it is stopped.
+//! Serves a stand-in on a loopback address until it is stopped.
 
 use std::{
     net::SocketAddr,
@@ -9,31 +9,31 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Ports that the system does not give to outgoing connections.
+/// Ports outside the range that the system assigns to outgoing connections.
 const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
 
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address that is free now and that no outgoing connection will take.
+/// Returns a loopback address that is free now and that no outgoing connection will get.
 ///
 /// # Panics
-/// When no port is free.
+/// If no port is free.
 #[must_use]
 pub fn free_address() -> String {
     let count = u32::from(PORT_RANGE.end - PORT_RANGE.start);
-    // Test processes that run side by side begin far apart.
+    // Test processes that run in parallel start at distant ports.
     let first = std::process::id().wrapping_mul(331);
     let ports = (0..count).map(|_| {
         let n = first.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
         PORT_RANGE.start + (n % count) as u16
     });
-    // Daemons take some of them for datagrams.
+    // Daemons use some of the ports for UDP too.
     let is_free = |a: &String| std::net::TcpListener::bind(a).is_ok() && std::net::UdpSocket::bind(a).is_ok();
     let free = ports.map(|port| format!("127.0.0.1:{port}")).find(is_free);
-    free.expect("a free port")
+    free.expect("a free port is available")
 }
 
-/// A running server; dropping it stops it.
+/// Running server, which stops when it is dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -42,10 +42,10 @@
 }
 
 impl Server {
-    /// Serve `router` at `address`; port 0 takes a free one.
+    /// Starts to serve `router` at `address`; port 0 selects a free port.
     ///
     /// # Errors
-    /// Why the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn start(address: &str, router: Router) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -64,13 +64,13 @@
         Ok(Self { address, stop, task })
     }
 
-    /// Where it serves.
+    /// Address it serves.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serve until the process ends.
+    /// Serves until the process is killed.
     pub async fn serve_forever(mut self) {
         let _ = (&mut self.task).await;
     }
--- a/stand-ins/src/vms.rs
+++ b/stand-ins/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, set by the test.
+//! The platform's list of VMs, which the test sets.
 
 use std::sync::{Arc, Mutex};
 
@@ -9,40 +9,41 @@
 
 type Shared = Arc<Mutex<Option<Value>>>;
 
-/// The stand-in.
+/// Running list service.
 #[derive(Debug)]
 pub struct VmList {
     server: Server,
 }
 
 impl VmList {
-    /// Serve at `address` with an empty list; `PUT /vms` replaces it, and `null` takes it down.
+    /// Starts a service at `address` with an empty list. `PUT /vms` replaces the list; `null` makes it
+    /// unavailable.
     ///
     /// # Errors
-    /// Why the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn start(address: &str) -> std::io::Result<Self> {
         let state: Shared = Arc::new(Mutex::new(Some(Value::Array(Vec::new()))));
         let router = Router::new().route("/vms", get(list).put(set)).with_state(state);
         Ok(Self { server: Server::start(address, router).await? })
     }
 
-    /// The server.
+    /// Server of this stand-in.
     #[must_use]
     pub const fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Serve until the process ends.
+    /// Serves until the process is killed.
     pub async fn serve_forever(self) {
         self.server.serve_forever().await;
     }
 }
 
 async fn list(State(state): State<Shared>) -> Result<Json<Value>, StatusCode> {
-    let list = state.lock().expect("no holder panics").clone();
+    let list = state.lock().expect("the lock is not poisoned").clone();
     list.map(Json).ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
 async fn set(State(state): State<Shared>, Json(value): Json<Value>) {
-    *state.lock().expect("no holder panics") = (!value.is_null()).then_some(value);
+    *state.lock().expect("the lock is not poisoned") = (!value.is_null()).then_some(value);
 }
