--- a/experiments/examples/policy.rs
+++ b/experiments/examples/policy.rs
@@ -99,8 +99,8 @@
             ("reports 2 s late", lag(2.0), Fault::None),
             ("reports 10 s late", lag(10.0), Fault::None),
             ("a third withdrawn", self.params, Fault::Withdrawn),
-            ("a hall lost for 30 s", self.params, Fault::HallLost),
-            ("a daemon deaf for 20 s", self.params, Fault::DaemonDeaf),
+            ("a hall lost for 30 s", self.params, Fault::EnginesCrashed),
+            ("a daemon deaf for 20 s", self.params, Fault::ReportsLost),
         ];
         for (name, params, fault) in cases {
             for policy in [PolicyKind::LeastReported, PolicyKind::TwoChoices, PolicyKind::Product] {
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -34,7 +34,14 @@
 /// Policy under test. Each call concerns one daemon.
 pub trait RoutingPolicy {
     /// A request arrived.
-    fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Command>;
+    fn request_arrived(
+        &mut self,
+        daemon: usize,
+        request: usize,
+        arrival: &Arrival,
+        kind: &Kind,
+        now: Time,
+    ) -> Vec<Command>;
     /// A token of a request arrived.
     fn token(&mut self, daemon: usize, request: usize, now: Time);
     /// An attempt at a request ended or was cancelled.
@@ -159,7 +166,14 @@
 }
 
 impl RoutingPolicy for Product {
-    fn arrive(&mut self, daemon: usize, request: usize, arrival: &Arrival, kind: &Kind, now: Time) -> Vec<Command> {
+    fn request_arrived(
+        &mut self,
+        daemon: usize,
+        request: usize,
+        arrival: &Arrival,
+        kind: &Kind,
+        now: Time,
+    ) -> Vec<Command> {
         let state = &mut self.daemons[daemon];
         let spec = RequestSpec {
             pool: state.pool,
@@ -237,7 +251,7 @@
 struct Baseline {
     policy: PolicyKind,
     roles: Vec<Role>,
-    open: Vec<bool>,
+    is_open: Vec<bool>,
     next: Vec<usize>,
     loads: Vec<Vec<LoadReport>>,
     in_flight: Vec<Vec<u32>>,
@@ -249,14 +263,14 @@
 /// Maximum number of retries of a baseline for one request. It does not learn that an engine is
 /// unavailable, so without a limit
 /// it would retry forever.
-const MAX_ATTEMPTS: u32 = 3;
+const MAX_RETRIES: u32 = 3;
 
 impl Baseline {
     fn new(policy: PolicyKind, daemons: usize, roles: &[Role], seed: u64) -> Self {
         Self {
             policy,
             roles: roles.to_vec(),
-            open: vec![true; roles.len()],
+            is_open: vec![true; roles.len()],
             next: (0..daemons).collect(),
             loads: vec![vec![LoadReport::default(); roles.len()]; daemons],
             in_flight: vec![vec![0; roles.len()]; daemons],
@@ -292,15 +306,15 @@
     }
 
     fn send(&mut self, daemon: usize, request: usize) -> Vec<Command> {
-        let open = |baseline: &Self, test: fn(Role) -> bool| -> Vec<usize> {
-            (0..baseline.roles.len()).filter(|i| baseline.open[*i] && test(baseline.roles[*i])).collect()
+        let open_engines = |baseline: &Self, test: fn(Role) -> bool| -> Vec<usize> {
+            (0..baseline.roles.len()).filter(|i| baseline.is_open[*i] && test(baseline.roles[*i])).collect()
         };
-        let serving = open(self, |role| role != Role::Prefill);
+        let serving = open_engines(self, |role| role != Role::Prefill);
         if serving.is_empty() {
             return vec![Command::Refuse(request)];
         }
         let engine = self.pick(daemon, &serving);
-        let prefilling = open(self, |role| role == Role::Prefill);
+        let prefilling = open_engines(self, |role| role == Role::Prefill);
         let is_disaggregated = self.roles[engine] == Role::Decode && !prefilling.is_empty();
         let prefill = is_disaggregated.then(|| self.pick(daemon, &prefilling));
         self.in_flight[daemon][engine] += 1;
@@ -313,7 +327,7 @@
 }
 
 impl RoutingPolicy for Baseline {
-    fn arrive(&mut self, daemon: usize, request: usize, _: &Arrival, _: &Kind, _: Time) -> Vec<Command> {
+    fn request_arrived(&mut self, daemon: usize, request: usize, _: &Arrival, _: &Kind, _: Time) -> Vec<Command> {
         self.send(daemon, request)
     }
 
@@ -329,7 +343,7 @@
         self.attempts[request] += 1;
         match end {
             AttemptEnd::Whole => Vec::new(),
-            _ if self.attempts[request] > MAX_ATTEMPTS => vec![Command::Refuse(request)],
+            _ if self.attempts[request] > MAX_RETRIES => vec![Command::Refuse(request)],
             _ => self.send(daemon, request),
         }
     }
@@ -339,7 +353,7 @@
     }
 
     fn set_endpoint_state(&mut self, _: usize, engine: usize, open: bool, role: Role, _: Time) -> Vec<Command> {
-        self.open[engine] = open;
+        self.is_open[engine] = open;
         self.roles[engine] = role;
         Vec::new()
     }
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -39,9 +39,9 @@
     /// A third of the engines is withdrawn as planned, after a third of the run.
     Withdrawn,
     /// A third of the engines crashes after a third of the run, and is unavailable for 30 s.
-    HallLost,
+    EnginesCrashed,
     /// One daemon receives no reports for 20 s.
-    DaemonDeaf,
+    ReportsLost,
 }
 
 /// Setup of a run.
@@ -151,7 +151,7 @@
     now: f64,
     rng: SmallRng,
     outcome: Outcome,
-    tokens: (u64, u64),
+    token_counts: (u64, u64),
     counts_by_kind: [(usize, usize); 2],
     daemon_without_reports: Option<usize>,
 }
@@ -176,7 +176,7 @@
         now: 0.0,
         rng: SmallRng::seed_from_u64(setup.seed ^ 0x5eed),
         outcome: Outcome::default(),
-        tokens: (0, 0),
+        token_counts: (0, 0),
         counts_by_kind: [(0, 0); 2],
         daemon_without_reports: None,
         arrivals,
@@ -224,7 +224,7 @@
 
     fn handle(&mut self, kind: EventKind) {
         match kind {
-            EventKind::Arrival(request) => self.arrive(request),
+            EventKind::Arrival(request) => self.request_arrived(request),
             EventKind::Step(engine, step) => self.finish_step(engine, step),
             EventKind::Report(engine) => self.report(engine),
             EventKind::ReportReceived { daemon, engine, load, at } => {
@@ -248,14 +248,14 @@
         }
     }
 
-    fn arrive(&mut self, request: usize) {
+    fn request_arrived(&mut self, request: usize) {
         let arrival = self.arrivals[request];
         let kind = self.setup.workload.user.kinds()[arrival.kind];
         let daemon = self.rng.random_range(0..self.setup.daemons);
         self.requests[request].daemon = daemon;
         self.outcome.offered += kind.traits.weight;
         self.counts_by_kind[arrival.kind].0 += 1;
-        let commands = self.routing.arrive(daemon, request, &arrival, &kind, self.time());
+        let commands = self.routing.request_arrived(daemon, request, &arrival, &kind, self.time());
         self.execute(commands);
     }
 
@@ -333,7 +333,7 @@
                 StepEvent::Token(id) => {
                     let request = id as usize;
                     self.requests[request].tokens += 1;
-                    self.tokens.0 += 1;
+                    self.token_counts.0 += 1;
                     let (daemon, now) = (self.requests[request].daemon, self.time());
                     self.routing.token(daemon, request, now);
                 }
@@ -376,7 +376,7 @@
             self.counts_by_kind[arrival.kind].1 += 1;
         } else {
             self.outcome.late += 1;
-            self.tokens.1 += u64::from(arrival.output);
+            self.token_counts.1 += u64::from(arrival.output);
         }
         let commands = self.attempt_ended(request, AttemptEnd::Whole);
         self.execute(commands);
@@ -462,13 +462,13 @@
                     self.set_state_at_daemons(engine, false, role);
                 }
             }
-            Fault::HallLost => {
+            Fault::EnginesCrashed => {
                 for engine in 0..self.affected_engines() {
                     self.crash(engine);
                 }
                 self.schedule(30.0, EventKind::FaultEnd);
             }
-            Fault::DaemonDeaf => {
+            Fault::ReportsLost => {
                 self.daemon_without_reports = Some(0);
                 self.schedule(20.0, EventKind::FaultEnd);
             }
@@ -488,7 +488,7 @@
 
     fn end_fault(&mut self) {
         self.daemon_without_reports = None;
-        if self.setup.fault == Fault::HallLost {
+        if self.setup.fault == Fault::EnginesCrashed {
             for engine in 0..self.affected_engines() {
                 self.engines[engine].is_unavailable = false;
             }
@@ -506,7 +506,7 @@
             workload.seconds,
             &self.setup.params,
         );
-        self.outcome.wasted = self.tokens.1 as f64 / self.tokens.0.max(1) as f64;
+        self.outcome.wasted = self.token_counts.1 as f64 / self.token_counts.0.max(1) as f64;
         self.outcome.changes = self.roles.as_ref().map_or(0, |r| r.changes);
         self.outcome
     }
--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -117,17 +117,17 @@
 /// Returns ready daemons that show an older generation more than `within` after a newer one was
 /// accepted.
 fn stale_views(observed: &Observed, accepted: &[(u64, u64)], within: Duration) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for (who, views) in observed {
         for (at, generation) in views {
             let in_force = accepted.iter().filter(|(when, _)| when + within.as_micros() as u64 <= *at);
             let expected = in_force.map(|(_, version)| *version).max().unwrap_or(0);
             if *generation < expected {
-                faults.push(format!("{who:?} still shows {generation} after {expected} was accepted"));
+                violations.push(format!("{who:?} still shows {generation} after {expected} was accepted"));
             }
         }
     }
-    faults
+    violations
 }
 
 #[test]
