--- a/experiments/examples/policy.rs
+++ b/experiments/examples/policy.rs
@@ -1,4 +1,4 @@
-//! Compare the policies through swings of the mix, and write tables, CSV and plots.
+//! Compares the policies while the mix of requests changes, and writes tables, CSV and plots.
 
 use std::{
     error::Error,
@@ -14,7 +14,7 @@
 };
 use experiments::{
     report::{Cell, csv, plot, table},
-    routing::Which,
+    routing::PolicyKind,
     workload::{User, Workload},
     world::{Fault, Setup, run},
 };
@@ -24,16 +24,16 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Seeds of each setting
+    /// Number of seeds for each setting
     #[bpaf(argument("N"), fallback(10))]
     seeds: u64,
-    /// Seconds of each run
+    /// Duration of each run, in seconds
     #[bpaf(argument("N"), fallback(240.0))]
     seconds: f64,
-    /// Folder for the CSV and the plots
+    /// Directory for the CSV files and plots
     #[bpaf(argument("DIR"))]
     out: Option<PathBuf>,
-    /// File with the engine model's parameters, in JSON
+    /// JSON file with the parameters of the engine model
     #[bpaf(argument("FILE"))]
     params: Option<PathBuf>,
     /// Parts to run: loads, faults, roles
@@ -43,10 +43,10 @@
 
 const ENGINES: usize = 12;
 const DAEMONS: usize = 8;
-const SWING: f64 = 60.0;
+const MIX_PERIOD: f64 = 60.0;
 const LOADS: [f64; 5] = [0.5, 0.8, 1.0, 1.2, 1.5];
 
-/// One setting, to be run with several seeds.
+/// One setting, which is run with several seeds.
 struct Task {
     scenario: String,
     policy: String,
@@ -61,10 +61,10 @@
 }
 
 impl Bench {
-    fn setup(&self, user: User, load: f64, which: Which) -> Setup {
+    fn setup(&self, user: User, load: f64, policy: PolicyKind) -> Setup {
         Setup {
-            workload: Workload { user, load, engines: ENGINES, seconds: self.seconds, swing: SWING },
-            which,
+            workload: Workload { user, load, engines: ENGINES, seconds: self.seconds, mix_period: MIX_PERIOD },
+            policy,
             daemons: DAEMONS,
             roles: vec![Role::Mixed; ENGINES],
             params: self.params,
@@ -78,12 +78,12 @@
         let mut tasks = Vec::new();
         for user in User::ALL {
             for load in LOADS {
-                for which in Which::ALL {
+                for policy in PolicyKind::ALL {
                     tasks.push(Task {
                         scenario: format!("{} at {load}", user.name()),
-                        policy: which.name().to_owned(),
+                        policy: policy.name().to_owned(),
                         x: load,
-                        setup: self.setup(user, load, which),
+                        setup: self.setup(user, load, policy),
                     });
                 }
             }
@@ -99,13 +99,13 @@
             ("reports 2 s late", lag(2.0), Fault::None),
             ("reports 10 s late", lag(10.0), Fault::None),
             ("a third withdrawn", self.params, Fault::Withdrawn),
-            ("a hall lost for 30 s", self.params, Fault::HallLost),
-            ("a daemon deaf for 20 s", self.params, Fault::DaemonDeaf),
+            ("a hall lost for 30 s", self.params, Fault::EnginesCrashed),
+            ("a daemon deaf for 20 s", self.params, Fault::ReportsLost),
         ];
         for (name, params, fault) in cases {
-            for which in [Which::LeastReported, Which::TwoChoices, Which::Product] {
-                let setup = Setup { params, fault, ..self.setup(User::Fjordkjede, 0.9, which) };
-                tasks.push(Task { scenario: name.to_owned(), policy: which.name().to_owned(), x: 0.0, setup });
+            for policy in [PolicyKind::LeastReported, PolicyKind::TwoChoices, PolicyKind::Product] {
+                let setup = Setup { params, fault, ..self.setup(User::Fjordkjede, 0.9, policy) };
+                tasks.push(Task { scenario: name.to_owned(), policy: policy.name().to_owned(), x: 0.0, setup });
             }
         }
         tasks
@@ -135,7 +135,7 @@
         for user in User::ALL {
             for load in [0.8, 1.2] {
                 for (name, roles, planner) in modes {
-                    let setup = Setup { roles: roles.clone(), planner, ..self.setup(user, load, Which::Product) };
+                    let setup = Setup { roles: roles.clone(), planner, ..self.setup(user, load, PolicyKind::Product) };
                     let scenario = format!("{} at {load}", user.name());
                     tasks.push(Task { scenario, policy: name.to_owned(), x: load, setup });
                 }
@@ -144,7 +144,7 @@
         tasks
     }
 
-    /// Run all seeds of all tasks on all cores.
+    /// Runs all seeds of all tasks, in parallel on all cores.
     fn run(&self, tasks: Vec<Task>) -> Vec<Cell> {
         let next = AtomicUsize::new(0);
         let seeds = self.seeds as usize;
@@ -182,9 +182,9 @@
         None => ModelParams::default(),
     };
     let bench = Bench { seeds: args.seeds, seconds: args.seconds, params };
-    let wanted = |part: &str| args.parts.is_empty() || args.parts.iter().any(|p| p == part);
+    let is_selected = |part: &str| args.parts.is_empty() || args.parts.iter().any(|p| p == part);
     for (part, tasks) in [("loads", bench.loads()), ("faults", bench.faults()), ("roles", bench.roles())] {
-        if !wanted(part) {
+        if !is_selected(part) {
             continue;
         }
         let cells = bench.run(tasks);
@@ -195,8 +195,9 @@
         std::fs::write(dir.join(format!("{part}.csv")), csv(&cells))?;
         if part == "loads" {
             for user in User::ALL {
-                let mine: Vec<_> = cells.iter().filter(|c| c.scenario.starts_with(user.name())).cloned().collect();
-                plot(&dir.join(format!("loads-{}.svg", user.name())), user.name(), &mine)?;
+                let cells_of_user: Vec<_> =
+                    cells.iter().filter(|c| c.scenario.starts_with(user.name())).cloned().collect();
+                plot(&dir.join(format!("loads-{}.svg", user.name())), user.name(), &cells_of_user)?;
             }
         }
     }
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! Medians and spreads over seeds, as tables, CSV and plots.
+//! Medians and ranges over seeds, as tables, CSV and plots.
 
 use std::{error::Error, fmt::Write, path::Path};
 
@@ -6,48 +6,48 @@
 
 use crate::world::Outcome;
 
-/// The runs of one setting, one for each seed.
+/// Runs of one setting, one for each seed.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// What is compared: the scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// And the policy.
+    /// Name of the policy.
     pub policy: String,
-    /// A number to plot against, such as the load.
+    /// Value on the x axis, such as the load.
     pub x: f64,
-    /// The runs.
+    /// Outcomes of the runs.
     pub runs: Vec<Outcome>,
 }
 
-/// Median, least and greatest.
+/// Median and range of a value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
-    /// The median.
+    /// Median.
     pub median: f64,
-    /// The least.
+    /// Minimum.
     pub low: f64,
-    /// The greatest.
+    /// Maximum.
     pub high: f64,
 }
 
 impl Cell {
-    /// The spread of a figure over the seeds.
+    /// Returns the median and range of a value over the seeds.
     #[must_use]
-    pub fn spread(&self, figure: impl Fn(&Outcome) -> f64) -> Spread {
-        let mut values: Vec<_> = self.runs.iter().map(figure).collect();
+    pub fn spread(&self, value_of: impl Fn(&Outcome) -> f64) -> Spread {
+        let mut values: Vec<_> = self.runs.iter().map(value_of).collect();
         values.sort_by(f64::total_cmp);
-        let at = |i: usize| values.get(i).copied().unwrap_or(0.0);
-        Spread { median: at(values.len() / 2), low: at(0), high: at(values.len().saturating_sub(1)) }
+        let value_at = |i: usize| values.get(i).copied().unwrap_or(0.0);
+        Spread { median: value_at(values.len() / 2), low: value_at(0), high: value_at(values.len().saturating_sub(1)) }
     }
 }
 
-/// Goodput as a share of the bound.
+/// Returns the goodput as a fraction of the upper bound.
 #[must_use]
-pub fn of_bound(outcome: &Outcome) -> f64 {
+pub fn goodput_ratio(outcome: &Outcome) -> f64 {
     outcome.goodput / outcome.bound.max(f64::MIN_POSITIVE)
 }
 
-/// A Markdown table.
+/// Returns a Markdown table.
 #[must_use]
 pub fn table(cells: &[Cell]) -> String {
     let mut out = String::from(
@@ -55,16 +55,16 @@
          wasted | changes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for cell in cells {
-        let good = cell.spread(of_bound);
-        let median = |figure: fn(&Outcome) -> f64| cell.spread(figure).median;
+        let goodput = cell.spread(goodput_ratio);
+        let median = |value_of: fn(&Outcome) -> f64| cell.spread(value_of).median;
         let _ = writeln!(
             out,
             "| {} | {} | {:.3} | {:.3} to {:.3} | {:.4} | {:.4} | {:.0} | {:.0} | {:.3} | {:.0} |",
             cell.scenario,
             cell.policy,
-            good.median,
-            good.low,
-            good.high,
+            goodput.median,
+            goodput.low,
+            goodput.high,
             median(|o| o.in_time[0]),
             median(|o| o.in_time[1]),
             median(|o| o.refused as f64),
@@ -76,7 +76,7 @@
     out
 }
 
-/// One line a run.
+/// Returns CSV with one line for each run.
 #[must_use]
 pub fn csv(cells: &[Cell]) -> String {
     let mut out = String::from(
@@ -105,10 +105,10 @@
     out
 }
 
-/// Lines of goodput over `x`, one for each policy, as SVG.
+/// Plots the goodput over `x` as SVG, with one line for each policy.
 ///
 /// # Errors
-/// Why the file cannot be written.
+/// If the file cannot be written.
 pub fn plot(path: &Path, title: &str, cells: &[Cell]) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, (720, 440)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -127,8 +127,8 @@
     policies.dedup();
     for (n, policy) in policies.iter().enumerate() {
         let color = Palette99::pick(n).mix(1.0);
-        let mine = cells.iter().filter(|c| c.policy == *policy);
-        let points: Vec<_> = mine.map(|c| (c.x, c.spread(of_bound).median)).collect();
+        let points_of_policy = cells.iter().filter(|c| c.policy == *policy);
+        let points: Vec<_> = points_of_policy.map(|c| (c.x, c.spread(goodput_ratio).median)).collect();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
             .label(policy.as_str())
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -1,4 +1,4 @@
-//! Role changes in a run: the planner's decisions, carried out as control does it.
+//! Role changes in a run: the planner's decisions, carried out as the daemon's control loop does.
 
 use dahliaseam_core::{
     endpoint::Role,
@@ -7,35 +7,35 @@
     time::Time,
 };
 
-/// A change under way.
+/// Stage of a role change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// It waits until nothing runs.
-    Emptying(Role),
-    /// It is away until this second.
-    Away(Role, f64),
+    /// The engine is to get this role, and waits until no request runs.
+    Draining(Role),
+    /// The engine changes to this role until the given time, in seconds.
+    Changing(Role, f64),
 }
 
-/// The planner of a run.
+/// Planner of the role changes in a run.
 #[derive(Debug)]
-pub struct Roles {
+pub struct RolePlanner {
     settings: PlannerSettings,
     rates: RoleRates,
     planner: Planner,
-    /// Changes under way, by engine.
-    pub under_way: Vec<Option<Stage>>,
-    /// Changes decided on.
+    /// Changes in progress, by engine.
+    pub in_progress: Vec<Option<Stage>>,
+    /// Number of changes started.
     pub changes: usize,
 }
 
-impl Roles {
-    /// A planner for so many engines.
+impl RolePlanner {
+    /// Creates a planner for the given number of engines.
     #[must_use]
     pub fn new(settings: PlannerSettings, rates: RoleRates, engines: usize) -> Self {
-        Self { settings, rates, planner: Planner::default(), under_way: vec![None; engines], changes: 0 }
+        Self { settings, rates, planner: Planner::default(), in_progress: vec![None; engines], changes: 0 }
     }
 
-    /// The change to begin now: an engine and its new role.
+    /// Returns the change to start now: an engine and its new role.
     pub fn decide(
         &mut self,
         roles: &[Role],
@@ -43,12 +43,12 @@
         demands: &[AverageDemand],
         now: Time,
     ) -> Option<(usize, Role)> {
-        let sum = |pick: fn(&AverageDemand) -> Demand| demands.iter().map(pick).fold(Demand::default(), Demand::plus);
-        let outlook = AverageDemand { short: sum(|o| o.short), long: sum(|o| o.long) };
+        let sum = |part: fn(&AverageDemand) -> Demand| demands.iter().map(part).fold(Demand::default(), Demand::plus);
+        let demand = AverageDemand { short: sum(|o| o.short), long: sum(|o| o.long) };
         let mut counts = RoleCounts::default();
         for (engine, role) in roles.iter().enumerate() {
-            let role = match self.under_way[engine] {
-                Some(Stage::Emptying(role) | Stage::Away(role, _)) => role,
+            let role = match self.in_progress[engine] {
+                Some(Stage::Draining(role) | Stage::Changing(role, _)) => role,
                 None => *role,
             };
             match role {
@@ -58,11 +58,11 @@
                 Role::Plain => {}
             }
         }
-        let in_flight = self.under_way.iter().flatten().count();
-        let change = self.planner.plan(&self.settings, self.rates, counts, outlook, in_flight, now)?;
-        let candidates = (0..roles.len()).filter(|e| roles[*e] == change.from && self.under_way[*e].is_none());
+        let in_flight = self.in_progress.iter().flatten().count();
+        let change = self.planner.plan(&self.settings, self.rates, counts, demand, in_flight, now)?;
+        let candidates = (0..roles.len()).filter(|e| roles[*e] == change.from && self.in_progress[*e].is_none());
         let engine = candidates.min_by_key(|e| running[*e])?;
-        self.under_way[engine] = Some(Stage::Emptying(change.to));
+        self.in_progress[engine] = Some(Stage::Draining(change.to));
         self.changes += 1;
         Some((engine, change.to))
     }
--- a/proofs/src/load.rs
+++ b/proofs/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests of every kind until they are told to stop.
+//! Callers that send requests of all kinds until they are stopped.
 
 use std::{
     sync::{
@@ -9,30 +9,30 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use stand_ins::caller::{Call, Caller, Got, NO_CONNECTION};
+use stand_ins::caller::{Answer, Call, Caller, NO_CONNECTION};
 use tokio::task::JoinSet;
 
-/// Requests of one caller at most, so that a test's load always ends.
-const MAX_CALLS: u64 = 5_000;
+/// Maximum number of requests of one caller, so that the load always ends.
+const MAX_CALLS_PER_CALLER: u64 = 5_000;
 
-/// What callers send.
+/// Requests that callers send.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
-    /// Milliseconds between a caller's requests.
+    /// Pause between two requests of a caller, in milliseconds.
     pub pause_ms: u64,
-    /// Bytes of a catalogue query's prompt.
+    /// Size of a catalogue query's prompt, in bytes.
     pub prompt_bytes: usize,
-    /// Tokens of a chat reply.
+    /// Number of tokens of a chat reply.
     pub chat_tokens: u32,
-    /// Whether callers send to one daemon first and another after a refusal.
-    pub try_another: bool,
-    /// The one kind to send, in place of all.
-    pub only: Option<&'static str>,
+    /// Whether callers try the other daemons after a refusal.
+    pub try_other_daemons: bool,
+    /// Single kind to send, instead of all kinds.
+    pub only_kind: Option<&'static str>,
 }
 
 impl Default for Mix {
     fn default() -> Self {
-        Self { pause_ms: 5, prompt_bytes: 800, chat_tokens: 40, try_another: true, only: None }
+        Self { pause_ms: 5, prompt_bytes: 800, chat_tokens: 40, try_other_daemons: true, only_kind: None }
     }
 }
 
@@ -41,13 +41,13 @@
 pub struct Load {
     stop: Arc<AtomicBool>,
     sent: Arc<AtomicU64>,
-    tasks: JoinSet<Vec<(Call, Got)>>,
+    tasks: JoinSet<Vec<(Call, Answer)>>,
 }
 
-/// The kinds that a load consists of.
+/// Kinds that are sent by default.
 pub const KINDS: [&str; 5] = ["stock-ping", "order-confirm", "counter-answer", "chat-reply", "catalogue-query"];
 
-/// A request of the given kind, told apart by `n`.
+/// Returns a request of the given kind, made unique by `n`.
 #[must_use]
 pub fn call(kind: &str, n: u64, mix: &Mix) -> Call {
     let base = Call { kind: kind.to_owned(), team: "dealers".to_owned(), ..Call::default() };
@@ -82,47 +82,47 @@
 }
 
 impl Load {
-    /// Start `callers` callers at the daemons in `addresses`.
+    /// Starts `callers` callers that send to the daemons at `addresses`.
     #[must_use]
     pub fn start(caller: &Caller, addresses: &[String], callers: usize, seed: u64, mix: Mix) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let sent = Arc::new(AtomicU64::new(0));
         let mut tasks = JoinSet::new();
         for n in 0..callers {
-            let one = One {
+            let worker = Worker {
                 caller: caller.clone(),
                 addresses: addresses.to_vec(),
                 stop: Arc::clone(&stop),
                 sent: Arc::clone(&sent),
                 mix,
-                first: (seed * 100 + n as u64) * 1_000_000,
+                first_number: (seed * 100 + n as u64) * 1_000_000,
                 rng: SmallRng::seed_from_u64(seed + n as u64),
             };
-            tasks.spawn(one.run());
+            tasks.spawn(worker.run());
         }
         Self { stop, sent, tasks }
     }
 
-    /// Requests sent so far.
+    /// Returns the number of requests sent so far.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Wait until `count` more requests were sent, or the time is over.
-    pub async fn wait_for(&self, count: u64) {
-        let until = std::time::Instant::now() + crate::cluster::PATIENCE;
-        let goal = self.sent() + count;
-        while self.sent() < goal && std::time::Instant::now() < until {
+    /// Waits until `count` more requests have been sent, for at most [`WAIT_TIMEOUT`](crate::cluster::WAIT_TIMEOUT).
+    pub async fn wait_for_requests(&self, count: u64) {
+        let deadline = std::time::Instant::now() + crate::cluster::WAIT_TIMEOUT;
+        let target = self.sent() + count;
+        while self.sent() < target && std::time::Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Let each caller finish its request, and return what they got.
+    /// Stops the callers after their current requests, and returns all answers.
     ///
     /// # Panics
-    /// When a caller panicked.
-    pub async fn finish(mut self) -> Vec<(Call, Got)> {
+    /// If a caller panicked.
+    pub async fn finish(mut self) -> Vec<(Call, Answer)> {
         self.stop.store(true, Ordering::Relaxed);
         let mut all = Vec::new();
         while let Some(result) = self.tasks.join_next().await {
@@ -132,32 +132,32 @@
     }
 }
 
-/// Requests of protected kinds that did not get their whole answer.
+/// Returns the requests of protected kinds that did not get a whole and exact answer.
 #[must_use]
-pub fn unprotected(answers: &[(Call, Got)]) -> Vec<String> {
+pub fn failed_protected(answers: &[(Call, Answer)]) -> Vec<String> {
     let protected = |call: &Call| matches!(call.kind.as_str(), "stock-ping" | "order-confirm" | "counter-answer");
     let bad = answers.iter().filter(|(call, got)| protected(call) && !(got.outcome == "whole" && got.exact));
     bad.map(|(call, got)| format!("{} {}: {got:?}", call.kind, call.prompt)).collect()
 }
 
-struct One {
+struct Worker {
     caller: Caller,
     addresses: Vec<String>,
     stop: Arc<AtomicBool>,
     sent: Arc<AtomicU64>,
     mix: Mix,
-    first: u64,
+    first_number: u64,
     rng: SmallRng,
 }
 
-impl One {
-    async fn run(mut self) -> Vec<(Call, Got)> {
+impl Worker {
+    async fn run(mut self) -> Vec<(Call, Answer)> {
         let mut all = Vec::new();
-        for n in self.first..self.first + MAX_CALLS {
+        for n in self.first_number..self.first_number + MAX_CALLS_PER_CALLER {
             if self.stop.load(Ordering::Relaxed) {
                 break;
             }
-            let kind = self.mix.only.unwrap_or(KINDS[self.rng.random_range(0..KINDS.len())]);
+            let kind = self.mix.only_kind.unwrap_or(KINDS[self.rng.random_range(0..KINDS.len())]);
             let call = call(kind, n, &self.mix);
             let got = self.send(&call).await;
             all.push((call, got));
@@ -166,18 +166,18 @@
         all
     }
 
-    /// Send as the platform's balancer does: another daemon when one accepts no connection or
-    /// says that nothing ran.
-    async fn send(&mut self, call: &Call) -> Got {
+    /// Sends a request as the platform's balancer does: tries another daemon if one accepts no
+    /// connection or is not ready.
+    async fn send(&mut self, call: &Call) -> Answer {
         let start = self.rng.random_range(0..self.addresses.len());
-        let tries = if self.mix.try_another { self.addresses.len() } else { 1 };
-        let mut got = Got::default();
-        for i in 0..tries {
+        let attempts = if self.mix.try_other_daemons { self.addresses.len() } else { 1 };
+        let mut got = Answer::default();
+        for i in 0..attempts {
             let address = &self.addresses[(start + i) % self.addresses.len()];
             self.sent.fetch_add(1, Ordering::Relaxed);
             got = self.caller.send(address, call).await;
-            let elsewhere = got.reason == NO_CONNECTION || got.reason == "not_ready";
-            if !elsewhere {
+            let may_try_other = got.reason == NO_CONNECTION || got.reason == "not_ready";
+            if !may_try_other {
                 break;
             }
         }
--- a/stand-ins/src/relay.rs
+++ b/stand-ins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that stands in for a link, and that a test can hold or cut.
+//! A TCP relay that stands in for a network link, which tests can hold, cut, reset or slow down.
 
 use std::{
     net::SocketAddr,
@@ -18,26 +18,26 @@
     },
 };
 
-/// What the relay does with bytes.
+/// What the relay does with data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Link {
-    /// It passes them on.
+    /// Forwards it.
     Pass = 0,
-    /// It keeps them, and accepts connections without passing anything on.
+    /// Holds it. Connections are accepted, but nothing is forwarded.
     Hold = 1,
-    /// It closes connections at once.
+    /// Closes connections at once.
     Cut = 2,
-    /// It resets connections at once.
+    /// Resets connections at once.
     Reset = 3,
-    /// It passes all bytes on late.
+    /// Forwards it with a delay.
     Slow = 4,
-    /// It passes on what goes to the target, and keeps what comes back.
+    /// Forwards data to the target, and holds the data that it returns.
     HoldBack = 5,
 }
 
 impl Link {
-    /// The mode with this number.
+    /// Returns the state with this number.
     const fn from_number(number: u8) -> Self {
         match number {
             1 => Self::Hold,
@@ -49,24 +49,24 @@
         }
     }
 
-    /// Whether bytes wait that go to the target, or those that come back.
-    fn holds(self, is_way_back: bool) -> bool {
-        self == Self::Hold || (self == Self::HoldBack && is_way_back)
+    /// Returns whether data in the given direction is held.
+    fn is_held(self, is_to_client: bool) -> bool {
+        self == Self::Hold || (self == Self::HoldBack && is_to_client)
     }
 
-    const fn ends(self) -> bool {
+    const fn closes(self) -> bool {
         matches!(self, Self::Cut | Self::Reset)
     }
 }
 
-/// How often a held connection looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(10);
-/// How late a slow link passes bytes on.
-const SLOW: Duration = Duration::from_millis(120);
-/// Bytes moved at once.
-const CHUNK: usize = 16 << 10;
+/// Interval at which a held connection checks the state of the link.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay of a slow link.
+const SLOW_DELAY: Duration = Duration::from_millis(120);
+/// Size of the copy buffer, in bytes.
+const BUF_BYTES: usize = 16 << 10;
 
-/// A running relay.
+/// Running relay.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -75,10 +75,10 @@
 }
 
 impl Relay {
-    /// Relay from a free loopback port to `target`.
+    /// Starts a relay from a free loopback port to `target`.
     ///
     /// # Errors
-    /// Why no port can be bound.
+    /// If no port can be bound.
     pub async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -86,25 +86,25 @@
         let state = Arc::clone(&link);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(carry(stream, target, Arc::clone(&state)));
+                tokio::spawn(relay_connection(stream, target, Arc::clone(&state)));
             }
         });
         Ok(Self { address, link, task })
     }
 
-    /// Where it listens.
+    /// Address it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// End it, as the process behind it ends: its connections close, and new ones are refused.
-    pub fn end(&self) {
+    /// Stops the relay like a process that exits: open connections are closed, new ones are refused.
+    pub fn shut_down(&self) {
         self.task.abort();
         self.set(Link::Cut);
     }
 
-    /// Change what it does.
+    /// Changes the state of the link.
     pub fn set(&self, link: Link) {
         self.link.store(link as u8, Ordering::SeqCst);
     }
@@ -116,66 +116,66 @@
     }
 }
 
-fn now(link: &AtomicU8) -> Link {
+fn current(link: &AtomicU8) -> Link {
     Link::from_number(link.load(Ordering::SeqCst))
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, link: Arc<AtomicU8>) {
-    if now(&link).ends() {
-        end(&near, &link);
+async fn relay_connection(client: TcpStream, target: SocketAddr, link: Arc<AtomicU8>) {
+    if current(&link).closes() {
+        reset_if_set(&client, &link);
         return;
     }
     wait_while_held(&link, false).await;
-    let Ok(mut far) = TcpStream::connect(target).await else {
-        // A port where nobody listens resets.
-        let _ = SockRef::from(&near).set_linger(Some(Duration::ZERO));
+    let Ok(mut target_stream) = TcpStream::connect(target).await else {
+        // A port without a listener resets the connection.
+        let _ = SockRef::from(&client).set_linger(Some(Duration::ZERO));
         return;
     };
-    let mut near = near;
+    let mut client = client;
     {
-        let (near_rx, near_tx) = near.split();
-        let (far_rx, far_tx) = far.split();
+        let (client_rx, client_tx) = client.split();
+        let (target_rx, target_tx) = target_stream.split();
         tokio::select! {
-            () = copy(near_rx, far_tx, &link, false) => {}
-            () = copy(far_rx, near_tx, &link, true) => {}
-            () = ended(&link) => {}
+            () = copy(client_rx, target_tx, &link, false) => {}
+            () = copy(target_rx, client_tx, &link, true) => {}
+            () = wait_until_closed(&link) => {}
         }
     }
-    end(&near, &link);
-    end(&far, &link);
+    reset_if_set(&client, &link);
+    reset_if_set(&target_stream, &link);
 }
 
-/// Have a connection reset when it is dropped, if the link does that.
-fn end(stream: &TcpStream, link: &AtomicU8) {
-    if now(link) == Link::Reset {
+/// Makes the connection reset when it is dropped, if the link is in state [`Link::Reset`].
+fn reset_if_set(stream: &TcpStream, link: &AtomicU8) {
+    if current(link) == Link::Reset {
         let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-async fn copy(mut rx: ReadHalf<'_>, mut tx: WriteHalf<'_>, link: &AtomicU8, is_way_back: bool) {
-    let mut buf = vec![0; CHUNK];
+async fn copy(mut rx: ReadHalf<'_>, mut tx: WriteHalf<'_>, link: &AtomicU8, is_to_client: bool) {
+    let mut buf = vec![0; BUF_BYTES];
     while let Ok(n) = rx.read(&mut buf).await {
         if n == 0 {
             return;
         }
-        if now(link) == Link::Slow {
-            tokio::time::sleep(SLOW).await;
+        if current(link) == Link::Slow {
+            tokio::time::sleep(SLOW_DELAY).await;
         }
-        wait_while_held(link, is_way_back).await;
+        wait_while_held(link, is_to_client).await;
         if tx.write_all(&buf[..n]).await.is_err() {
             return;
         }
     }
 }
 
-async fn wait_while_held(link: &AtomicU8, is_way_back: bool) {
-    while now(link).holds(is_way_back) {
-        tokio::time::sleep(LOOK).await;
+async fn wait_while_held(link: &AtomicU8, is_to_client: bool) {
+    while current(link).is_held(is_to_client) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ended(link: &AtomicU8) {
-    while !now(link).ends() {
-        tokio::time::sleep(LOOK).await;
+async fn wait_until_closed(link: &AtomicU8) {
+    while !current(link).closes() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
