--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -155,7 +155,13 @@
     let (from, mut news) = (members.contact().clone(), members.take_updates());
     news.extend(members.update_to_refute(key));
     drop(members);
-    Probe { from, updates: news, digest: digest(node), closed_vms: node.availability.closed_vms(), loads: load_reports(node) }
+    Probe {
+        from,
+        updates: news,
+        digest: digest(node),
+        closed_vms: node.availability.closed_vms(),
+        loads: load_reports(node),
+    }
 }
 
 fn make_answer(node: &Node) -> Answer {
