--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -182,7 +182,7 @@
         }
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    Err(CommandError::TimedOut(format!("{endpoint} gets no new work, but did not become empty")))
+    Err(CommandError::TimedOut(format!("{endpoint} is marked as drained, but not yet closed to new work and empty")))
 }
 
 fn read_resources(file: &Path) -> Result<ApplyBody, CommandError> {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -13,7 +13,7 @@
         Open(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
-        /// The file is not valid JSON or has an unexpected field.
+        /// The content is not valid JSON, or a field is missing, unknown or of the wrong type.
         Read(path: PathBuf, e: ReadError) {
             display("{}: {}", path.display(), e)
         }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -77,7 +77,7 @@
     /// Dispatch policy.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// Maximum number of loads of models, adapters and versions per minute that the holder of a shard orders.
+    /// Maximum number of loads of models, adapters and versions that the holder of a shard orders per minute.
     #[serde(default = "default_loads")]
     pub loads_per_minute: f64,
     /// Settings of the log.
