--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -38,7 +38,6 @@
 const KV_CAPACITY: u64 = 305_000;
 /// Number of long answers on each decode engine.
 const ANSWERS_PER_ENGINE: usize = 20;
-/// Number of prefill engines, and of decode engines.
 const ENGINES_PER_ROLE: usize = 3;
 /// Simulated seconds.
 const SECONDS: f64 = 40.0;
@@ -162,7 +161,7 @@
         let next = queue.iter().position(|prompt| !prompt.step.late).unwrap_or(0);
         let current = queue.remove(next);
         let factor = if current.decode.is_some() { 1.0 } else { 2.0 };
-        *done = Some(now + Span::seconds(actual_prefill_ms(current.step.reading) * factor / 1_000.0));
+        *done = Some(now + Span::seconds(actual_prefill_ms(current.step.prefill) * factor / 1_000.0));
         queue.insert(0, current);
     }
 
@@ -191,8 +190,8 @@
 }
 
 /// Actual duration of a prefill.
-fn actual_prefill_ms(reading: PrefillWork) -> f64 {
-    let (uncached, held) = (f64::from(reading.uncached), f64::from(reading.cached));
+fn actual_prefill_ms(prefill: PrefillWork) -> f64 {
+    let (uncached, held) = (f64::from(prefill.uncached), f64::from(prefill.cached));
     5.0 + uncached / 307.0 + 0.147 * uncached * (held + uncached / 2.0) / 1e6
 }
 
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -71,7 +71,7 @@
         self.trial = None;
         loop {
             let now = self.gw.now();
-            let standing = self.gw.fleet().standing(self.content, now);
+            let standing = self.gw.fleet().verdict(self.content, now);
             match standing {
                 Verdict::Clear => self.isolation = None,
                 Verdict::Isolated(isolation) => self.isolation = Some(isolation),
