--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -223,8 +223,7 @@
 }
 
 /// Measures the cost per request of crash tracking: hashing its content, checking whether it is suspected, and
-/// recording its answer, while
-/// the given number of other requests are suspected.
+/// recording its answer, while the given number of other requests are suspected.
 fn crash_tracking(c: &mut Criterion) {
     let body = vec![7; 18_000];
     let mut group = c.benchmark_group("endings of a request");
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -4,8 +4,7 @@
 //!
 //! A team sends requests of two sizes to daemons of unequal popularity, at loads below and far above its
 //! quota. For each load the program prints the fraction of units refused, the units admitted in the fullest
-//! window relative to what a window
-//! allows, and the messages of all daemons per second.
+//! window relative to what a window allows, and the messages of all daemons per second.
 
 use dahliaseam_core::{
     bucket::TokenBucket,
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -3,8 +3,7 @@
 //! The dispatchers of several daemons, which do not share state, run against the same engine model as
 //! the engine stand-in. [`workload`] generates the requests, [`routing`] contains the compared
 //! policies, [`roles`] plans role changes, [`world`] simulates one run, [`bound`] computes what no
-//! policy can exceed, and [`report`]
-//! writes tables, CSV and plots.
+//! policy can exceed, and [`report`] writes tables, CSV and plots.
 
 pub mod bound;
 pub mod report;
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -261,8 +261,7 @@
 }
 
 /// Maximum number of retries of a baseline for one request. It does not learn that an engine is
-/// unavailable, so without a limit
-/// it would retry forever.
+/// unavailable, so without a limit it would retry forever.
 const MAX_RETRIES: u32 = 3;
 
 impl Baseline {
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -147,11 +147,14 @@
     requests: Vec<RequestState>,
     roles: Option<RolePlanner>,
     events: BinaryHeap<Reverse<Event>>,
+    /// Sequence number of the last scheduled event, which orders events at the same time.
     sequence: u64,
     now: f64,
     rng: SmallRng,
     outcome: Outcome,
+    /// Generated tokens, and those that belong to late answers.
     token_counts: (u64, u64),
+    /// Arrived requests and those answered in time, by kind.
     counts_by_kind: [(usize, usize); 2],
     daemon_without_reports: Option<usize>,
 }
--- a/proofs/src/check.rs
+++ b/proofs/src/check.rs
@@ -116,7 +116,7 @@
         }
     }
     let repeated = runs.into_iter().filter(|(_, count)| *count > 1);
-    repeated.map(|(key, count)| format!("key {key} was run {count} times")).collect()
+    repeated.map(|(key, count)| format!("key {key} ran {count} times")).collect()
 }
 
 /// Checks that no endpoint in `names` started to run a request after `since`, in microseconds of
