--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -318,7 +318,7 @@
         let (status, value) =
             cluster.operator_call("entry-1", "PUT", path, Some(&body)).await.expect("the daemon responds");
         assert_eq!(status, 422, "{value}");
-        let problems = value["the response lists problems"].as_array().expect("problems").clone();
+        let problems = value["problems"].as_array().expect("the response lists problems").clone();
         assert!(problems.iter().any(|p| p.to_string().contains(field)), "{field}: {value}");
     }
     let after = cluster.status("entry-1").await.expect("the daemon responds").vms[0].generation;
