--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -428,9 +428,9 @@
                 && load.running + load.waiting == 0
             {
                 self.engines[engine].is_unavailable = true;
-                let away = self.setup.params.change_seconds;
-                roles.in_progress[engine] = Some(Stage::Changing(role, self.now + away));
-                self.schedule(away, EventKind::RoleChangeDone(engine));
+                let change_seconds = self.setup.params.change_seconds;
+                roles.in_progress[engine] = Some(Stage::Changing(role, self.now + change_seconds));
+                self.schedule(change_seconds, EventKind::RoleChangeDone(engine));
             }
         }
         self.roles = Some(roles);
--- a/proofs/tests/checkers.rs
+++ b/proofs/tests/checkers.rs
@@ -10,7 +10,7 @@
     numbered.map(|(n, (who, event))| Entry { at: n as u64, who: who.to_owned(), event }).collect()
 }
 
-fn taken(epoch: u64, sequence: u64, by: &str, kind: OrderKind, checks: bool) -> Event {
+fn accepted(epoch: u64, sequence: u64, by: &str, kind: OrderKind, checks: bool) -> Event {
     Event::OrderTaken { epoch, sequence, by: by.to_owned(), kind, checks }
 }
 
@@ -31,20 +31,20 @@
 #[test]
 fn interleaved_orders_at_an_engine_that_ignores_fencing_numbers() {
     let crossed = entries(vec![
-        ("e", taken(1, 1, "a", OrderKind::Cordon, false)),
-        ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
-        ("e", taken(1, 3, "a", OrderKind::Uncordon, false)),
+        ("e", accepted(1, 1, "a", OrderKind::Cordon, false)),
+        ("e", accepted(2, 2, "b", OrderKind::Cordon, false)),
+        ("e", accepted(1, 3, "a", OrderKind::Uncordon, false)),
     ]);
     assert_eq!(orders(&crossed).len(), 2, "the order is older, and it is interleaved");
     let late = entries(vec![
-        ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
-        ("e", taken(1, 1, "a", OrderKind::Uncordon, false)),
+        ("e", accepted(2, 2, "b", OrderKind::Cordon, false)),
+        ("e", accepted(1, 1, "a", OrderKind::Uncordon, false)),
     ]);
     assert_eq!(orders(&late).len(), 1, "the first order of a former holder arrives late");
     let handed_over = entries(vec![
-        ("e", taken(1, 1, "a", OrderKind::Cordon, false)),
-        ("e", taken(2, 2, "b", OrderKind::Cordon, false)),
-        ("e", taken(3, 3, "a", OrderKind::Uncordon, false)),
+        ("e", accepted(1, 1, "a", OrderKind::Cordon, false)),
+        ("e", accepted(2, 2, "b", OrderKind::Cordon, false)),
+        ("e", accepted(3, 3, "a", OrderKind::Uncordon, false)),
     ]);
     assert!(orders(&handed_over).is_empty());
 }
@@ -52,8 +52,8 @@
 #[test]
 fn an_older_fencing_number_at_an_engine_that_checks() {
     let older = entries(vec![
-        ("e", taken(2, 1, "b", OrderKind::Cordon, true)),
-        ("e", taken(1, 2, "a", OrderKind::Uncordon, true)),
+        ("e", accepted(2, 1, "b", OrderKind::Cordon, true)),
+        ("e", accepted(1, 2, "a", OrderKind::Uncordon, true)),
     ]);
     assert_eq!(orders(&older).len(), 1);
 }
@@ -61,17 +61,17 @@
 #[test]
 fn an_order_while_another_is_carried_out() {
     let overlapping =
-        entries(vec![("e", taken(1, 1, "a", ROLE, true)), ("e", taken(1, 2, "a", OrderKind::Cordon, true))]);
+        entries(vec![("e", accepted(1, 1, "a", ROLE, true)), ("e", accepted(1, 2, "a", OrderKind::Cordon, true))]);
     assert_eq!(orders(&overlapping).len(), 1);
     assert!(orders_with_crashes(&overlapping).is_empty());
     let in_turn = entries(vec![
-        ("e", taken(1, 1, "a", ROLE, true)),
+        ("e", accepted(1, 1, "a", ROLE, true)),
         ("e", done(1, 1)),
-        ("e", taken(1, 2, "a", OrderKind::Cordon, true)),
+        ("e", accepted(1, 2, "a", OrderKind::Cordon, true)),
     ]);
     assert!(orders(&in_turn).is_empty());
     let elsewhere =
-        entries(vec![("e", taken(1, 1, "a", ROLE, true)), ("f", taken(1, 2, "a", OrderKind::Cordon, true))]);
+        entries(vec![("e", accepted(1, 1, "a", ROLE, true)), ("f", accepted(1, 2, "a", OrderKind::Cordon, true))]);
     assert!(orders(&elsewhere).is_empty());
 }
 
