--- a/crates/core/src/fleet/cache.rs
+++ b/crates/core/src/fleet/cache.rs
@@ -52,10 +52,10 @@
 
     fn evict(&mut self) {
         while self.used_tokens > self.capacity {
-            let Some((_, chain)) = self.by_use.pop_first() else {
+            let Some((_, prefix_hash)) = self.by_use.pop_first() else {
                 return;
             };
-            if let Some((tokens, _)) = self.parts.remove(&chain) {
+            if let Some((tokens, _)) = self.parts.remove(&prefix_hash) {
                 self.used_tokens -= u64::from(tokens);
             }
         }
--- a/crates/core/src/fleet/candidates.rs
+++ b/crates/core/src/fleet/candidates.rs
@@ -29,14 +29,14 @@
 /// The replicas of each service, and the holders of prompt parts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Candidates {
-    services: HashMap<Arc<str>, Members>,
+    services: HashMap<Arc<str>, ServiceReplicas>,
     holders: HashMap<u64, VecDeque<ReplicaKey>>,
     /// Parts in the order in which they were added.
     parts: VecDeque<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Members {
+struct ServiceReplicas {
     all: Vec<ReplicaKey>,
     in_hall: Vec<ReplicaKey>,
 }
@@ -44,18 +44,18 @@
 impl Candidates {
     /// Adds a replica.
     pub(super) fn add(&mut self, service: &Arc<str>, key: ReplicaKey, in_hall: bool) {
-        let members = self.services.entry(Arc::clone(service)).or_default();
-        members.all.push(key);
+        let replicas = self.services.entry(Arc::clone(service)).or_default();
+        replicas.all.push(key);
         if in_hall {
-            members.in_hall.push(key);
+            replicas.in_hall.push(key);
         }
     }
 
     /// Removes a replica.
     pub(super) fn remove(&mut self, service: &str, key: ReplicaKey) {
-        if let Some(members) = self.services.get_mut(service) {
-            members.all.retain(|other| *other != key);
-            members.in_hall.retain(|other| *other != key);
+        if let Some(replicas) = self.services.get_mut(service) {
+            replicas.all.retain(|other| *other != key);
+            replicas.in_hall.retain(|other| *other != key);
         }
     }
 
@@ -81,20 +81,20 @@
 
     /// All replicas of a service.
     pub(super) fn all(&self, service: &str) -> &[ReplicaKey] {
-        self.services.get(service).map_or(&[], |members| &members.all)
+        self.services.get(service).map_or(&[], |replicas| &replicas.all)
     }
 
     /// The candidates for a request, without duplicates.
     pub(super) fn select(&self, service: &str, prompt: Option<&Prompt>, draw: u64) -> Vec<ReplicaKey> {
-        let Some(members) = self.services.get(service) else {
+        let Some(replicas) = self.services.get(service) else {
             return Vec::new();
         };
-        if members.all.len() <= FULL_SCAN_LIMIT {
-            return members.all.clone();
+        if replicas.all.len() <= FULL_SCAN_LIMIT {
+            return replicas.all.clone();
         }
         let mut sample = Vec::with_capacity(FULL_SCAN_LIMIT);
-        sample.extend(sample_keys(&members.in_hall, SAMPLE_IN_HALL, draw));
-        sample.extend(sample_keys(&members.all, SAMPLE_ANYWHERE, !draw));
+        sample.extend(sample_keys(&replicas.in_hall, SAMPLE_IN_HALL, draw));
+        sample.extend(sample_keys(&replicas.all, SAMPLE_ANYWHERE, !draw));
         let parts = prompt.into_iter().flat_map(|prompt| &prompt.parts);
         sample.extend(parts.filter_map(|part| self.holders.get(&part.prefix_hash)).flatten());
         sample.sort_unstable();
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -295,8 +295,8 @@
         let placement = self.fleet.placement(self.req, long, self.now);
         cheapest(self.decode_engines().map(|(key, replica)| {
             let wait_ms = slot_wait_ms(replica, long) + replica.prefill_ms(self.now) * 0.5;
-            let across = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
-            let transfer = KvTransfer { tokens: prompt.tokens, cross_hall: across };
+            let cross_hall = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
+            let transfer = KvTransfer { tokens: prompt.tokens, cross_hall };
             let work_ms = engine.kv_transfer.duration_ms(transfer) + self.req.send_ms * RESEND_FACTOR;
             let step = Step { wait_ms, work_ms, kv_transfer: Some(transfer), long, ..Step::at(key) };
             let cost = wait_ms
@@ -320,8 +320,8 @@
         let prefill = PrefillWork { uncached: prompt.tokens.saturating_sub(held).max(1), cached: held };
         let copy_ms = copy_from.map_or(0.0, |holder| {
             let holder = self.fleet.replicas.get(holder);
-            let across = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
-            engine.kv_transfer.duration_ms(KvTransfer { tokens: copy_tokens, cross_hall: across })
+            let cross_hall = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
+            engine.kv_transfer.duration_ms(KvTransfer { tokens: copy_tokens, cross_hall })
         });
         let decode_factor = if replica.facts.role == Role::Decode { engine.prefill.decode_factor() } else { 1.0 };
         let link_ms = self.req.link_ms + self.req.send_ms;
--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -247,8 +247,8 @@
             return Verdict::Clear;
         }
         // From here on every further replica that the request reaches matters.
-        let whole = evidence >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
-        Verdict::Isolated(Isolation { content, single_replica: whole })
+        let single_replica = evidence >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
+        Verdict::Isolated(Isolation { content, single_replica })
     }
 
     /// Record the start of a trial: a run that shows whether a request is at fault.
--- a/crates/core/src/fleet/engine/answer_pace.rs
+++ b/crates/core/src/fleet/engine/answer_pace.rs
@@ -20,7 +20,7 @@
 /// Share of the most events of answers in progress that finished ones must have reached for the maximum to be known.
 const LENGTHS_KNOWN_SHARE: f64 = 0.9;
 /// Initial bound on the length of answers, as a multiple of their callers' guesses.
-const INITIAL_GUESS_FACTOR: f64 = 2.0;
+const INITIAL_HINT_FACTOR: f64 = 2.0;
 /// Initial bound on the longest interval of a stream, as a multiple of its mean interval.
 const INITIAL_PAUSE_FACTOR: f64 = 2.0;
 /// Share of the streams whose longest interval should lie within that bound.
@@ -28,7 +28,7 @@
 /// Minimum number of events of a stream for its longest interval to be representative.
 const MIN_PAUSE_EVENTS: u64 = 8;
 /// Share of the answers whose length should lie within its bound.
-const GUESS_QUANTILE: f64 = 0.9;
+const HINT_QUANTILE: f64 = 0.9;
 /// Share by which the maximum number of events per token decays with each part of a stream. At a few hundred parts a
 /// second on a busy service, a length that is not seen again is forgotten in minutes.
 const DECAY: f64 = 0.0002;
@@ -42,7 +42,7 @@
     /// Most events per permitted output token, of finished answers.
     finished_events_per_token: f64,
     /// Bound on the events of an answer, as a multiple of those guessed; nine in ten answers do not exceed it.
-    guess_factor: RunningQuantile,
+    hint_factor: RunningQuantile,
     /// Bound on the longest interval of a stream, as a multiple of its mean interval; four in five streams do not
     /// exceed it.
     pause_factor: RunningQuantile,
@@ -54,7 +54,7 @@
             fit: LeastSquares::new(INITIAL_WEIGHTS, INITIAL_SIGMAS),
             ongoing_events_per_token: 0.0,
             finished_events_per_token: 0.0,
-            guess_factor: RunningQuantile::new(INITIAL_GUESS_FACTOR, GUESS_QUANTILE),
+            hint_factor: RunningQuantile::new(INITIAL_HINT_FACTOR, HINT_QUANTILE),
             pause_factor: RunningQuantile::new(INITIAL_PAUSE_FACTOR, PAUSE_QUANTILE),
         }
     }
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn likely_max_events(&self, prompt: &Prompt, lengths_known: bool) -> Option<f64> {
         let max = self.max_events(prompt.max_output, lengths_known)?;
-        let likely = prompt.output_hint.map(|guess| self.max_events_for(guess) * self.guess_factor.value());
+        let likely = prompt.output_hint.map(|hint| self.max_events_for(hint) * self.hint_factor.value());
         Some(likely.unwrap_or(max).min(max).max(1.0))
     }
 
@@ -126,11 +126,11 @@
     }
 
     /// Learn the error of a caller's guess from a finished answer.
-    pub fn learn_guess(&mut self, events: u64, guess: Option<u32>) {
-        let Some(guessed) = guess.map(|guess| self.max_events_for(guess)).filter(|guessed| *guessed >= 1.0) else {
+    pub fn learn_hint(&mut self, events: u64, hint: Option<u32>) {
+        let Some(hinted) = hint.map(|hint| self.max_events_for(hint)).filter(|hinted| *hinted >= 1.0) else {
             return;
         };
-        self.guess_factor.learn(events as f64 / guessed);
+        self.hint_factor.learn(events as f64 / hinted);
     }
 
     /// Maximum number of events for so many tokens.
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -257,7 +257,7 @@
         if long.is_none_or(|long| long.lengths_known_from.is_past(now)) {
             state.engine.answer_pace.learn_finished(stream.total, sent.max_output);
         }
-        state.engine.answer_pace.learn_guess(stream.total, sent.output_hint);
+        state.engine.answer_pace.learn_hint(stream.total, sent.output_hint);
         if let Some(interval) = stream.interval() {
             state.engine.event_pace.learn(interval);
             state.engine.answer_pace.learn_pause(stream.events, interval, stream.longest_interval);
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -267,8 +267,11 @@
         for note in &report.prompts {
             let Some(key) = self.by_start_id.get(&note.replica).copied() else { continue };
             if let Some(replica) = self.replicas.get_mut(key) {
-                let parts: Vec<Part> =
-                    note.parts.iter().map(|(chain, tokens)| Part { prefix_hash: *chain, tokens: *tokens }).collect();
+                let parts: Vec<Part> = note
+                    .parts
+                    .iter()
+                    .map(|(prefix_hash, tokens)| Part { prefix_hash: *prefix_hash, tokens: *tokens })
+                    .collect();
                 replica.cache.insert(&parts);
                 self.candidates.record_prompt(key, &parts);
             }
@@ -393,12 +396,12 @@
 
     /// Removes daemons and halls whose last load report has expired; returns the runs of the daemons that sent them.
     pub fn remove_expired_peers(&mut self, now: Time) -> Vec<u64> {
-        let silent: Vec<ReportId> =
+        let expired: Vec<ReportId> =
             self.peers.values().filter(|peer| now.since(peer.heard_at) > PEER_TIMEOUT).map(|peer| peer.id).collect();
-        for id in &silent {
+        for id in &expired {
             self.remove_peer(id.source, now);
         }
-        silent.into_iter().map(|id| id.sender).collect()
+        expired.into_iter().map(|id| id.sender).collect()
     }
 
     /// Number of daemons whose reports arrive, including this one.
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -333,12 +333,12 @@
     /// Returns the updates for the next message, this daemon's own first.
     pub fn take_updates(&mut self) -> Vec<Update> {
         let mut out = vec![self.own_update()];
-        self.queued_updates.sort_by_key(|n| std::cmp::Reverse(n.sends_left));
+        self.queued_updates.sort_by_key(|queued| std::cmp::Reverse(queued.sends_left));
         for queued in self.queued_updates.iter_mut().take(self.settings.updates_per_message) {
             queued.sends_left -= 1;
             out.push(queued.update.clone());
         }
-        self.queued_updates.retain(|n| n.sends_left > 0);
+        self.queued_updates.retain(|queued| queued.sends_left > 0);
         out
     }
 
@@ -414,7 +414,7 @@
             _ => now + Span(self.settings.suspicion_timeout.0 * DEAD_RETENTION_FACTOR),
         };
         let sends_left = SENDS_PER_DOUBLING * (usize::BITS - self.rows.len().leading_zeros() + 1);
-        self.queued_updates.retain(|n| n.update.contact.vm != update.contact.vm);
+        self.queued_updates.retain(|queued| queued.update.contact.vm != update.contact.vm);
         self.queued_updates.push(QueuedUpdate { update: update.clone(), sends_left });
     }
 
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -37,35 +37,35 @@
 /// Waiting requests of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    places: BTreeSet<QueueEntry>,
+    entries: BTreeSet<QueueEntry>,
 }
 
 impl Queue {
     /// Adds a request.
-    pub fn insert(&mut self, place: QueueEntry) {
-        self.places.insert(place);
+    pub fn insert(&mut self, entry: QueueEntry) {
+        self.entries.insert(entry);
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, place: &QueueEntry) {
-        self.places.remove(place);
+    pub fn remove(&mut self, entry: &QueueEntry) {
+        self.entries.remove(entry);
     }
 
     /// Iterates over the requests in queue order.
     pub fn iter(&self) -> impl Iterator<Item = RequestKey> + '_ {
-        self.places.iter().map(QueueEntry::key)
+        self.entries.iter().map(QueueEntry::key)
     }
 
     /// Number of requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
     /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.entries.is_empty()
     }
 }
 
--- a/crates/core/src/quota/client.rs
+++ b/crates/core/src/quota/client.rs
@@ -69,9 +69,9 @@
 }
 
 impl QuotaClient {
-    /// Returns the next step. `tried` contains the shards already asked for this request; `is_owned` tells
+    /// Returns the next step. `asked` contains the shards already asked for this request; `is_owned` tells
     /// whether a shard has an owner.
-    pub fn next_step(&self, req: &CreditNeed<'_>, tried: &[u8], is_owned: impl Fn(u8) -> bool, now: Time) -> Next {
+    pub fn next_step(&self, req: &CreditNeed<'_>, asked: &[u8], is_owned: impl Fn(u8) -> bool, now: Time) -> Next {
         let CreditNeed { team, terms, cost, tie_breaker } = *req;
         let cost = cost as f64;
         if cost > terms.depth {
@@ -84,9 +84,9 @@
             level.map_or(terms.depth, |level| level.upper_bound(terms, now))
         };
         let is_backing_off = |shard: u8| !self.unavailable_until[usize::from(shard)].is_past(now);
-        let asked = shards.iter().copied().filter(|shard| is_owned(*shard) && !is_backing_off(*shard));
+        let candidates = shards.iter().copied().filter(|shard| is_owned(*shard) && !is_backing_off(*shard));
         let (sufficient, insufficient): (Vec<u8>, Vec<u8>) =
-            asked.partition(|shard| !tried.contains(shard) && upper_bound(*shard) >= cost);
+            candidates.partition(|shard| !asked.contains(shard) && upper_bound(*shard) >= cost);
         let rank = |shard: u8| crate::hash::rendezvous(tie_breaker, u64::from(shard));
         let best = sufficient.into_iter().max_by(|a, b| {
             let levels = upper_bound(*a).total_cmp(&upper_bound(*b));
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -155,8 +155,8 @@
 
     /// Checks the key of a caller on a route.
     #[must_use]
-    pub fn authenticate(&self, given: &PresentedKey, route: &Route) -> Verdict {
-        authenticate(self.teams.as_ref(), given, route.anonymous)
+    pub fn authenticate(&self, presented: &PresentedKey, route: &Route) -> Verdict {
+        authenticate(self.teams.as_ref(), presented, route.anonymous)
     }
 
     /// Returns a team by name.
--- a/crates/core/tests/engine_model.rs
+++ b/crates/core/tests/engine_model.rs
@@ -212,7 +212,7 @@
         // An event has 60 tokens, and nine in ten answers are no longer than 1.8 times the guess.
         let guess = rng.random_range(600..6_000);
         let factor = rng.random_range(0.0..2.0);
-        pace.learn_guess((f64::from(guess) / 60.0 * factor) as u64, Some(guess));
+        pace.learn_hint((f64::from(guess) / 60.0 * factor) as u64, Some(guess));
     }
     let likely = |output, guess| {
         let prompt = Prompt::new("m", std::iter::empty(), 100, output).with_output_hint(guess);
