--- a/crates/core/src/choose.rs
+++ b/crates/core/src/choose.rs
@@ -61,7 +61,7 @@
         self.ring.iter().map(|(_, key)| *key)
     }
 
-    /// Endpoints that only process prompts.
+    /// Endpoints that only prefill prompts.
     #[must_use]
     pub fn prefill_endpoints(&self) -> &[EndpointKey] {
         &self.prefill
@@ -123,7 +123,7 @@
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Prefill engine that would process the prompt first, if any.
+    /// Engine that would prefill the prompt for the endpoint, if any.
     pub prefill: Option<EndpointKey>,
     /// Predicted response times.
     pub prediction: Prediction,
@@ -166,7 +166,7 @@
 /// Chooses an endpoint for `request` among the candidates of `index`.
 ///
 /// # Errors
-/// All candidates, if none can take the request now.
+/// Returns all candidates if none can take the request now.
 pub fn choose(
     rows: &impl EndpointRows,
     index: &PoolIndex,
@@ -227,7 +227,7 @@
     };
     let unsplit = predicted(None);
     let split = prefill.map(|k| (k, predicted(Some(k))));
-    // A decode engine processes a prompt only when no prefill engine can.
+    // A decode engine prefills a prompt only if no prefill engine can.
     let prefers_split = |p: Prediction| row.role == Role::Decode || p.total < unsplit.total;
     let (prefill, prediction) = match split {
         Some((k, p)) if row.role != Role::Plain && prefers_split(p) => (Some(k), p),
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,8 +1,8 @@
 //! At-most-once execution by idempotency key.
 //!
 //! Before a request that must not be repeated is sent, its key is claimed by a compare-and-swap that creates a
-//! record. A later request that finds a record does not run: it gets the recorded result, or is told that the
-//! outcome is unknown.
+//! record. A later request that finds a record does not run: it gets the recorded result, or the information
+//! that the outcome is unknown.
 
 use serde::{Deserialize, Serialize};
 
@@ -30,7 +30,7 @@
     pub status: u16,
     /// Media type of the answer.
     pub content_type: String,
-    /// Body of the answer; none if it was too large to record.
+    /// Body of the answer; `None` if it was too large to record.
     pub body: Option<String>,
 }
 
--- a/crates/core/src/custody.rs
+++ b/crates/core/src/custody.rs
@@ -24,7 +24,7 @@
     Ignores,
 }
 
-/// What an order tells an engine to do.
+/// What an engine is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
@@ -58,7 +58,7 @@
 /// Record of an engine in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Process whose orders count; none after a release.
+    /// Process whose orders count; `None` after a release.
     pub custodian: Option<Incarnation>,
     /// Fencing number under which custody was taken.
     pub epoch: u64,
@@ -242,7 +242,7 @@
     }
 }
 
-/// Returns the record after `me` releases custody; none if `me` is not the custodian or an order is
+/// Returns the record after `me` releases custody; `None` if `me` is not the custodian or an order is
 /// outstanding.
 #[must_use]
 pub fn release(record: &EngineRecord, me: &Incarnation) -> Option<EngineRecord> {
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -126,7 +126,7 @@
 pub enum Site {
     /// The prefill engine.
     Prefill,
-    /// The engine that generates, or the only one.
+    /// The engine that decodes, or the only endpoint.
     Serving,
 }
 
@@ -334,7 +334,7 @@
     /// Adds a request to its pool's queue.
     ///
     /// # Errors
-    /// The reason of the refusal and the earliest time to retry.
+    /// Returns the reason of the refusal and the earliest time to retry.
     pub fn submit(&mut self, team: &str, spec: RequestSpec, now: Time) -> Result<RequestKey, (Refusal, Time)> {
         let pool = &self.pools[spec.pool];
         if pool.index.is_empty() {
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Engine that processes prompts and exports their KV cache.
+    /// Engine that prefills prompts and exports their KV cache.
     Prefill,
-    /// Engine that imports KV caches and generates.
+    /// Engine that imports KV caches and decodes.
     Decode,
     /// Engine that does both.
     #[default]
@@ -46,7 +46,7 @@
 pub struct LoadReport {
     /// Prompt tokens queued for prefill.
     pub queued_prefill: u32,
-    /// Sequences being generated.
+    /// Sequences being decoded.
     pub running: u32,
     /// Requests that wait for a slot in the batch.
     pub waiting: u32,
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -41,7 +41,7 @@
 const SHORT_PREFILL_MS: f64 = 12.0;
 /// Cost in milliseconds, for each long answer on an engine, of prefilling a prompt on the same engine.
 const INTERFERENCE_COST_MS: f64 = 1.0;
-/// Cost in milliseconds of each active request on the engine that a prompt is handed over to.
+/// Cost in milliseconds of each active request on an engine that would decode a prompt prefilled by another engine.
 const ACTIVE_REQUEST_COST_MS: f64 = 0.2;
 /// Minimum share of their time that prefill engines are assumed to have for late prompts. Under an overload that
 /// shows in the measured demand no late prompt is started, but no prediction becomes infinite.
--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A request may crash each replica that begins to run it, and its caller may retry at any daemon. Daemons therefore
 //! report to each other which requests a replica was running when it crashed ([`notes`]). At first all of these
-//! are equally suspect, though most merely ran beside the one at fault. These rules tell them apart:
+//! are equally suspect, though most merely ran beside the one at fault. These rules distinguish them:
 //!
 //! - A complete answer clears a request on all daemons, and crashes shortly after the answer do not count either:
 //!   popular look-ups often run on several replicas that crash together.
@@ -48,17 +48,17 @@
 const EXPLAINED_CRASH_DIVISOR: usize = 3;
 /// Crashes after which a request is refused in an ambiguous case too: its trials have crashed replicas as well. With
 /// four, one in fourteen of the innocent requests that had lost three engines was refused, with five one in seventy
-/// (simulation of five full engines and callers that retry at once).
+/// (emulation of five full engines and callers that retry at once).
 const CRASHES_TO_REFUSE_AMBIGUOUS: usize = 5;
 /// Crashes after which a daemon that is cut off from all others refuses a request: it knows only part of the crashes.
 const CRASHES_TO_REFUSE_CUT_OFF: usize = 2;
 /// Crashes after which a request is isolated from other suspects.
 const CRASHES_TO_ISOLATE: usize = 2;
-/// Time for which a record is kept after the last news of it, and for which a request is refused.
+/// Time for which a record is kept after the last report of it, and for which a request is refused.
 ///
 /// It is longer than callers retry on their own. An operator can lift a wrong refusal before it expires.
 pub const RETENTION: Span = Span::millis(600_000);
-/// Time of a first refusal if other replicas crashed at about the same time, so that the request may merely have run
+/// Period of a first refusal if other replicas crashed at about the same time, so that the request may merely have run
 /// beside the one at fault: as long as a caller may think that it was never answered.
 const SHORT_REFUSAL: Span = Span::millis(60_000);
 /// Maximum number of times that the refusal period doubles when a request is refused again.
@@ -97,7 +97,7 @@
 /// Why a request is suspected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Replicas that crashed during it, by the hash of their identifiers, and the time since each crash.
+    /// Replicas that crashed during it, by the hash of their start, and the time since each crash.
     pub crashes: Vec<(u32, Span)>,
     /// Time for which the suspicion still counts.
     pub time_left: Span,
@@ -140,7 +140,7 @@
 }
 
 impl CrashTracker {
-    /// Record that a replica crashed while it was running a request; returns the number of unexplained crashes of the
+    /// Records that a replica crashed while it was running a request; returns the number of unexplained crashes of the
     /// request.
     pub fn record_crash(&mut self, content: ContentHash, start_id: u32, at: Time) -> usize {
         if let Some(answered) = self.answers.last_answer(content, at) {
@@ -158,7 +158,7 @@
         self.records.get(&content).map_or(0, |record| self.unexplained_crashes(record).count())
     }
 
-    /// Record that a replica answered a request completely, which clears the request.
+    /// Records that a replica answered a request completely, which clears the request.
     pub fn record_answer(&mut self, content: ContentHash, now: Time) {
         self.answers.record(content, now);
         if let Some(record) = self.records.get_mut(&content)
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Lift the refusal of a request; returns whether it was refused.
+    /// Lifts the refusal of a request; returns whether it was refused.
     pub fn lift(&mut self, content: ContentHash, now: Time) -> bool {
         let Some(record) = self.records.get_mut(&content).filter(|record| record.refused.is_some()) else {
             return false;
@@ -179,8 +179,8 @@
         true
     }
 
-    /// Apply a refusal from the store that was decided `age` ago and holds for `time_left` more; returns whether it is
-    /// new.
+    /// Applies a refusal from the store that was decided `age` ago and holds for `time_left` more; returns whether it
+    /// is new.
     pub fn apply_stored_refusal(
         &mut self,
         content: ContentHash,
@@ -203,7 +203,7 @@
         true
     }
 
-    /// Apply a suspicion from the store.
+    /// Applies a suspicion from the store.
     pub fn apply_stored_suspicion(&mut self, content: ContentHash, suspicion: &Suspicion, now: Time) {
         if suspicion.time_left == Span(0) {
             return;
@@ -216,7 +216,8 @@
         }
     }
 
-    /// How to treat a request, in a deployment of `daemons` daemons; `cut_off` if this one hears no other.
+    /// Decides how to treat a request, in a deployment of `daemons` daemons; `cut_off` tells whether this one receives
+    /// no reports from its peers.
     pub fn verdict(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Verdict {
         let Some(record) = self.records.get(&content) else {
             return Verdict::Clear;
@@ -246,19 +247,20 @@
         if evidence < CRASHES_TO_ISOLATE {
             return Verdict::Clear;
         }
-        // From here on every further replica that the request reaches matters.
+        // Each replica that the request reaches may crash. From the third crash on, or after an expired refusal, it
+        // therefore reaches only one.
         let single_replica = evidence >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
         Verdict::Isolated(Isolation { content, single_replica })
     }
 
-    /// Record the start of a trial: a run that shows whether a request is at fault.
+    /// Records the start of a trial: a run that shows whether a request is at fault.
     pub fn begin_trial(&mut self, content: ContentHash, now: Time) {
         if let Some(record) = self.records.get_mut(&content) {
             record.trial_until = now + TRIAL_TIMEOUT;
         }
     }
 
-    /// Record the end of a trial, whatever its result.
+    /// Records the end of a trial, whatever its result.
     pub fn end_trial(&mut self, content: ContentHash) {
         if let Some(record) = self.records.get_mut(&content) {
             record.trial_until = Time(0);
@@ -294,7 +296,7 @@
         })
     }
 
-    /// Remove expired refusals and records; returns the requests whose refusal expired.
+    /// Removes expired refusals and records; returns the requests whose refusal expired.
     pub fn expire(&mut self, now: Time) -> Vec<ContentHash> {
         let mut expired = Vec::new();
         for (content, record) in &mut self.records {
@@ -325,7 +327,7 @@
         self.records.is_empty()
     }
 
-    /// Refuse all requests with enough evidence against them, those with the most first.
+    /// Refuses all requests with enough evidence against them, those with the most first.
     fn refuse_culprits(&mut self, now: Time) {
         while let Some((evidence, content, grounds)) = self.next_to_refuse() {
             if let Some(record) = self.records.get_mut(&content) {
@@ -423,7 +425,7 @@
         self.records.entry(content).or_insert_with(|| Record::new(now))
     }
 
-    /// Remove the record with the fewest crashes, the oldest of these, and a refused request only if all are refused.
+    /// Removes the record with the fewest crashes, of these the oldest; a refused request only if all are refused.
     fn evict_least_relevant(&mut self) {
         let least = self.records.iter().min_by_key(|(_, r)| (r.refused.is_some(), r.crash_count(), r.last_crash()));
         if let Some(content) = least.map(|(content, _)| *content) {
@@ -432,7 +434,7 @@
     }
 }
 
-/// Clear a request, and schedule reports of it to other daemons.
+/// Clears a request, and schedules reports of it to other daemons.
 fn clear_and_report(record: &mut Record, clearance: Clearance, now: Time) {
     let retention = if record.refused.is_some() { RETENTION } else { CLEARANCE_RETENTION };
     record.clear(clearance);
--- a/crates/core/src/fleet/endings/notes.rs
+++ b/crates/core/src/fleet/endings/notes.rs
@@ -29,7 +29,7 @@
 pub struct RequestNote {
     /// Content hash of the request.
     pub content: ContentHash,
-    /// Replicas that crashed during it, by the hash of their identifiers, and the milliseconds since each crash.
+    /// Replicas that crashed during it, by the hash of their start, and the milliseconds since each crash.
     #[serde(rename = "ends")]
     pub crashes: Vec<(u32, u32)>,
     /// Milliseconds for which the sender keeps this record. A receiver keeps it no longer, or two daemons would report
@@ -84,7 +84,8 @@
 }
 
 impl CrashTracker {
-    /// Notes to send now; marks them as sent. The interval between unchanged notes grows with `daemons`.
+    /// Returns the notes to send now, and marks them as sent. The interval between unchanged notes grows with
+    /// `daemons`.
     pub fn due_notes(&mut self, to: Recipients, daemons: usize, now: Time) -> Vec<RequestNote> {
         let changed = self.records.iter().filter(|(_, record)| to.schedule(record).is_due(now));
         let mut due: Vec<(usize, ContentHash)> =
@@ -106,7 +107,7 @@
         notes
     }
 
-    /// Include unchanged notes in the next message to hall peers, since one of them has just started.
+    /// Includes unchanged notes in the next message to hall peers, since one of them has just started.
     pub fn resend_now(&mut self, now: Time) {
         self.resend_at[Recipients::HallPeers as usize] = now;
     }
@@ -126,7 +127,8 @@
         lasting.into_iter().map(|(_, _, count, content)| (count, content)).collect()
     }
 
-    /// Apply the notes of another daemon; `from_hall_peer` if this daemon's hall must relay them to other halls.
+    /// Applies the notes of another daemon; `from_hall_peer` tells whether this daemon's hall must relay them to other
+    /// halls.
     pub fn apply_notes(&mut self, notes: &[RequestNote], from_hall_peer: bool, now: Time) {
         for note in notes {
             let answered = self.answers.last_answer(note.content, now);
@@ -145,7 +147,7 @@
     }
 }
 
-/// Apply one note; returns whether it changed the record.
+/// Applies one note; returns whether it changed the record.
 fn apply_note(record: &mut Record, note: &RequestNote, now: Time) -> bool {
     let before = (record.crash_count(), record.clearance, record.refused);
     if let Some(reported) = note.clearance.map(|(reason, ms)| Clearance { at: ago(ms, now), reason })
--- a/crates/core/src/fleet/endings/record.rs
+++ b/crates/core/src/fleet/endings/record.rs
@@ -22,7 +22,7 @@
 /// The crash of a replica that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
-    /// Hash of the replica's identifier.
+    /// Hash of the replica's start.
     pub(super) replica: u32,
     /// Time of the crash, as exactly as messages state it.
     pub(super) at: Time,
@@ -69,7 +69,7 @@
     AllowedByOperator,
 }
 
-/// Clears a request of earlier crashes.
+/// Clearance of a request from earlier crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Clearance {
     pub(super) at: Time,
@@ -127,7 +127,7 @@
     /// There is nothing to send.
     pub(super) const IDLE: Self = Self { changed_at: Time(0), sends: SEND_DELAYS.len(), sent_at: Time(0) };
 
-    /// Start to send a change.
+    /// Starts to send a change.
     pub(super) const fn start(&mut self, now: Time) {
         self.changed_at = now;
         self.sends = 0;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Add a crash; returns whether it is new and counts against the request.
+    /// Adds a crash; returns whether it is new and counts against the request.
     pub(super) fn add_crash(&mut self, crash: Crash) -> bool {
         let is_covered = self.clearance.is_some_and(|clearance| clearance.covers_until() >= crash.at);
         let was_counted = self.refusal_expired_at > crash.at;
@@ -225,13 +225,13 @@
         unexplained.copied()
     }
 
-    /// Schedule reports of a change to all other daemons.
+    /// Schedules reports of a change to all other daemons.
     pub(super) const fn schedule_notes(&mut self, now: Time) {
         self.to_hall_peers.start(now);
         self.to_other_halls.start(now);
     }
 
-    /// Clear the request: drop the crashes and the refusal that the clearance covers.
+    /// Clears the request: drops the crashes and the refusal that the clearance covers.
     pub(super) fn clear(&mut self, clearance: Clearance) {
         self.clearance = Some(clearance);
         self.crashes.retain(|crash| crash.at > clearance.covers_until());
--- a/crates/core/src/fleet/engine/answer_pace.rs
+++ b/crates/core/src/fleet/engine/answer_pace.rs
@@ -19,7 +19,7 @@
 const MIN_OBSERVATIONS: u32 = 10;
 /// Share of the most events of answers in progress that finished ones must have reached for the maximum to be known.
 const LENGTHS_KNOWN_SHARE: f64 = 0.9;
-/// Initial bound on the length of answers, as a multiple of their callers' guesses.
+/// Initial bound on the length of answers, as a multiple of their callers' hints.
 const INITIAL_HINT_FACTOR: f64 = 2.0;
 /// Initial bound on the longest interval of a stream, as a multiple of its mean interval.
 const INITIAL_PAUSE_FACTOR: f64 = 2.0;
@@ -41,7 +41,7 @@
     ongoing_events_per_token: f64,
     /// Most events per permitted output token, of finished answers.
     finished_events_per_token: f64,
-    /// Bound on the events of an answer, as a multiple of those guessed; nine in ten answers do not exceed it.
+    /// Bound on the events of an answer, as a multiple of the caller's hint; nine in ten answers do not exceed it.
     hint_factor: RunningQuantile,
     /// Bound on the longest interval of a stream, as a multiple of its mean interval; four in five streams do not
     /// exceed it.
@@ -85,7 +85,7 @@
         (is_known && max > 0.0).then_some(max)
     }
 
-    /// Number of events that nine in ten such answers do not exceed, by the caller's guess if there is one.
+    /// Number of events that nine in ten such answers do not exceed, by the caller's hint if there is one.
     ///
     /// `None` while it is not known.
     #[must_use]
@@ -118,14 +118,14 @@
         pause.as_millis_f64() / self.pause_factor.value().max(1.0)
     }
 
-    /// Learn from the longest interval of a complete stream.
+    /// Learns from the longest interval of a complete stream.
     pub fn learn_pause(&mut self, events: u64, interval: Span, longest: Span) {
         if events >= MIN_PAUSE_EVENTS && longest >= interval {
             self.pause_factor.learn(longest.as_millis_f64() / interval.as_millis_f64().max(f64::MIN_POSITIVE));
         }
     }
 
-    /// Learn the error of a caller's guess from a finished answer.
+    /// Learns the error of a caller's hint from a finished answer.
     pub fn learn_hint(&mut self, events: u64, hint: Option<u32>) {
         let Some(hinted) = hint.map(|hint| self.max_events_for(hint)).filter(|hinted| *hinted >= 1.0) else {
             return;
@@ -138,7 +138,7 @@
         self.ongoing_events_per_token.max(self.finished_events_per_token) * f64::from(tokens)
     }
 
-    /// Learn from the mean interval in a part of a stream, at an engine with so many long answers.
+    /// Learns from the mean interval in a part of a stream, at an engine with so many long answers.
     ///
     /// `slowness` is the engine's interval as a multiple of a usual engine's. Returns the observed multiple.
     pub fn learn(&mut self, interval: Span, answers: u32, slowness: f64) -> f64 {
@@ -153,14 +153,14 @@
         counted_ms / usual_ms
     }
 
-    /// Learn from an answer in progress with at most `tokens` tokens and so many events after the first.
+    /// Learns from an answer in progress with at most `tokens` tokens and so many events after the first.
     ///
     /// The last event may have few tokens. Leaving one event out never overestimates the length of answers.
     pub fn learn_ongoing(&mut self, events: u64, tokens: u32) {
         self.ongoing_events_per_token = self.ongoing_events_per_token.max(events as f64 / f64::from(tokens.max(1)));
     }
 
-    /// As [`Self::learn_ongoing`], from a finished answer, short or long.
+    /// Like [`Self::learn_ongoing`], from a finished answer, short or long.
     pub fn learn_finished(&mut self, events: u64, tokens: u32) {
         self.finished_events_per_token = self.finished_events_per_token.max(events as f64 / f64::from(tokens.max(1)));
     }
--- a/crates/core/src/fleet/engine/event_pace.rs
+++ b/crates/core/src/fleet/engine/event_pace.rs
@@ -28,7 +28,7 @@
         self.interval_ms.value()
     }
 
-    /// Learn from the interval between two events.
+    /// Learns from the interval between two events.
     pub fn learn(&mut self, interval: Span) {
         self.interval_ms.learn(interval.as_millis_f64().min(self.interval_ms() * OUTLIER_FACTOR));
     }
--- a/crates/core/src/fleet/engine/hand_over.rs
+++ b/crates/core/src/fleet/engine/hand_over.rs
@@ -1,4 +1,4 @@
-//! Time to transfer the KV cache of a prompt from one engine to another, learned from the time that hand-overs took
+//! Time to transfer the KV cache of a prompt from one engine to another, learned from the time that transfers took
 //! until the first event.
 
 use crate::{fleet::engine::least_squares::LeastSquares, time::Span};
@@ -51,7 +51,7 @@
         self.fit.predict(&[0.0, tokens])
     }
 
-    /// Learn from a transfer.
+    /// Learns from a transfer.
     pub fn learn(&mut self, transfer: KvTransfer, took: Span) {
         self.fit.learn(&transfer.features(), took.as_millis_f64());
     }
@@ -68,7 +68,7 @@
         self.fit.weights_f32()
     }
 
-    /// Adopt the weights of a daemon with more observations.
+    /// Adopts the weights of a daemon with more observations.
     pub fn adopt(&mut self, observations: u32, weights: [f32; 2]) {
         self.fit.adopt(observations, weights);
     }
--- a/crates/core/src/fleet/engine/least_squares.rs
+++ b/crates/core/src/fleet/engine/least_squares.rs
@@ -34,7 +34,7 @@
 }
 
 impl<const N: usize> LeastSquares<N> {
-    /// A fit with initial weights and the standard deviation of each.
+    /// Creates a fit with initial weights and the standard deviation of each.
     pub(super) fn new(weights: [f64; N], initial_sigmas: [f64; N]) -> Self {
         let mut covariance = [[0.0; N]; N];
         for (i, sigma) in initial_sigmas.iter().enumerate() {
@@ -56,7 +56,7 @@
         self.weights.map(|weight| weight as f32)
     }
 
-    /// Adopt weights from more than twice as many observations while this fit has few; returns whether it did.
+    /// Adopts weights from more than twice as many observations while this fit has few; returns whether it did.
     pub(super) fn adopt(&mut self, observations: u32, weights: [f32; N]) -> bool {
         if self.observations >= ADOPTION_LIMIT || observations <= self.observations.saturating_mul(2) {
             return false;
@@ -69,7 +69,7 @@
         dot(&self.weights, features)
     }
 
-    /// Update the weights with one observation.
+    /// Updates the weights with one observation.
     pub(super) fn learn(&mut self, features: &[f64; N], observed: f64) {
         self.observations = self.observations.saturating_add(1);
         let mut active = *features;
@@ -84,7 +84,7 @@
         self.inflate_covariance();
     }
 
-    /// Update the weights of the active features, unless one of them would become negative; returns the index of that
+    /// Updates the weights of the active features, unless one of them would become negative; returns the index of that
     /// weight.
     fn learn_active(&mut self, features: &[f64; N], active: &[f64; N], observed: f64) -> Option<usize> {
         let expected = self.predict(features);
@@ -111,7 +111,7 @@
         negative
     }
 
-    /// Remove the correlation of one weight with the others.
+    /// Removes the correlation of one weight with the others.
     fn decorrelate(&mut self, weight: usize) {
         for other in (0..N).filter(|other| *other != weight) {
             self.covariance[weight][other] = 0.0;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Increase the uncertainty, for each weight up to the initial one. Whole rows and columns are scaled: clipping
+    /// Increases the uncertainty, for each weight up to the initial one. Whole rows and columns are scaled: clipping
     /// single entries would leave no valid covariance matrix once observations are alike.
     fn inflate_covariance(&mut self) {
         let factors: [f64; N] = std::array::from_fn(|i| {
--- a/crates/core/src/fleet/engine/mod.rs
+++ b/crates/core/src/fleet/engine/mod.rs
@@ -23,7 +23,7 @@
 pub struct EngineModel {
     /// Time to prefill prompts.
     pub prefill: PrefillTime,
-    /// Time to hand over or copy the KV cache of a prompt to another engine.
+    /// Time to transfer the KV cache of a prompt to another engine.
     pub kv_transfer: KvTransferTime,
     /// Usual interval between the events of a stream.
     pub event_pace: EventPace,
@@ -64,7 +64,7 @@
         (learned.prefill_observations > 0 || learned.kv_transfer_observations > 0).then_some(learned)
     }
 
-    /// Adopt what another daemon has learned from more observations, so that a new daemon need not start from nothing.
+    /// Adopts what another daemon has learned from more observations, so that a new daemon need not start from nothing.
     pub fn adopt(&mut self, learned: &LearnedModel) {
         self.prefill.adopt(learned.prefill_observations, learned.prefill_weights, learned.decode_factor);
         self.kv_transfer.adopt(learned.kv_transfer_observations, learned.kv_transfer_weights);
--- a/crates/core/src/fleet/engine/read_time.rs
+++ b/crates/core/src/fleet/engine/read_time.rs
@@ -66,12 +66,12 @@
         self.decode_factor.value()
     }
 
-    /// Learn from a prefill by a prefill engine that had no other prefill work.
+    /// Learns from a prefill by a prefill engine that had no other prefill work.
     pub fn learn(&mut self, work: PrefillWork, took: Span) {
         self.fit.learn(&work.features(), took.as_millis_f64());
     }
 
-    /// Learn from a prefill by a decode engine that had no other prefill work.
+    /// Learns from a prefill by a decode engine that had no other prefill work.
     pub fn learn_decode(&mut self, work: PrefillWork, took: Span) {
         let usual_ms = self.duration_ms(work);
         if usual_ms < MIN_DECODE_SAMPLE_MS {
@@ -94,7 +94,7 @@
         self.fit.weights_f32()
     }
 
-    /// Adopt the weights of a daemon with more observations.
+    /// Adopts the weights of a daemon with more observations.
     pub fn adopt(&mut self, observations: u32, weights: [f32; 3], decode_factor: f32) {
         if self.fit.adopt(observations, weights) {
             self.decode_factor
--- a/crates/core/src/fleet/engine/running_mean.rs
+++ b/crates/core/src/fleet/engine/running_mean.rs
@@ -9,7 +9,7 @@
 }
 
 impl RunningMean {
-    /// A mean with an initial value that counts as one observation.
+    /// Creates a mean with an initial value that counts as one observation.
     pub(in crate::fleet) const fn new(initial: f64, min_weight: f64) -> Self {
         Self { value: initial, min_weight, observations: 0 }
     }
@@ -18,14 +18,14 @@
         self.value
     }
 
-    /// Replace the initial value if there are no observations yet.
+    /// Replaces the initial value if there are no observations yet.
     pub(in crate::fleet) const fn set_initial(&mut self, initial: f64) {
         if self.observations == 0 {
             self.value = initial;
         }
     }
 
-    /// Clamp the present value.
+    /// Clamps the present value.
     pub(in crate::fleet) const fn clamp(&mut self, (min, max): (f64, f64)) {
         self.value = self.value.clamp(min, max);
     }
--- a/crates/core/src/fleet/engine/running_quantile.rs
+++ b/crates/core/src/fleet/engine/running_quantile.rs
@@ -12,7 +12,7 @@
 }
 
 impl RunningQuantile {
-    /// A quantile with an initial value.
+    /// Creates a quantile with an initial value.
     pub(in crate::fleet) const fn new(initial: f64, quantile: f64) -> Self {
         Self { value: initial, quantile }
     }
@@ -21,7 +21,7 @@
         self.value
     }
 
-    /// Update the value. At the true quantile, the expected steps up and down are equal.
+    /// Updates the value. At the true quantile, the expected steps up and down are equal.
     pub(in crate::fleet) fn learn(&mut self, observed: f64) {
         let direction = if observed > self.value { self.quantile } else { self.quantile - 1.0 };
         self.value *= 1.0 + MAX_STEP * direction;
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -141,13 +141,13 @@
     pub other_streams: u32,
     /// Token limit of the answer.
     pub max_output: u32,
-    /// Number of answer tokens that the caller expects.
+    /// Number of tokens in the answer as estimated by the caller.
     pub output_hint: Option<u32>,
     /// Time at which it was sent.
     pub sent_at: Time,
 }
 
-/// A part of a stream that was forwarded.
+/// A part of a stream that was relayed to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamPart {
     /// Number of events in this part.
@@ -247,7 +247,7 @@
         self.service_mut(service).max_pause = pause;
     }
 
-    /// Learns from a stream that was forwarded to its end.
+    /// Learns from a stream that was relayed to its end.
     pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
@@ -264,13 +264,13 @@
         }
     }
 
-    /// Learns from a part of a stream that was forwarded and may continue.
+    /// Learns from a part of a stream that was relayed and may continue.
     pub fn learn_stream(&mut self, sent: &SentStep, part: &StreamPart) {
         let (Some(replica), Some(interval)) = (self.replicas.get_mut(sent.key), part.interval()) else {
             return;
         };
         let engine = &mut self.services.entry(Arc::clone(&replica.facts.service)).or_default().engine;
-        // Until the pace is known, long answers cannot be told from short ones.
+        // Until the pace is known, long answers cannot be distinguished from short ones.
         if sent.load.streams > 0 || !engine.answer_pace.is_known() {
             let slowness = engine.answer_pace.learn(interval, replica.streams(), replica.answer_slowness.value());
             replica.learn_answer_slowness(slowness);
@@ -471,7 +471,7 @@
         state.plain_call_ms += PLAIN_WEIGHT * (took.as_millis_f64() - state.plain_call_ms);
     }
 
-    /// How to treat a request, given the replicas that crashed during it.
+    /// Decides how to treat a request, given the replicas that crashed during it.
     pub fn verdict(&mut self, content: ContentHash, now: Time) -> Verdict {
         let daemons = self.daemons();
         let is_cut_off = daemons == 1 && self.listed_daemons > 1;
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! Load reports, in which daemons tell each other the load that they cause.
+//! Load reports, in which daemons inform each other of the load that they cause.
 //!
 //! Each message contains absolute figures, so the next message makes up for a lost one. A small number of daemons all
 //! report to each other. With many daemons, each reports only to its hall peers, and one of them sends a summary of
@@ -44,7 +44,7 @@
 /// The daemons whose load a report describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
-    /// The daemon of this run.
+    /// A single daemon, by the identifier of its run.
     Daemon(u64),
     /// All daemons of the hall with this hash.
     Hall(u32),
@@ -55,7 +55,7 @@
 pub struct ReportId {
     /// The daemons whose load it describes.
     pub source: Source,
-    /// Run of the daemon that sent it.
+    /// Identifier of the run of the daemon that sent it.
     pub sender: u64,
     /// Sequence number of that daemon.
     pub number: u64,
@@ -148,12 +148,12 @@
 pub struct PromptNote {
     /// Hash of the replica's start.
     pub replica: u32,
-    /// Chain identifier and number of tokens of each part of the prompt.
+    /// Prefix hash and number of tokens of each part of the prompt.
     pub parts: Vec<(u64, u32)>,
 }
 
 impl PromptNote {
-    /// A note of a prompt that is prefilled by this start of a replica.
+    /// Creates a note of a prompt that is prefilled by this start of a replica.
     #[must_use]
     pub fn new(start_id: u32, prompt: &Prompt) -> Self {
         Self { replica: start_id, parts: prompt.parts.iter().map(|part| (part.prefix_hash, part.tokens)).collect() }
@@ -173,7 +173,7 @@
 }
 
 impl Fleet {
-    /// The present load report of this daemon for its peers.
+    /// Returns the present load report of this daemon for its peers.
     pub fn own_report(&mut self, now: Time) -> LoadReport {
         let learned = self.learned_report(now);
         let daemons = self.daemons();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The present summary of all daemons of this hall for other halls, and the number of these daemons.
+    /// Returns the present summary of all daemons of this hall for other halls, and the number of these daemons.
     pub fn hall_summary(&mut self, now: Time) -> (LoadReport, u32) {
         let hall_peers: Vec<&PeerState> =
             self.peers.values().filter(|peer| peer.is_hall_peer(self.hall_hash)).collect();
@@ -394,7 +394,7 @@
         }
     }
 
-    /// Removes daemons and halls whose last load report has expired; returns the runs of the daemons that sent them.
+    /// Removes daemons and halls whose last load report has expired; returns the run identifiers of the senders.
     pub fn remove_expired_peers(&mut self, now: Time) -> Vec<u64> {
         let expired: Vec<ReportId> =
             self.peers.values().filter(|peer| now.since(peer.heard_at) > PEER_TIMEOUT).map(|peer| peer.id).collect();
--- a/crates/core/src/fleet/plan.rs
+++ b/crates/core/src/fleet/plan.rs
@@ -74,7 +74,7 @@
 }
 
 impl Step {
-    /// A step on `key` that takes no time.
+    /// Creates a step on `key` that takes no time.
     #[must_use]
     pub fn at(key: ReplicaKey) -> Self {
         Self {
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -17,7 +17,7 @@
 
 /// Time for which the highest demand counts in full. Swings of the mix recur within it.
 const PEAK_HOLD: Span = Span::millis(30_000);
-/// Time after the first demand for which an expected demand above the observed one counts: the averages of the demand
+/// Time from the first observed demand for which an expected demand above it still counts: the averages of the demand
 /// and of the answer durations must have settled.
 const EXPECTED_HOLD: Span = Span::millis(8_000);
 /// Time in which a peak decays by half once it is no longer held.
@@ -71,13 +71,13 @@
 }
 
 impl Peak {
-    /// A peak that another daemon has observed.
+    /// Creates a peak that another daemon has observed.
     #[must_use]
     pub const fn observed(engines: f64, now: Time) -> Self {
         Self { engines, observed_at: now, expected: 0.0, expected_until: Time(0) }
     }
 
-    /// A peak that another daemon expects.
+    /// Creates a peak that another daemon expects.
     #[must_use]
     pub fn expected(engines: f64, now: Time) -> Self {
         Self { expected: engines, expected_until: now + EXPECTED_HOLD, ..Self::default() }
--- a/crates/core/src/fleet/rate_limit.rs
+++ b/crates/core/src/fleet/rate_limit.rs
@@ -6,7 +6,7 @@
 //! Each daemon computes its slots from the time of day, the number of daemons and its own rank, without coordination.
 //!
 //! Daemons report the latest limits from their own answers to each other, with their age; the most recent one applies.
-//! Limits learned from a report are not reported again within the hall, so forwarding cannot make an old limit look new.
+//! Limits learned from a report are not reported again within the hall, so relaying cannot make an old limit look new.
 
 use serde::{Deserialize, Serialize};
 
@@ -39,7 +39,7 @@
 /// A replica's rate limit as reported by a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateLimitNote {
-    /// Short identifier of the replica's start.
+    /// Hash of the replica's start.
     pub replica: u32,
     /// Requests per second, or `None` if the limit was lifted.
     pub per_second: Option<f64>,
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -110,7 +110,7 @@
 /// Share by which each observation of the answer slowness is pulled towards 1. Only the product of the usual pace and
 /// a replica's slowness is observed; without the pull the two drift apart, to half and double within a minute.
 const ANSWER_SLOWNESS_PULL: f64 = 0.1;
-/// Time in which the slowness of a replica decays by half, so that a slow replica is tried again.
+/// Time in which the slowness of a replica decays by half, so that a slow replica gets requests again.
 const SLOWNESS_HALF_LIFE: Span = Span::millis(3_000);
 
 /// One replica.
--- a/crates/core/src/fleet/sizes.rs
+++ b/crates/core/src/fleet/sizes.rs
@@ -2,9 +2,9 @@
 //!
 //! A prompt is in time if the work queued before it and its own prefill are. When the demand exceeds the prefill
 //! capacity, small prompts fill the queue to the point where no prompt with a long prefill can be in time, and
-//! callers with large prompts are refused at every attempt. If large prompts are admitted far less often than others,
-//! a part of their own prefill, or a multiple of it, is therefore not counted: they are started if the queued work
-//! alone would be in time, and end slightly late.
+//! callers with large prompts are refused however often they retry. If large prompts are admitted far less often
+//! than others, a part of their own prefill, or a multiple of it, is therefore not counted: they are started if the
+//! queued work alone would be in time, and end slightly late.
 
 use crate::fleet::engine::running_quantile::RunningQuantile;
 
@@ -20,14 +20,14 @@
 const DISCOUNT_STEP: f64 = 0.1;
 /// Maximum discount as a multiple of a prompt's own prefill time.
 const MAX_DISCOUNT: f64 = 2.0;
-/// Weight of a new attempt in the admitted share of all prompts; about 500 attempts count.
+/// Weight of a new request in the admitted share of all prompts; about 500 requests count.
 const ADMISSION_WEIGHT: f64 = 0.002;
 
 /// Admissions of a service's prompts by size.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LargePromptFairness {
     bounds: [RunningQuantile; 2],
-    /// Decaying averages of attempts by new callers and of admitted attempts.
+    /// Decaying averages of the shares of requests that are not retries, and that are admitted.
     new_callers: f64,
     admitted: f64,
     /// Discount as a multiple of a prompt's own prefill time, for each of the two size classes.
@@ -42,11 +42,11 @@
 }
 
 impl LargePromptFairness {
-    /// Records an attempt, whether its caller was refused before, and whether it is admitted.
+    /// Records a request, whether its caller was refused before, and whether it is admitted.
     pub(super) fn record(&mut self, tokens: u32, was_refused: bool, admitted: bool) {
         let (is_new, admitted) = (f64::from(u8::from(!was_refused)), f64::from(u8::from(admitted)));
         if let Some(size) = self.size_class(tokens) {
-            // Each caller makes a first attempt once and is admitted at most once.
+            // Each caller sends a first request once and is admitted at most once.
             let shortfall = is_new * MIN_RELATIVE_SHARE * self.admitted_share() - admitted;
             self.discount[size] = (self.discount[size] + shortfall * DISCOUNT_STEP).clamp(0.0, MAX_DISCOUNT);
         }
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -45,8 +45,8 @@
 /// Share of a service's engines by which one side must exceed its balanced number for one to be taken from it
 /// although neither side lacks any.
 const MIN_IMBALANCE: f64 = 0.05;
-/// Share of the decode engines that must be required for that: the mix of a small demand says little about the next
-/// one.
+/// Share of the decode engines that must be required for a change because of [`MIN_IMBALANCE`]: the mix of a small
+/// demand says little about the next one.
 const MIN_UTILIZATION: f64 = 0.5;
 /// Maximum share of the engines that change at a time, rounded up. Each is unavailable for seconds, so a demand that
 /// swings back would find too few.
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -54,7 +54,7 @@
 }
 
 impl Fence {
-    /// Accepts a message with the number `epoch` unless a higher one has been seen.
+    /// Accepts a message with the number `epoch` unless a higher one has been seen; returns whether it does.
     pub fn admit(&mut self, epoch: u64) -> bool {
         let admitted = epoch >= self.highest;
         if admitted {
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -38,7 +38,7 @@
     /// Takes one request from the limit of `team`.
     ///
     /// # Errors
-    /// The time from which the team may send again. A team without a limit is never refused.
+    /// Returns the time from which the team may send again. A team without a limit is never refused.
     pub fn take(&mut self, team: &str, now: Time) -> Result<(), Time> {
         let Some(bucket) = self.buckets.get_mut(team) else {
             return Ok(());
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// Listed by the platform, not heard yet.
+    /// Listed by the platform; has not answered yet.
     Listed,
     /// Answers probes.
     Alive,
@@ -96,7 +96,7 @@
 pub struct Member {
     /// Address information.
     pub contact: Contact,
-    /// Start number of the daemon's run; zero before it was heard.
+    /// Start number of the daemon's run; zero before it is known.
     pub start: u64,
     /// Number of suspicions that the member has refuted in this run.
     pub refutation: u32,
@@ -317,7 +317,7 @@
     }
 
     /// Returns the suspicion or death of `key` that it must learn of to refute it. It is sent with every probe
-    /// of that member, so that one that was cut off for long can come back.
+    /// of that member, so that one that was cut off for long can refute its death.
     #[must_use]
     pub fn update_to_refute(&self, key: MemberKey) -> Option<Update> {
         let row = self.rows.get(key)?;
@@ -342,7 +342,7 @@
         out
     }
 
-    /// Announces from now on that this daemon leaves.
+    /// Makes this daemon announce from now on that it leaves.
     pub const fn announce_leaving(&mut self) {
         self.leaving = true;
     }
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -133,7 +133,7 @@
     let mixed = f64::from(counts.mixed) * rates.mixed_share;
     let (p, d) = (f64::from(counts.prefill), f64::from(counts.decode));
     // Mixed engines divide their time freely, so three bounds apply: the total, and each kind of work with the
-    // help of all mixed engines. A decode engine processes no prompts while others do.
+    // help of all mixed engines. A decode engine prefills no prompts while other engines do.
     let all = (p + d + mixed) / (prefill_need + decode_need);
     let prefill = capacity_ratio(p + mixed, prefill_need);
     let decode = capacity_ratio(d + mixed, decode_need);
--- a/crates/core/src/predict.rs
+++ b/crates/core/src/predict.rs
@@ -15,7 +15,7 @@
 /// Fixed cost in seconds of a KV cache transfer.
 pub const TRANSFER_BASE: f64 = 0.005;
 /// Maximum ratio between a learned and the configured rate. On a mixed engine, prompts between the decode steps
-/// make a step up to eight times as long as in a batch that only generates.
+/// make a step up to eight times as long as in a batch that only decodes.
 const LEARNED_RATE_BOUND: f64 = 10.0;
 
 /// Predicted times of a request at an endpoint, in seconds from now.
@@ -27,7 +27,7 @@
     pub total: f64,
 }
 
-/// Prompt tokens of `spec` that `endpoint` would have to process, given its cached prefixes.
+/// Prompt tokens of `spec` that `endpoint` would have to prefill, given its cached prefixes.
 #[must_use]
 pub fn uncached(endpoint: &Endpoint, spec: &RequestSpec) -> f64 {
     let tokens = f64::from(spec.prompt_tokens);
@@ -35,14 +35,14 @@
 }
 
 /// Prompt tokens queued at `endpoint`: the last report, what was sent since, and what peers sent, less what was
-/// processed since the report.
+/// prefilled since the report.
 #[must_use]
 pub fn backlog(endpoint: &Endpoint, now: Time) -> f64 {
     let age = now.since(endpoint.report_at).as_seconds();
     let sum =
         f64::from(endpoint.report.queued_prefill) + endpoint.own_tokens_since_report + endpoint.peer_prefill_tokens;
     let aged = (sum - age * endpoint.rates.prefill).max(0.0);
-    // Requests of this daemon without a token yet cannot have been processed; at least half of their prompts
+    // Requests of this daemon without a token yet cannot have been prefilled; at least half of their prompts
     // counts.
     aged.max(endpoint.own_prefill_tokens * 0.5)
 }
@@ -64,7 +64,7 @@
     excess * each / f64::from(endpoint.rates.slots.max(1))
 }
 
-/// Predicts the response times of `spec` at `endpoint`, with its prompt processed there or before at `prefill`.
+/// Predicts the response times of `spec` at `endpoint`, with its prompt prefilled there or before at `prefill`.
 #[must_use]
 pub fn predict(
     endpoint: &Endpoint,
@@ -89,7 +89,7 @@
     Prediction { first_token, total }
 }
 
-/// Seconds by which the prompt of `spec` delays generation on `endpoint`, summed over its sequences.
+/// Seconds by which the prompt of `spec` delays decoding on `endpoint`, summed over its sequences.
 #[must_use]
 pub fn interference(endpoint: &Endpoint, spec: &RequestSpec) -> f64 {
     let running = endpoint.report.running.max(endpoint.window.in_flight());
--- a/crates/core/src/quota/client.rs
+++ b/crates/core/src/quota/client.rs
@@ -24,7 +24,7 @@
 pub enum Next {
     /// Ask the owner of this shard.
     Ask(u8),
-    /// The quota is used up; contains the time until enough is refilled, or none if that never happens.
+    /// The quota is used up; contains the time until enough is refilled, or `None` if that never happens.
     Denied(Option<Span>),
     /// No owner can be asked.
     Unavailable,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Time to refill some units; none if they are never refilled.
+/// Time to refill some units; `None` if they are never refilled.
 fn refill_time(units: f64, terms: &ShardTerms) -> Option<Span> {
     (terms.rate > 0.0).then(|| Span::seconds(units / terms.rate).max(MIN_WAIT))
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -64,9 +64,9 @@
     Waiting,
     /// An attempt is running.
     Running {
-        /// Endpoint that generates, or runs the whole request.
+        /// Endpoint that decodes, or runs the whole request.
         endpoint: EndpointKey,
-        /// Engine that processes the prompt first, if a separate one does.
+        /// Engine that prefills the prompt, if a separate one does.
         prefill: Option<EndpointKey>,
     },
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -48,7 +48,7 @@
     pub objective: Span,
     /// Time after which a caller that has received nothing gives up.
     pub caller_timeout: Span,
-    /// Maximum gap between two events of a stream that counts as in time; none if any gap does.
+    /// Maximum gap between two events of a stream that counts as in time; `None` if any gap does.
     pub max_event_gap: Option<Span>,
     /// Maximum number of endpoints on which one request may run.
     pub max_attempts: u32,
@@ -78,9 +78,9 @@
 /// Configuration of a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Number of requests for which an engine generates concurrently.
+    /// Number of requests that an engine decodes concurrently.
     pub slots: u32,
-    /// Number of tokens that fit into its memory.
+    /// Number of tokens that fit into its KV cache.
     pub memory_tokens: u64,
     /// Time for which a role change makes an engine unavailable.
     pub role_change: Span,
@@ -93,9 +93,9 @@
     pub name: Arc<str>,
     /// Maximum number of connections to one endpoint from all VMs together.
     pub connections: u32,
-    /// Configuration of its engines; none for a plain service.
+    /// Configuration of its engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
-    /// Limits for automatic scaling; none if the number of replicas is not managed here.
+    /// Limits for automatic scaling; `None` if the number of replicas is not managed here.
     pub scaling: Option<Scaling>,
 }
 
@@ -119,14 +119,14 @@
     pub version: u64,
     /// Limits on callers' connections and requests.
     pub limits: CallerLimits,
-    /// Teams of callers; none if no route needs a key.
+    /// Teams of callers; `None` if no route needs a key.
     teams: Option<Teams>,
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, Arc<ServiceSpec>>,
 }
 
 impl RouteTable {
-    /// Creates a table from routes, each with its host. `teams` is none if no route needs a key.
+    /// Creates a table from routes, each with its host. `teams` is `None` if no route needs a key.
     #[must_use]
     pub fn new(
         version: u64,
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -42,9 +42,9 @@
 pub struct Team {
     /// Name of the team.
     pub name: Arc<str>,
-    /// Priority of its requests, 0 is the most urgent; none to use the route's.
+    /// Priority of its requests, 0 is the most urgent; `None` to use the route's.
     pub priority: Option<u8>,
-    /// Quota over all daemons; none if unlimited.
+    /// Quota over all daemons; `None` if unlimited.
     pub quota: Option<Quota>,
 }
 
@@ -124,7 +124,7 @@
     UnknownKey,
 }
 
-/// Checks a key. `teams` is none if the configuration has no teams.
+/// Checks a key. `teams` is `None` if the configuration has no teams.
 #[must_use]
 pub fn authenticate(teams: Option<&Teams>, presented: &PresentedKey, is_anonymous: bool) -> Verdict {
     let Some(teams) = teams else {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -110,7 +110,7 @@
     counts: HashMap<String, u32>,
 }
 
-/// Run of a daemon: name of its VM and number of the run.
+/// Run of a daemon: name of its VM and identifier of the run.
 type DaemonRun = (String, u64);
 
 /// Counts reported to the leader.
--- a/crates/core/src/watcher_election.rs
+++ b/crates/core/src/watcher_election.rs
@@ -34,7 +34,7 @@
 pub struct Priority {
     /// Speed of the link in megabits per second.
     pub link_mbps: u32,
-    /// Number of the run, which makes priorities unique.
+    /// Identifier of the run, which makes priorities unique.
     pub run: u64,
 }
 
@@ -59,7 +59,7 @@
 /// State of the election at one daemon.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Election {
-    /// Since when too few peers of higher priority are watching; none while enough are.
+    /// Since when too few peers of higher priority are watching; `None` while enough are.
     shortage_since: Option<Time>,
     /// Number of consecutive failed calls.
     failures: u32,
