--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -192,7 +192,7 @@
     /// Time of the next report of what was learned.
     next_learned_report: Time,
     /// Number of daemons that are registered, whether or not their reports arrive.
-    listed_daemons: usize,
+    registered_daemons: usize,
     /// Determines which rate-limit slots belong to this daemon.
     slot_share: SlotShare,
     /// Requests during which replicas crashed.
@@ -224,14 +224,14 @@
     }
 
     /// Sets the number of registered daemons, including this one.
-    pub const fn set_listed_daemons(&mut self, daemons: usize) {
-        self.listed_daemons = daemons;
+    pub const fn set_registered_daemons(&mut self, daemons: usize) {
+        self.registered_daemons = daemons;
     }
 
     /// Sets the zero-based rank of this daemon among the registered ones, and the offset from its clock to the time
     /// of day.
     pub fn set_slot_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
-        let (daemons, rank) = (self.daemons().max(self.listed_daemons) as u64, rank as u64);
+        let (daemons, rank) = (self.daemons().max(self.registered_daemons) as u64, rank as u64);
         let changed = (daemons, rank) != (self.slot_share.daemons, self.slot_share.rank);
         let changed_at = if changed { now + clock_offset } else { self.slot_share.changed_at };
         self.slot_share = SlotShare { daemons, rank, clock_offset, changed_at };
@@ -474,7 +474,7 @@
     /// Decides how to treat a request, given the replicas that crashed during it.
     pub fn verdict(&mut self, content: ContentHash, now: Time) -> Verdict {
         let daemons = self.daemons();
-        let is_cut_off = daemons == 1 && self.listed_daemons > 1;
+        let is_cut_off = daemons == 1 && self.registered_daemons > 1;
         self.crashes.verdict(content, daemons, is_cut_off, now)
     }
 
@@ -491,7 +491,7 @@
     /// Takes `count` retries from the budget of a service; returns whether the budget allows them.
     pub fn take_retries(&mut self, count: u32, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) -> bool {
         // A daemon that is cut off from its peers must not use their shares of the budget.
-        let daemons = self.daemons().max(self.listed_daemons);
+        let daemons = self.daemons().max(self.registered_daemons);
         self.service_mut(service).retry_budget.take(count, terms, daemons, now)
     }
 
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -162,10 +162,10 @@
 /// Whether a new size should replace the presently wanted one: an increase always does, a decrease only if it is
 /// large enough.
 #[must_use]
-pub fn should_replace(new: &PoolSize, present: &PoolSize) -> bool {
+pub fn should_replace(new: &PoolSize, current: &PoolSize) -> bool {
     let total = |size: &PoolSize| f64::from(size.values().map(|hall| hall.total()).sum::<u32>());
-    let (new, present) = (total(new), total(present));
-    new > present || new < present * (1.0 - SCALE_DOWN_MARGIN)
+    let (new, current) = (total(new), total(current));
+    new > current || new < current * (1.0 - SCALE_DOWN_MARGIN)
 }
 
 impl Fleet {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -81,7 +81,7 @@
     /// Number of requests that an engine decodes concurrently.
     pub slots: u32,
     /// Number of tokens that fit into its KV cache.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Time for which a role change makes an engine unavailable.
     pub role_change: Span,
 }
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -73,12 +73,12 @@
         *counts.entry(Arc::clone(team)).or_default() += 1;
     }
 
-    /// Returns the counts to report now, for the windows from `first` to `present`; those before `final_before` are
+    /// Returns the counts to report now, for the windows from `first` to `current`; those before `final_before` are
     /// final. Windows without a request are included, since the leader waits for each daemon's final counts.
     #[must_use]
-    pub fn unacknowledged(&self, first: u64, present: u64, final_before: u64) -> Vec<WindowCounts> {
-        let first = first.max(present.saturating_sub(RETAINED_WINDOWS));
-        let windows = (first..=present).filter(|window| !self.acknowledged.contains(window)).map(|window| {
+    pub fn unacknowledged(&self, first: u64, current: u64, final_before: u64) -> Vec<WindowCounts> {
+        let first = first.max(current.saturating_sub(RETAINED_WINDOWS));
+        let windows = (first..=current).filter(|window| !self.acknowledged.contains(window)).map(|window| {
             let counts = self.windows.get(&window).into_iter().flatten();
             let counts = counts.map(|(team, count)| (team.to_string(), *count)).collect();
             WindowCounts { window, is_over: window < final_before, counts }
@@ -97,9 +97,9 @@
     }
 
     /// Drops windows that are too old to be reported.
-    pub fn prune(&mut self, present: u64) {
-        self.windows.retain(|window, _| window + RETAINED_WINDOWS > present);
-        self.acknowledged.retain(|window| window + RETAINED_WINDOWS >= present);
+    pub fn prune(&mut self, current: u64) {
+        self.windows.retain(|window, _| window + RETAINED_WINDOWS > current);
+        self.acknowledged.retain(|window| window + RETAINED_WINDOWS >= current);
     }
 }
 
@@ -151,8 +151,8 @@
     }
 
     /// Drops windows that are too old to be reported.
-    pub fn prune(&mut self, present: u64) {
-        self.windows.retain(|window, _| window + RETAINED_WINDOWS > present);
+    pub fn prune(&mut self, current: u64) {
+        self.windows.retain(|window, _| window + RETAINED_WINDOWS > current);
     }
 }
 
@@ -234,8 +234,8 @@
     }
 
     /// Sets the stored report and its revision, as read or written by this leader.
-    pub fn set_stored(&mut self, present: Option<(i64, Report)>) {
-        self.stored = match present {
+    pub fn set_stored(&mut self, stored: Option<(i64, Report)>) {
+        self.stored = match stored {
             Some((revision, report)) => Stored::Report { revision, report, is_done: false },
             None => Stored::Nothing,
         };
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -105,7 +105,7 @@
 fn a_daemon_without_peers_spends_only_its_share_of_the_retry_budget() {
     let mut fleet = fleet_in_hall("hall-1");
     let terms = RetryBudgetTerms { ratio: 0.2, slack: 40.0, window: Span::seconds(10.0) };
-    fleet.set_listed_daemons(8);
+    fleet.set_registered_daemons(8);
     let service: Arc<str> = Arc::from(SERVICE);
     let taken = (0..40).filter(|_| fleet.take_retries(1, &service, &terms, now())).count();
     assert!((1..=5).contains(&taken), "{taken} retries");
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -36,7 +36,7 @@
         let mut daemons = Self { fleets: Vec::new(), limit: Some(limit), arrived: Vec::new() };
         for rank in 0..count {
             let mut fleet = fleet_with(&[("a", Role::Plain)]);
-            fleet.set_listed_daemons(count);
+            fleet.set_registered_daemons(count);
             fleet.set_slot_share(rank, Span(0), now());
             daemons.fleets.push(fleet);
         }
@@ -129,7 +129,7 @@
             for ms in (start_ms..start_ms + 1_000).step_by(10) {
                 for rank in 0..next.max(listed) {
                     let known = if ms >= learned[rank] { next } else { listed };
-                    daemons.fleets[rank].set_listed_daemons(known);
+                    daemons.fleets[rank].set_registered_daemons(known);
                     daemons.fleets[rank].set_slot_share(rank, clocks[rank], Daemons::time(ms));
                     if rank < known {
                         daemons.send(rank, ms);
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -136,7 +136,7 @@
     let rank = gw.peers.rank(&registration_key(gw, &gw.settings.vm));
     let time_of_day = Time(wall_millis() * MICROS_PER_MILLI);
     let mut fleet = gw.fleet();
-    fleet.set_listed_daemons(gw.peers.count_registered());
+    fleet.set_registered_daemons(gw.peers.count_registered());
     fleet.set_slot_share(rank, time_of_day.since(now), now);
 }
 
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -248,7 +248,7 @@
             for service in table.services() {
                 if let Some(engine) = &service.engine {
                     let mut fleet = gw.fleet();
-                    fleet.set_kv_capacity(&service.name, engine.memory_tokens);
+                    fleet.set_kv_capacity(&service.name, engine.kv_capacity_tokens);
                     fleet.set_max_pause(&service.name, table.max_event_gap(&service.name));
                 }
             }
