--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -49,7 +49,7 @@
 
 /// Decides what a request with the hash `content` gets when its key is already claimed.
 ///
-/// `owner_terminated` tells whether the claim's owner has surely terminated.
+/// `owner_terminated` tells whether the claim's owner has certainly terminated.
 #[must_use]
 pub fn check_duplicate(claim: &Claim, content: u64, owner_terminated: bool) -> Duplicate {
     if claim.content != content {
--- a/crates/core/src/custody.rs
+++ b/crates/core/src/custody.rs
@@ -7,7 +7,7 @@
 //!
 //! An engine that checks fencing numbers can pass to a new custodian at once, since it rejects orders of the
 //! old one after the first order of the new one. An engine that ignores them cannot: its custody passes only
-//! after the former custodian has released it or has surely terminated.
+//! after the former custodian has released it or has certainly terminated.
 
 use serde::{Deserialize, Serialize};
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Refuse new work; finish running requests.
+    /// Accept no new work; finish running requests.
     Cordon,
     /// Accept new work again.
     Uncordon,
@@ -77,7 +77,7 @@
     pub boot: u64,
     /// Current role.
     pub role: Role,
-    /// Whether it refuses new work.
+    /// Whether it accepts no new work.
     pub cordoned: bool,
     /// Whether it is still carrying out an order.
     pub changing: bool,
@@ -100,7 +100,7 @@
     pub epoch: Option<u64>,
     /// Whether the engine checks fencing numbers.
     pub fencing: Fencing,
-    /// Whether the record's custodian has surely terminated and none of its messages is still in flight.
+    /// Whether the record's custodian has certainly terminated and none of its messages is still in flight.
     pub custodian_terminated: bool,
     /// Status of the engine, requested after the record was read.
     pub status: Option<&'a EngineStatus>,
--- a/crates/core/src/fleet/engine/running_mean.rs
+++ b/crates/core/src/fleet/engine/running_mean.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Clamps the present value.
+    /// Clamps the current value.
     pub(in crate::fleet) const fn clamp(&mut self, (min, max): (f64, f64)) {
         self.value = self.value.clamp(min, max);
     }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -428,7 +428,7 @@
 
     /// Postpones the time from which a replica accepts requests from this daemon again; returns whether it changed.
     ///
-    /// Has no effect if `retry_at` is not later than the present retry time, or if the replica is unknown or has
+    /// Has no effect if `retry_at` is not later than the current retry time, or if the replica is unknown or has
     /// restarted since it was selected.
     pub fn set_retry_at(&mut self, facts: &ReplicaFacts, retry_at: Time) -> bool {
         let replica = self.key(&facts.id).and_then(|key| self.replicas.get_mut(key));
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -173,7 +173,7 @@
 }
 
 impl Fleet {
-    /// Returns the present load report of this daemon for its peers.
+    /// Returns the current load report of this daemon for its peers.
     pub fn own_report(&mut self, now: Time) -> LoadReport {
         let learned = self.learned_report(now);
         let daemons = self.daemons();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Returns the present summary of all daemons of this hall for other halls, and the number of these daemons.
+    /// Returns the current summary of all daemons of this hall for other halls, and the number of these daemons.
     pub fn hall_summary(&mut self, now: Time) -> (LoadReport, u32) {
         let hall_peers: Vec<&PeerState> =
             self.peers.values().filter(|peer| peer.is_hall_peer(self.hall_hash)).collect();
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -83,7 +83,7 @@
         Self { expected: engines, expected_until: now + EXPECTED_HOLD, ..Self::default() }
     }
 
-    /// Updates the peak with the present demand. While averages settle, a demand below the expected one is ignored:
+    /// Updates the peak with the current demand. While averages settle, a demand below the expected one is ignored:
     /// the first figures may be far too high and would be held.
     pub fn observe(&mut self, engines: f64, now: Time) {
         let is_settling = !self.expected_until.is_past(now) && engines <= self.expected;
@@ -159,7 +159,7 @@
     }
 }
 
-/// Whether a new size should replace the presently wanted one: an increase always does, a decrease only if it is
+/// Whether a new size should replace the one that is wanted now: an increase always does, a decrease only if it is
 /// large enough.
 #[must_use]
 pub fn should_replace(new: &PoolSize, current: &PoolSize) -> bool {
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -35,7 +35,7 @@
 const ANSWER_KV_SHARE: f64 = 0.5;
 /// Target utilization of a decode engine's link by transfers, which queue and come in bursts.
 const LINK_UTILIZATION: f64 = 0.5;
-/// Required decode engines in proportion to the present ones above which one is taken from prefill even if prefill
+/// Required decode engines in proportion to the current ones above which one is taken from prefill even if prefill
 /// lacks engines too.
 const SHORTAGE_FACTOR: f64 = 1.25;
 /// Decode engines, in proportion to the required ones, that must remain when one is taken from them. Answers take
@@ -199,7 +199,7 @@
         meter.record_answer(took);
     }
 
-    /// The present demand.
+    /// The current demand.
     #[must_use]
     pub fn demand(&self, now: Time) -> Demand {
         Demand {
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -221,7 +221,7 @@
         (answering + 1, listed.count() + 1)
     }
 
-    /// Whether a process has surely terminated: it announced as its last act that it leaves, a later run answers
+    /// Whether a process has certainly terminated: it announced as its last act that it leaves, a later run answers
     /// in its place, or its VM was listed by the platform and no longer is.
     #[must_use]
     pub fn is_terminated(&self, process: &Incarnation) -> bool {
--- a/crates/core/src/proof.rs
+++ b/crates/core/src/proof.rs
@@ -1,7 +1,7 @@
 //! Proofs of how recent a daemon's copy of the configuration is.
 //!
 //! A withdrawn key must have no effect after a time bound, even on a daemon that nobody reaches. A daemon
-//! therefore acts on its configuration only for a limited time after a moment at which that was surely the
+//! therefore acts on its configuration only for a limited time after a moment at which that was certainly the
 //! newest. Such a proof comes from the key-value service, dated at the request, or from another daemon, dated
 //! at the request less the proof's age there. Unsolicited messages prove nothing, since they may have been in
 //! flight for any time.
@@ -64,13 +64,13 @@
         self.proved_at.map(|at| Proof { revision: self.revision, at })
     }
 
-    /// Time since the configuration in force here was surely the newest.
+    /// Time since the configuration in force here was certainly the newest.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Span> {
         self.proved_at.map(|at| now.since(at))
     }
 
-    /// Whether the configuration in force here was surely the newest less than `bound` before a request arrived
+    /// Whether the configuration in force here was certainly the newest less than `bound` before a request arrived
     /// at `arrived`.
     #[must_use]
     pub fn is_fresh(&self, bound: Span, arrived: Time) -> bool {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -174,7 +174,7 @@
     Store {
         /// Index of the window.
         window: u64,
-        /// Expected store revision of the present report, 0 if there is none.
+        /// Expected store revision of the stored report, 0 if there is none.
         expect: i64,
     },
     /// Send this report.
--- a/crates/core/src/watcher_election.rs
+++ b/crates/core/src/watcher_election.rs
@@ -2,7 +2,7 @@
 //!
 //! Each call to the store has a cost, so only two daemons of a hall watch it for changes and the others learn
 //! of the changes from them. Each daemon decides on its own, by its priority among the hall peers that it
-//! hears: it watches if too few peers of higher priority do. A store without changes answers a watcher only at
+//! hears from: it watches if too few peers of higher priority do. A store without changes answers a watcher only at
 //! the end of a long poll, so a watcher is trusted for longer than such a call may take. Daemons that see the
 //! same shortage start one after the other, highest priority first; the first to succeed ends the shortage for
 //! the others.
@@ -11,7 +11,7 @@
 
 /// Number of watchers per hall: one of them may fail at any time.
 pub const WATCHERS: usize = 2;
-/// Silence after which a hall peer counts as gone; daemons send a report at least every 400 ms.
+/// Silence after which a hall peer expires; daemons send a report at least every 400 ms.
 pub const PEER_SILENCE_TIMEOUT: Span = Span::millis(1_000);
 /// Delay between two daemons that see the same shortage, longer than a report of the first takes to reach the
 /// second.
@@ -43,7 +43,7 @@
 pub struct HallPeer {
     /// Its priority.
     pub priority: Priority,
-    /// When it was last heard.
+    /// When its last report arrived.
     pub heard_at: Time,
     /// When the store last answered it, if it watches the store.
     pub watched_at: Option<Time>,
@@ -89,7 +89,7 @@
 }
 
 impl Election {
-    /// Whether this daemon is elected; `watching` tells whether it watches at present.
+    /// Whether this daemon is elected; `watching` tells whether it watches now.
     pub fn is_elected(
         &mut self,
         watching: bool,
@@ -114,7 +114,7 @@
         watching || (shortage_since + wait.min(timing.max_election_time())).is_past(now)
     }
 
-    /// Maximum wait of the next call. The first call after an election does not wait, so that peers soon hear
+    /// Maximum wait of the next call. The first call after an election does not wait, so that peers soon learn
     /// of its answer and do not elect themselves.
     #[must_use]
     pub fn next_wait(&self, timing: ElectionTiming) -> Span {
