--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -91,9 +91,9 @@
     pub report: LoadReport,
     /// When the last report was valid, by this daemon's clock.
     pub report_at: Time,
-    /// Prompt tokens sent by this daemon whose request has had no token yet.
+    /// Uncached prompt tokens sent by this daemon whose request has had no token yet.
     pub own_prefill_tokens: f64,
-    /// Prompt tokens sent by this daemon after the last report was valid.
+    /// Uncached prompt tokens sent by this daemon after the last report was valid.
     pub own_tokens_since_report: f64,
     /// Prompt tokens that other daemons have in flight there.
     pub peer_prefill_tokens: f64,
--- a/crates/core/src/predict.rs
+++ b/crates/core/src/predict.rs
@@ -42,8 +42,8 @@
     let sum =
         f64::from(endpoint.report.queued_prefill) + endpoint.own_tokens_since_report + endpoint.peer_prefill_tokens;
     let aged = (sum - age * endpoint.rates.prefill).max(0.0);
-    // Requests of this daemon without a token yet cannot have been prefilled; at least half of their prompts
-    // counts.
+    // Requests of this daemon without a token yet cannot have been prefilled; at least half of their uncached
+    // tokens count.
     aged.max(endpoint.own_prefill_tokens * 0.5)
 }
 
