--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Engine that processes prompts and exports their KV cache.
+    /// Engine that prefills prompts and exports their KV cache.
     Prefill,
-    /// Engine that imports KV caches and generates.
+    /// Engine that imports KV caches and decodes.
     Decode,
     /// Engine that does both.
     #[default]
@@ -46,7 +46,7 @@
 pub struct LoadReport {
     /// Prompt tokens queued for prefill.
     pub queued_prefill: u32,
-    /// Sequences being generated.
+    /// Sequences being decoded.
     pub running: u32,
     /// Requests that wait for a slot in the batch.
     pub waiting: u32,
@@ -91,9 +91,9 @@
     pub report: LoadReport,
     /// When the last report was valid, by this daemon's clock.
     pub report_at: Time,
-    /// Prompt tokens sent by this daemon whose request has had no token yet.
+    /// Uncached prompt tokens sent by this daemon whose request has had no token yet.
     pub own_prefill_tokens: f64,
-    /// Prompt tokens sent by this daemon after the last report was valid.
+    /// Uncached prompt tokens sent by this daemon after the last report was valid.
     pub own_tokens_since_report: f64,
     /// Prompt tokens that other daemons have in flight there.
     pub peer_prefill_tokens: f64,
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -141,13 +141,13 @@
     pub other_streams: u32,
     /// Token limit of the answer.
     pub max_output: u32,
-    /// Number of answer tokens that the caller expects.
+    /// Number of tokens in the answer as estimated by the caller.
     pub output_hint: Option<u32>,
     /// Time at which it was sent.
     pub sent_at: Time,
 }
 
-/// A part of a stream that was forwarded.
+/// A part of a stream that was relayed to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamPart {
     /// Number of events in this part.
@@ -192,7 +192,7 @@
     /// Time of the next report of what was learned.
     next_learned_report: Time,
     /// Number of daemons that are registered, whether or not their reports arrive.
-    listed_daemons: usize,
+    registered_daemons: usize,
     /// Determines which rate-limit slots belong to this daemon.
     slot_share: SlotShare,
     /// Requests during which replicas crashed.
@@ -224,14 +224,14 @@
     }
 
     /// Sets the number of registered daemons, including this one.
-    pub const fn set_listed_daemons(&mut self, daemons: usize) {
-        self.listed_daemons = daemons;
+    pub const fn set_registered_daemons(&mut self, daemons: usize) {
+        self.registered_daemons = daemons;
     }
 
     /// Sets the zero-based rank of this daemon among the registered ones, and the offset from its clock to the time
     /// of day.
     pub fn set_slot_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
-        let (daemons, rank) = (self.daemons().max(self.listed_daemons) as u64, rank as u64);
+        let (daemons, rank) = (self.daemons().max(self.registered_daemons) as u64, rank as u64);
         let changed = (daemons, rank) != (self.slot_share.daemons, self.slot_share.rank);
         let changed_at = if changed { now + clock_offset } else { self.slot_share.changed_at };
         self.slot_share = SlotShare { daemons, rank, clock_offset, changed_at };
@@ -247,7 +247,7 @@
         self.service_mut(service).max_pause = pause;
     }
 
-    /// Learns from a stream that was forwarded to its end.
+    /// Learns from a stream that was relayed to its end.
     pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
@@ -257,20 +257,20 @@
         if long.is_none_or(|long| long.lengths_known_from.is_past(now)) {
             state.engine.answer_pace.learn_finished(stream.total, sent.max_output);
         }
-        state.engine.answer_pace.learn_guess(stream.total, sent.output_hint);
+        state.engine.answer_pace.learn_hint(stream.total, sent.output_hint);
         if let Some(interval) = stream.interval() {
             state.engine.event_pace.learn(interval);
             state.engine.answer_pace.learn_pause(stream.events, interval, stream.longest_interval);
         }
     }
 
-    /// Learns from a part of a stream that was forwarded and may continue.
+    /// Learns from a part of a stream that was relayed and may continue.
     pub fn learn_stream(&mut self, sent: &SentStep, part: &StreamPart) {
         let (Some(replica), Some(interval)) = (self.replicas.get_mut(sent.key), part.interval()) else {
             return;
         };
         let engine = &mut self.services.entry(Arc::clone(&replica.facts.service)).or_default().engine;
-        // Until the pace is known, long answers cannot be told from short ones.
+        // Until the pace is known, long answers cannot be distinguished from short ones.
         if sent.load.streams > 0 || !engine.answer_pace.is_known() {
             let slowness = engine.answer_pace.learn(interval, replica.streams(), replica.answer_slowness.value());
             replica.learn_answer_slowness(slowness);
@@ -428,7 +428,7 @@
 
     /// Postpones the time from which a replica accepts requests from this daemon again; returns whether it changed.
     ///
-    /// Has no effect if `retry_at` is not later than the present retry time, or if the replica is unknown or has
+    /// Has no effect if `retry_at` is not later than the current retry time, or if the replica is unknown or has
     /// restarted since it was selected.
     pub fn set_retry_at(&mut self, facts: &ReplicaFacts, retry_at: Time) -> bool {
         let replica = self.key(&facts.id).and_then(|key| self.replicas.get_mut(key));
@@ -471,10 +471,10 @@
         state.plain_call_ms += PLAIN_WEIGHT * (took.as_millis_f64() - state.plain_call_ms);
     }
 
-    /// How to treat a request, given the replicas that crashed during it.
+    /// Decides how to treat a request, given the replicas that crashed during it.
     pub fn verdict(&mut self, content: ContentHash, now: Time) -> Verdict {
         let daemons = self.daemons();
-        let is_cut_off = daemons == 1 && self.listed_daemons > 1;
+        let is_cut_off = daemons == 1 && self.registered_daemons > 1;
         self.crashes.verdict(content, daemons, is_cut_off, now)
     }
 
@@ -491,7 +491,7 @@
     /// Takes `count` retries from the budget of a service; returns whether the budget allows them.
     pub fn take_retries(&mut self, count: u32, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) -> bool {
         // A daemon that is cut off from its peers must not use their shares of the budget.
-        let daemons = self.daemons().max(self.listed_daemons);
+        let daemons = self.daemons().max(self.registered_daemons);
         self.service_mut(service).retry_budget.take(count, terms, daemons, now)
     }
 
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -17,7 +17,7 @@
 
 /// Time for which the highest demand counts in full. Swings of the mix recur within it.
 const PEAK_HOLD: Span = Span::millis(30_000);
-/// Time after the first demand for which an expected demand above the observed one counts: the averages of the demand
+/// Time from the first observed demand for which an expected demand above it still counts: the averages of the demand
 /// and of the answer durations must have settled.
 const EXPECTED_HOLD: Span = Span::millis(8_000);
 /// Time in which a peak decays by half once it is no longer held.
@@ -71,19 +71,19 @@
 }
 
 impl Peak {
-    /// A peak that another daemon has observed.
+    /// Creates a peak that another daemon has observed.
     #[must_use]
     pub const fn observed(engines: f64, now: Time) -> Self {
         Self { engines, observed_at: now, expected: 0.0, expected_until: Time(0) }
     }
 
-    /// A peak that another daemon expects.
+    /// Creates a peak that another daemon expects.
     #[must_use]
     pub fn expected(engines: f64, now: Time) -> Self {
         Self { expected: engines, expected_until: now + EXPECTED_HOLD, ..Self::default() }
     }
 
-    /// Updates the peak with the present demand. While averages settle, a demand below the expected one is ignored:
+    /// Updates the peak with the current demand. While averages settle, a demand below the expected one is ignored:
     /// the first figures may be far too high and would be held.
     pub fn observe(&mut self, engines: f64, now: Time) {
         let is_settling = !self.expected_until.is_past(now) && engines <= self.expected;
@@ -159,13 +159,13 @@
     }
 }
 
-/// Whether a new size should replace the presently wanted one: an increase always does, a decrease only if it is
+/// Whether a new size should replace the one that is wanted now: an increase always does, a decrease only if it is
 /// large enough.
 #[must_use]
-pub fn should_replace(new: &PoolSize, present: &PoolSize) -> bool {
+pub fn should_replace(new: &PoolSize, current: &PoolSize) -> bool {
     let total = |size: &PoolSize| f64::from(size.values().map(|hall| hall.total()).sum::<u32>());
-    let (new, present) = (total(new), total(present));
-    new > present || new < present * (1.0 - SCALE_DOWN_MARGIN)
+    let (new, current) = (total(new), total(current));
+    new > current || new < current * (1.0 - SCALE_DOWN_MARGIN)
 }
 
 impl Fleet {
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -35,7 +35,7 @@
 const ANSWER_KV_SHARE: f64 = 0.5;
 /// Target utilization of a decode engine's link by transfers, which queue and come in bursts.
 const LINK_UTILIZATION: f64 = 0.5;
-/// Required decode engines in proportion to the present ones above which one is taken from prefill even if prefill
+/// Required decode engines in proportion to the current ones above which one is taken from prefill even if prefill
 /// lacks engines too.
 const SHORTAGE_FACTOR: f64 = 1.25;
 /// Decode engines, in proportion to the required ones, that must remain when one is taken from them. Answers take
@@ -45,8 +45,8 @@
 /// Share of a service's engines by which one side must exceed its balanced number for one to be taken from it
 /// although neither side lacks any.
 const MIN_IMBALANCE: f64 = 0.05;
-/// Share of the decode engines that must be required for that: the mix of a small demand says little about the next
-/// one.
+/// Share of the decode engines that must be required for a change because of [`MIN_IMBALANCE`]: the mix of a small
+/// demand says little about the next one.
 const MIN_UTILIZATION: f64 = 0.5;
 /// Maximum share of the engines that change at a time, rounded up. Each is unavailable for seconds, so a demand that
 /// swings back would find too few.
@@ -199,7 +199,7 @@
         meter.record_answer(took);
     }
 
-    /// The present demand.
+    /// The current demand.
     #[must_use]
     pub fn demand(&self, now: Time) -> Demand {
         Demand {
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// Listed by the platform, not heard yet.
+    /// Listed by the platform; has not answered yet.
     Listed,
     /// Answers probes.
     Alive,
@@ -96,7 +96,7 @@
 pub struct Member {
     /// Address information.
     pub contact: Contact,
-    /// Start number of the daemon's run; zero before it was heard.
+    /// Start number of the daemon's run; zero before it is known.
     pub start: u64,
     /// Number of suspicions that the member has refuted in this run.
     pub refutation: u32,
@@ -221,7 +221,7 @@
         (answering + 1, listed.count() + 1)
     }
 
-    /// Whether a process has surely terminated: it announced as its last act that it leaves, a later run answers
+    /// Whether a process has certainly terminated: it announced as its last act that it leaves, a later run answers
     /// in its place, or its VM was listed by the platform and no longer is.
     #[must_use]
     pub fn is_terminated(&self, process: &Incarnation) -> bool {
@@ -317,7 +317,7 @@
     }
 
     /// Returns the suspicion or death of `key` that it must learn of to refute it. It is sent with every probe
-    /// of that member, so that one that was cut off for long can come back.
+    /// of that member, so that one that was cut off for long can refute its death.
     #[must_use]
     pub fn update_to_refute(&self, key: MemberKey) -> Option<Update> {
         let row = self.rows.get(key)?;
@@ -333,16 +333,16 @@
     /// Returns the updates for the next message, this daemon's own first.
     pub fn take_updates(&mut self) -> Vec<Update> {
         let mut out = vec![self.own_update()];
-        self.queued_updates.sort_by_key(|n| std::cmp::Reverse(n.sends_left));
+        self.queued_updates.sort_by_key(|queued| std::cmp::Reverse(queued.sends_left));
         for queued in self.queued_updates.iter_mut().take(self.settings.updates_per_message) {
             queued.sends_left -= 1;
             out.push(queued.update.clone());
         }
-        self.queued_updates.retain(|n| n.sends_left > 0);
+        self.queued_updates.retain(|queued| queued.sends_left > 0);
         out
     }
 
-    /// Announces from now on that this daemon leaves.
+    /// Makes this daemon announce from now on that it leaves.
     pub const fn announce_leaving(&mut self) {
         self.leaving = true;
     }
@@ -414,7 +414,7 @@
             _ => now + Span(self.settings.suspicion_timeout.0 * DEAD_RETENTION_FACTOR),
         };
         let sends_left = SENDS_PER_DOUBLING * (usize::BITS - self.rows.len().leading_zeros() + 1);
-        self.queued_updates.retain(|n| n.update.contact.vm != update.contact.vm);
+        self.queued_updates.retain(|queued| queued.update.contact.vm != update.contact.vm);
         self.queued_updates.push(QueuedUpdate { update: update.clone(), sends_left });
     }
 
