--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -139,13 +139,16 @@
                 .serve(step, &Task::Serve { copy_from: self.copy_from(step) })
                 .await
                 .map_err(|why| AttemptFailure { why, in_prefill: false, replica: step.key }),
-            Plan::Disaggregated { prefill: read, decode: write } => self.prefill_then_decode(read, write).await,
+            Plan::Disaggregated { prefill, decode } => self.prefill_then_decode(prefill, decode).await,
         }
     }
 
-    async fn prefill_then_decode(&self, read: &Step, write: &Step) -> Result<UpstreamResponse, AttemptFailure> {
-        let mut prefilled =
-            self.prefill(read).await.map_err(|why| AttemptFailure { why, in_prefill: true, replica: read.key })?;
+    async fn prefill_then_decode(&self, prefill: &Step, decode: &Step) -> Result<UpstreamResponse, AttemptFailure> {
+        let mut prefilled = self.prefill(prefill).await.map_err(|why| AttemptFailure {
+            why,
+            in_prefill: true,
+            replica: prefill.key,
+        })?;
         let task = Task::Decode { prefill_address: prefilled.replica.address, handle: prefilled.handle.name.clone() };
         let mut tried = Vec::new();
         let mut retries = 0;
@@ -153,37 +156,37 @@
         loop {
             if self.gw.fleet().crashes.is_refused(self.content) {
                 let why = CallFailure::NotTried("replicas crash while running the request");
-                return Err(AttemptFailure { why, in_prefill: false, replica: write.key });
+                return Err(AttemptFailure { why, in_prefill: false, replica: decode.key });
             }
             credit = self.usable_credit(credit).await.map_err(|_| AttemptFailure {
                 why: CallFailure::NotTried("no credit available from the team's quota"),
                 in_prefill: false,
-                replica: write.key,
+                replica: decode.key,
             })?;
-            let write = self.choose_decoder(read, write, &tried);
-            let is_new = !tried.contains(&write.key);
-            match self.serve(&write, &task).await {
+            let decode = self.choose_decoder(prefill, decode, &tried);
+            let is_new = !tried.contains(&decode.key);
+            match self.serve(&decode, &task).await {
                 Ok(resp) => {
                     prefilled.taken_over = true;
                     return Ok(resp);
                 }
-                Err(CallFailure::NobodyListens) if is_new && tried.len() < MAX_GONE_REPLICAS => tried.push(write.key),
+                Err(CallFailure::NobodyListens) if is_new && tried.len() < MAX_GONE_REPLICAS => tried.push(decode.key),
                 Err(why) if retries < MAX_DECODE_RETRIES && self.may_retry_decode(&why) => {
                     retries += 1;
-                    tried.push(write.key);
+                    tried.push(decode.key);
                 }
-                Err(why) => return Err(AttemptFailure { why, in_prefill: false, replica: write.key }),
+                Err(why) => return Err(AttemptFailure { why, in_prefill: false, replica: decode.key }),
             }
         }
     }
 
     /// The engine that decodes, chosen again after the prefill: since the plan was made, engines may have filled up,
     /// left, or started to change their role.
-    fn choose_decoder(&self, read: &Step, planned: &Step, tried: &[ReplicaKey]) -> Step {
+    fn choose_decoder(&self, prefill: &Step, planned: &Step, tried: &[ReplicaKey]) -> Step {
         let now = self.gw.now();
         let fleet = self.gw.fleet();
         let req = RouteRequest { tried, ..self.route_request(now) };
-        fleet.choose_decode_step(&req, read, planned.long, now).unwrap_or(*planned)
+        fleet.choose_decode_step(&req, prefill, planned.long, now).unwrap_or(*planned)
     }
 
     /// Whether another engine may decode instead: the prefilled KV cache is still there if this engine did not start.
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -138,7 +138,7 @@
             .map_err(|e| CallError::Lost(format!("the stored pool sizes are unreadable: {e}")))?;
         let now = gw.now();
         // It is unknown whether the previous leader sent these orders.
-        let due = stored.iter().flat_map(|(service, pool)| order_keys(service, &pool.ordered)).map(|s| (s, now));
+        let due = stored.iter().flat_map(|(service, pool)| order_keys(service, &pool.ordered)).map(|key| (key, now));
         Ok(Self { revision: entry.revision, due: due.collect(), stored, peaks: BTreeMap::new() })
     }
 
@@ -260,7 +260,8 @@
         lease: &LeaderLease,
         now: Time,
     ) -> Result<(), CallError> {
-        let due: Vec<OrderKey> = self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(s, _)| s.clone()).collect();
+        let due: Vec<OrderKey> =
+            self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(key, _)| key.clone()).collect();
         if due.is_empty() {
             return Ok(());
         }
--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -96,16 +96,16 @@
 impl StoredSuspicion {
     fn new(suspicion: &Suspicion) -> Self {
         let now_ms = wall_millis();
-        let ends = suspicion.crashes.iter().map(|(replica, age)| (*replica, now_ms.saturating_sub(age.as_millis())));
-        Self { ends: ends.collect(), until_ms: now_ms + suspicion.time_left.as_millis() }
+        let crashes = suspicion.crashes.iter().map(|(replica, age)| (*replica, now_ms.saturating_sub(age.as_millis())));
+        Self { ends: crashes.collect(), until_ms: now_ms + suspicion.time_left.as_millis() }
     }
 
     fn to_suspicion(&self) -> Suspicion {
         let now_ms = wall_millis();
-        let ends =
-            self.ends.iter().map(|(replica, ended_ms)| (*replica, Span::millis(now_ms.saturating_sub(*ended_ms))));
+        let crashes =
+            self.ends.iter().map(|(replica, crashed_ms)| (*replica, Span::millis(now_ms.saturating_sub(*crashed_ms))));
         Suspicion {
-            crashes: ends.collect(),
+            crashes: crashes.collect(),
             time_left: Span::millis(self.until_ms.saturating_sub(now_ms)),
             observed_here: false,
         }
@@ -232,15 +232,15 @@
 impl StoreSync {
     async fn reconcile(&mut self, gw: &Arc<Gateway>) {
         let now = gw.now();
-        let (contents, lapsed) = {
-            let endings = &mut gw.fleet().crashes;
-            let lapsed: HashSet<ContentHash> = endings.expire(now).into_iter().collect();
+        let (contents, expired) = {
+            let crashes = &mut gw.fleet().crashes;
+            let expired: HashSet<ContentHash> = crashes.expire(now).into_iter().collect();
             (
-                KnownContents { refused: endings.refused().collect(), suspected: endings.suspected(now).collect() },
-                lapsed,
+                KnownContents { refused: crashes.refused().collect(), suspected: crashes.suspected(now).collect() },
+                expired,
             )
         };
-        self.log_changes(&contents.refused, &lapsed, now);
+        self.log_changes(&contents.refused, &expired, now);
         let stored_entries: Vec<StoredEntry> = {
             let cache = gw.store_cache();
             cache.daemons.values().filter_map(|entry| StoredEntry::parse(&gw.settings.keyspace, entry)).collect()
@@ -253,7 +253,7 @@
         }
     }
 
-    fn log_changes(&self, refused: &HashMap<ContentHash, Refused>, lapsed: &HashSet<ContentHash>, now: Time) {
+    fn log_changes(&self, refused: &HashMap<ContentHash, Refused>, expired: &HashSet<ContentHash>, now: Time) {
         for (content, refused) in refused.iter().filter(|(content, _)| !self.logged_refusals.contains_key(content)) {
             emit!(
                 warn,
@@ -266,7 +266,7 @@
             );
         }
         for (content, before) in self.logged_refusals.iter().filter(|(content, _)| !refused.contains_key(content)) {
-            let why = if lapsed.contains(content) { "lapsed" } else { "lifted or answered" };
+            let why = if expired.contains(content) { "lapsed" } else { "lifted or answered" };
             emit!(
                 warn,
                 BLAME_LIFTED,
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -95,12 +95,12 @@
     /// Stops gracefully: reports not ready, then accepts no new connections, then waits for requests in flight.
     pub async fn stop(self) {
         let gw = &self.gw;
-        let over_at = gw.now() + Span::seconds(gw.settings.timing.stop_s);
+        let deadline = gw.now() + Span::seconds(gw.settings.timing.stop_s);
         emit!(info, STOPPING, under_way = gw.stop.requests.len());
-        gw.stop.begin(gw.now(), Time(over_at.0.saturating_sub(EXIT_TIME.0)));
+        gw.stop.begin(gw.now(), Time(deadline.0.saturating_sub(EXIT_TIME.0)));
         tokio::time::sleep(BALANCER_DELAY).await;
         gw.stop.closing.cancel();
-        let left = over_at.since(gw.now()).0.saturating_sub(EXIT_TIME.0);
+        let left = deadline.since(gw.now()).0.saturating_sub(EXIT_TIME.0);
         let drained = tokio::time::timeout(duration(Span(left)), self.caller_task).await.is_ok();
         emit!(info, DRAINED, drained, under_way = gw.stop.requests.len());
         usage::publish_final(gw).await;
@@ -118,13 +118,13 @@
 
 async fn serve_pages(gw: Arc<Gateway>, listener: TcpListener, router: Router) {
     let stop = gw.stop.finished.clone();
-    let terms = || ConnectionLimits {
+    let limits = || ConnectionLimits {
         connections: MAX_PAGE_CONNECTIONS,
         head_timeout: PAGE_IDLE_TIMEOUT,
         max_head_bytes: MAX_PAGE_HEAD_BYTES,
     };
-    let answer = crate::listener::router_handler(router);
-    serve_with(listener, answer, terms, gw.stop.closing.clone(), stop).await;
+    let handler = crate::listener::router_handler(router);
+    serve_with(listener, handler, limits, gw.stop.closing.clone(), stop).await;
 }
 
 async fn bind(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -67,12 +67,12 @@
     ///
     /// # Errors
     /// The refusal, if replicas crash while running it.
-    pub(super) async fn check_standing(&mut self) -> Result<(), Refusal> {
+    pub(super) async fn check_verdict(&mut self) -> Result<(), Refusal> {
         self.trial = None;
         loop {
             let now = self.gw.now();
-            let standing = self.gw.fleet().verdict(self.content, now);
-            match standing {
+            let verdict = self.gw.fleet().verdict(self.content, now);
+            match verdict {
                 Verdict::Clear => self.isolation = None,
                 Verdict::Isolated(isolation) => self.isolation = Some(isolation),
                 Verdict::Pending(until) if !self.deadline.is_past(now) => {
@@ -80,13 +80,13 @@
                     continue;
                 }
                 Verdict::Pending(_) => return Err(self.final_refusal()),
-                Verdict::Refused(refused) => return Err(self.refuse_blamed(&refused)),
+                Verdict::Refused(refused) => return Err(self.refuse_for_crashes(&refused)),
             }
             return Ok(());
         }
     }
 
-    fn refuse_blamed(&self, refused: &Refused) -> Refusal {
+    fn refuse_for_crashes(&self, refused: &Refused) -> Refusal {
         let now = self.gw.now();
         emit!(
             info,
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -40,10 +40,10 @@
         &self,
         table: &RouteTable,
         route: &Route,
-        given: &PresentedKey,
+        presented: &PresentedKey,
         arrived: Time,
     ) -> Result<Identity, Refusal> {
-        match table.authenticate(given, route) {
+        match table.authenticate(presented, route) {
             Verdict::Allowed(identity @ Identity::Team(_)) if self.is_still_valid(arrived) => Ok(identity),
             Verdict::Allowed(Identity::Team(_)) => Err(Refusal::KeyUncertain),
             Verdict::Allowed(identity) => Ok(identity),
@@ -99,7 +99,7 @@
     }
 
     /// Records that a configuration is in force from now on.
-    pub(super) fn in_force(&self, revision: i64) {
+    pub(super) fn set_in_force(&self, revision: i64) {
         self.proofs().set_in_force(revision);
     }
 
--- a/crates/daemon/src/gateway/listener.rs
+++ b/crates/daemon/src/gateway/listener.rs
@@ -20,18 +20,18 @@
 
 /// Serves callers until the daemon stops accepting connections.
 pub(super) async fn run(gw: Arc<Gateway>, listener: TcpListener) {
-    let answer = {
+    let handler = {
         let gw = Arc::clone(&gw);
         move |req| gw.stop.requests.track_future(request::serve(Arc::clone(&gw), req))
     };
-    let terms = {
+    let limits = {
         let gw = Arc::clone(&gw);
-        move || terms(&gw)
+        move || connection_limits(&gw)
     };
-    serve_with(listener, answer, terms, gw.stop.begun.clone(), gw.stop.closing.clone()).await;
+    serve_with(listener, handler, limits, gw.stop.begun.clone(), gw.stop.closing.clone()).await;
 }
 
-fn terms(gw: &Gateway) -> ConnectionLimits {
+fn connection_limits(gw: &Gateway) -> ConnectionLimits {
     let limits = gw.table().map(|table| table.limits);
     // One timer covers both the wait for a request and its head, so the longer limit applies.
     let head_time = limits.map_or(DEFAULT_HEAD_TIMEOUT, |limits| limits.idle_time.max(limits.head_time));
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -37,7 +37,7 @@
 /// late.
 const LATE_ORDER_TIMEOUT: Span = Span::millis(13_000);
 /// Time after a refused order until the engine gets another one.
-const REFUSED_ORDER_BACKOFF: Span = Span::millis(3_000);
+const ORDER_BACKOFF: Span = Span::millis(3_000);
 /// Time in addition to the role change itself for which an engine gets no work: running requests finish first.
 const DRAIN_TIME: Span = Span::millis(700);
 /// Maximum bytes of an engine's response.
@@ -94,11 +94,11 @@
     match answer {
         Some(OrderAnswer::Accepted) => {
             fleet.start_role_change(shift.key, shift.to, now + change + DRAIN_TIME);
-            fleet.hold_orders_until(shift.key, now + change + REFUSED_ORDER_BACKOFF);
+            fleet.hold_orders_until(shift.key, now + change + ORDER_BACKOFF);
         }
         Some(_) => {
             fleet.start_role_change(shift.key, shift.to, now);
-            fleet.hold_orders_until(shift.key, now + REFUSED_ORDER_BACKOFF);
+            fleet.hold_orders_until(shift.key, now + ORDER_BACKOFF);
         }
         None => {
             fleet.start_role_change(shift.key, shift.to, now);
--- a/crates/daemon/src/gateway/peer_table.rs
+++ b/crates/daemon/src/gateway/peer_table.rs
@@ -140,8 +140,8 @@
     /// A random peer of a hall that watches the store and is still heard.
     pub(super) fn watcher(&self, hall: u32, random: u64, now: Time) -> Option<SocketAddr> {
         let is_watcher = |peer: &PeerState| {
-            let follows = peer.watched_at.is_some_and(|at| now.since(at) < PEER_FORGET_TIMEOUT);
-            peer.hall == hall && follows && now.since(peer.heard_at) < PEER_SILENCE_TIMEOUT
+            let watches = peer.watched_at.is_some_and(|at| now.since(at) < PEER_FORGET_TIMEOUT);
+            peer.hall == hall && watches && now.since(peer.heard_at) < PEER_SILENCE_TIMEOUT
         };
         let heard = self.heard();
         let mut watchers: Vec<SocketAddr> =
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -25,9 +25,9 @@
 
 /// Multiple of its predicted duration after which a prefill is overdue and its engine is asked whether it still
 /// responds. The prefill is not aborted then: prefills that start again from the beginning slow the others.
-const PREFILL_TIMEOUT_FACTOR: f64 = 2.0;
+const PREFILL_OVERDUE_FACTOR: f64 = 2.0;
 /// Added to that time, for the round trip and for poor predictions.
-const PREFILL_TIMEOUT_MARGIN: Span = Span::millis(150);
+const PREFILL_OVERDUE_MARGIN: Span = Span::millis(150);
 /// Interval between two status requests to an engine whose prefill is overdue.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 /// Added for each daemon: the more daemons there are, the later this one learns what they have sent in the meantime.
@@ -73,13 +73,13 @@
 impl ActiveRequest {
     /// Has a prompt prefilled.
     pub(super) async fn prefill(&self, step: &Step) -> Result<PrefilledPrompt, CallFailure> {
-        let predicted = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * PREFILL_TIMEOUT_FACTOR);
+        let predicted = Span::seconds((step.wait_ms + step.work_ms) / 1_000.0 * PREFILL_OVERDUE_FACTOR);
         let margin = Span(MARGIN_PER_DAEMON.0 * self.gw.fleet().daemons() as u64);
-        let overdue = self.deadline.min(self.gw.now() + predicted + PREFILL_TIMEOUT_MARGIN + margin);
+        let overdue_at = self.deadline.min(self.gw.now() + predicted + PREFILL_OVERDUE_MARGIN + margin);
         let (replica, mut in_flight) = self.begin_call(step)?;
         let task = Task::Prefill { copy_from: self.copy_from(step) };
         let call = Call { replica: &replica, task: &task, priority: self.priority(step) };
-        let result = self.prefill_while_responsive(&call, overdue).await;
+        let result = self.prefill_while_responsive(&call, overdue_at).await;
         match result {
             Ok(handle) => {
                 self.gw.metrics.prefill(in_flight.age().as_seconds());
@@ -111,9 +111,9 @@
     ///
     /// An aborted prefill starts again from the beginning elsewhere, at the full cost; so a busy engine keeps it, and
     /// only an engine that is gone or unreachable loses it.
-    async fn prefill_while_responsive(&self, call: &Call<'_>, overdue: Time) -> Result<Handle, CallFailure> {
+    async fn prefill_while_responsive(&self, call: &Call<'_>, overdue_at: Time) -> Result<Handle, CallFailure> {
         let mut prefill = std::pin::pin!(self.call_prefill(call));
-        if let Some(result) = self.gw.timeout_at(overdue, &mut prefill).await {
+        if let Some(result) = self.gw.timeout_at(overdue_at, &mut prefill).await {
             return result;
         }
         tokio::select! {
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -209,7 +209,7 @@
 
     /// Plans the next attempt, or returns why to give up.
     pub(super) async fn next_plan(&mut self) -> Result<Plan, Refusal> {
-        self.check_standing().await?;
+        self.check_verdict().await?;
         let now = self.gw.now();
         let is_exhausted = self.attempts >= MAX_ATTEMPTS
             || self.gone_replicas >= MAX_GONE_REPLICAS
@@ -351,9 +351,9 @@
 
     fn log_plan(&self, fleet: &Fleet, plan: &Plan, now: Time) {
         let name = |key: ReplicaKey| fleet.get(key).map_or("", |replica| &*replica.facts.id);
-        let (read, write, first) = match plan {
+        let (read, replica, first) = match plan {
             Plan::Single(step) => ("", name(step.key), step),
-            Plan::Disaggregated { prefill: read, decode: write } => (name(read.key), name(write.key), read),
+            Plan::Disaggregated { prefill, decode } => (name(prefill.key), name(decode.key), prefill),
         };
         emit!(
             info,
@@ -364,7 +364,7 @@
             configuration = self.version,
             service = %self.service,
             read,
-            replica = write,
+            replica,
             predicted_ms = plan.predicted_ms() as u64,
             late = plan.is_late(),
             wait_ms = first.wait_ms as u64,
@@ -436,8 +436,8 @@
 
     /// Number of calls of a plan that repeat earlier ones.
     fn count_retries(&self, plan: &Plan) -> u32 {
-        let reads = matches!(plan, Plan::Disaggregated { .. });
-        u32::from(reads && self.prefill_delivered) + u32::from(self.serve_delivered)
+        let has_prefill = matches!(plan, Plan::Disaggregated { .. });
+        u32::from(has_prefill && self.prefill_delivered) + u32::from(self.serve_delivered)
     }
 
     /// Whether a replica may have run the request.
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -102,17 +102,17 @@
 
 /// Share of the shutdown time after which no long response is started. Some take far longer than usual, and one that
 /// starts this late would have to be complete by the end.
-const LONG_RESPONSE_SHARE: f64 = 0.3;
+const LONG_ANSWER_SHARE: f64 = 0.3;
 
 /// Multiple of the usual duration of a long response that must be left to start one. One in ten takes twice as long,
 /// and one that the exit of the process cuts off is lost; a caller that is refused finds another VM within its latency
 /// objective or soon after.
-const LONG_RESPONSE_FACTOR: f64 = 1.3;
+const LONG_ANSWER_FACTOR: f64 = 1.3;
 
 impl Stop {
     /// Starts the shutdown.
     pub(super) fn begin(&self, now: Time, exit_at: Time) {
-        let no_long_from = now + Span::seconds(exit_at.since(now).as_seconds() * LONG_RESPONSE_SHARE);
+        let no_long_from = now + Span::seconds(exit_at.since(now).as_seconds() * LONG_ANSWER_SHARE);
         self.no_long_from.store(no_long_from.0, Ordering::Relaxed);
         self.exit_at.store(exit_at.0, Ordering::Relaxed);
         self.begun.cancel();
@@ -125,7 +125,7 @@
             return true;
         }
         let too_late = Time(self.no_long_from.load(Ordering::Relaxed)).is_past(now);
-        !too_late && Time(exit_at).since(now).as_seconds() > usual.as_seconds() * LONG_RESPONSE_FACTOR
+        !too_late && Time(exit_at).since(now).as_seconds() > usual.as_seconds() * LONG_ANSWER_FACTOR
     }
 }
 
--- a/crates/daemon/src/gateway/store_cache.rs
+++ b/crates/daemon/src/gateway/store_cache.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records that everything was read at a revision: earlier removals are not known individually.
-    pub(super) fn read_whole(&mut self, revision: i64) {
+    pub(super) fn record_full_read(&mut self, revision: i64) {
         self.replicas.record_full_read(revision);
         self.daemons.record_full_read(revision);
     }
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -50,16 +50,18 @@
 
 async fn watch(gw: &Arc<Gateway>) {
     let mut election = Election::default();
-    let terms = ElectionTiming { watch_deadline: Span::millis(gw.settings.timing.contact_ms) };
+    let timing = ElectionTiming { watch_deadline: Span::millis(gw.settings.timing.contact_ms) };
     loop {
         let is_initialized = gw.store_cache().revision > 0;
-        if is_initialized && !is_elected(gw, &mut election, terms) && !gw.keys.is_proof_stale(gw.now()) {
+        if is_initialized && !is_elected(gw, &mut election, timing) && !gw.keys.is_proof_stale(gw.now()) {
             stand_by(gw).await;
             continue;
         }
         set_watching(gw, true);
-        let wait =
-            gw.keys.longest_wait().map_or(election.next_wait(terms), |longest| election.next_wait(terms).min(longest));
+        let wait = gw
+            .keys
+            .longest_wait()
+            .map_or(election.next_wait(timing), |longest| election.next_wait(timing).min(longest));
         match poll(gw, is_initialized, wait).await {
             Ok(()) => {
                 if election.record_answer() {
@@ -69,7 +71,7 @@
             }
             Err(e) => {
                 store_failed(gw, &e);
-                let wait = election.record_failure(terms);
+                let wait = election.record_failure(timing);
                 let jitter = Span(gw.random() % wait.0.max(1));
                 tokio::time::sleep(duration(wait) + duration(jitter)).await;
             }
@@ -77,7 +79,7 @@
     }
 }
 
-fn is_elected(gw: &Gateway, election: &mut Election, terms: ElectionTiming) -> bool {
+fn is_elected(gw: &Gateway, election: &mut Election, timing: ElectionTiming) -> bool {
     let now = gw.now();
     let is_alone = gw.seeds().is_empty() && !gw.peers.has_hall_peers(gw.hall);
     if !is_alone && gw.fleet().is_warming_up(now) {
@@ -86,7 +88,7 @@
         return false;
     }
     let watching = gw.store_cache().watching;
-    election.is_elected(watching, priority(gw), &gw.peers.hall_peers(gw.hall), terms, now)
+    election.is_elected(watching, priority(gw), &gw.peers.hall_peers(gw.hall), timing, now)
 }
 
 /// Makes one call, or two while the store is unreachable: the first is cheap and only checks whether it is back.
@@ -204,7 +206,7 @@
     }
     let mut cache = gw.store_cache();
     cache.advance(revision);
-    cache.read_whole(revision);
+    cache.record_full_read(revision);
     emit!(info, STORE_READ, revision, replicas);
 }
 
@@ -255,7 +257,7 @@
             if gw.set_table(table) {
                 emit!(info, ROUTES_IN_FORCE, configuration = version, revision = entry.revision, routes);
             }
-            gw.keys.in_force(entry.revision);
+            gw.keys.set_in_force(entry.revision);
             gw.store_cache().configuration = Some(entry);
         }
         Err(e) => emit!(error, CONFIG_REJECTED, revision = entry.revision, why = %e),
