--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -26,12 +26,12 @@
     pub(super) content: ContentHash,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
-    /// On whose behalf it runs.
+    /// On whose behalf the request runs.
     pub(super) identity: Identity,
     /// Version of the configuration that applied.
     pub(super) version: u64,
     pub(super) arrived: Time,
-    /// When the request must be finished: after the caller's timeout or the route's time limit.
+    /// When the request must be finished: after the caller's timeout or the route's time limit, whichever is shorter.
     pub(super) deadline: Time,
 }
 
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -89,7 +89,7 @@
         matches!(self, Self::Broke(_) | Self::Lost(_) | Self::TimedOut | Self::Overdue)
     }
 
-    /// What the failure says about the replica, which was waited for this long.
+    /// What the failure says about the replica, after waiting for `waited`.
     fn step_end(&self, waited: Span) -> StepEnd {
         match self {
             Self::NotTried(_) | Self::Overdue => StepEnd::Unknown,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The engine that decodes, chosen again after the prefill: since the plan was made, engines may have filled up,
+    /// Chooses the engine that decodes, again after the prefill: since the plan was made, engines may have filled up,
     /// left, or started to change their role.
     fn choose_decoder(&self, prefill: &Step, planned: &Step, tried: &[ReplicaKey]) -> Step {
         let now = self.gw.now();
@@ -343,7 +343,7 @@
         self.check_replica_if_broken(replica, why).await;
     }
 
-    /// Counts and logs a failed attempt.
+    /// Counts and logs a failed call.
     pub(super) fn log_failure(
         &self,
         replica: &ReplicaFacts,
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -1,8 +1,8 @@
 //! Autoscaling: orders for the number of engines in each hall, where the configuration lets the system choose it.
 //!
 //! The leader decides ([`pool`]) and stores each order before sending it, so that its successor continues from there.
-//! An order is repeated until it is accepted. An accepted order without effect, because engines were taken away or none
-//! were available, is sent again.
+//! An order is repeated until it is accepted or refused for good. An accepted order without effect, because engines
+//! were taken away or none were available, is sent again.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -26,7 +26,7 @@
 /// Time after the stop signal during which new connections may still arrive: the load balancer checks every second and
 /// stops sending after two failed checks.
 const BALANCER_DELAY: Duration = Duration::from_millis(3_200);
-/// Share of the stop time that is reserved for the exit of the process itself.
+/// Part of the stop time that is reserved for the exit of the process itself.
 const EXIT_TIME: Span = Span::millis(400);
 /// Maximum number of connections from operators and the load balancer.
 const MAX_PAGE_CONNECTIONS: usize = 64;
--- a/crates/daemon/src/gateway/ending.rs
+++ b/crates/daemon/src/gateway/ending.rs
@@ -31,7 +31,7 @@
 struct StreamStats {
     /// The replica that responded last.
     replica: Arc<str>,
-    /// Number of long responses known to be in progress at the replica when the request was sent.
+    /// Number of other long answers known to be in progress at the replica when the request was sent.
     beside: u32,
     relayed: RelayedEvents,
 }
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -35,7 +35,7 @@
 }
 
 impl ActiveRequest {
-    /// Starts such a run if it is uncertain whether the request is the cause.
+    /// Starts a trial if it is uncertain whether the request is the cause of the crashes.
     pub(super) fn begin_trial(&self) -> Option<Trial> {
         if !self.isolation.is_some_and(|isolation| isolation.single_replica) {
             return None;
@@ -63,10 +63,11 @@
         }
     }
 
-    /// Determines whether the request may be sent to a replica, and how.
+    /// Determines whether the request may be sent to a replica, and how. Waits while other daemons' reports of its last
+    /// crash may still arrive.
     ///
     /// # Errors
-    /// The refusal, if replicas crash while running it.
+    /// The refusal, if replicas crash while running it or the deadline passes during the wait.
     pub(super) async fn check_verdict(&mut self) -> Result<(), Refusal> {
         self.trial = None;
         loop {
--- a/crates/daemon/src/gateway/freshness_probe.rs
+++ b/crates/daemon/src/gateway/freshness_probe.rs
@@ -25,7 +25,8 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Number of latest probes whose replies are still accepted.
 const MAX_OUTSTANDING_PROBES: usize = 16;
-/// Age of a proof beyond which daemons of other halls are asked as well.
+/// Age of a proof beyond which daemons of other halls, and a peer of this hall that may not watch the store, are asked
+/// as well.
 const OTHER_HALLS_AFTER: Span = Span::millis(1_500);
 
 /// Probes that this daemon sent.
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -88,12 +88,11 @@
         self.proofs().age(now)
     }
 
-    /// The same in milliseconds, for logs.
+    /// That age in milliseconds, for logs.
     pub(super) fn age_ms(&self, now: Time) -> Option<u64> {
         self.age(now).map(Span::as_millis)
     }
 
-    /// Records a proof.
     pub(super) fn record(&self, proof: Proof) {
         self.proofs().record(proof);
     }
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -2,9 +2,10 @@
 //!
 //! One daemon is the leader for everything that the platform accepts from only one at a time: orders to engines, usage
 //! reports and pool sizes. The leader's key expires with its lease, and the revision at which it was written is the
-//! fencing token of its calls. The recipients of these calls need not check the token, so time separates two leaders: a
-//! new leader waits until any call of the previous one has certainly ended. A leader reads its key before each call,
-//! makes no call that its lease does not cover, and each call ends, with its connection, within [`CALL_TIMEOUT`].
+//! fencing number of its calls. The recipients of these calls need not check that number, so time separates two
+//! leaders: a new leader waits until any call of the previous one has certainly ended. A leader reads its key before
+//! each call, makes no call that its lease does not cover, and each call ends, with its connection, within
+//! [`CALL_TIMEOUT`].
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -53,7 +54,7 @@
 }
 
 impl LeaderLease {
-    /// The fencing token.
+    /// The fencing number.
     pub(super) const fn fence(&self) -> u64 {
         self.authority.epoch()
     }
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -30,7 +30,7 @@
     Usage,
     /// Store the ordered pool sizes.
     Sizes,
-    /// Own shards of quotas.
+    /// Acquire quota shards, or renew their lease.
     Quota,
     /// Store which requests are refused or suspected because replicas crash while running them.
     Refused,
@@ -124,7 +124,7 @@
         self.requests.add(1, &[KeyValue::new("route", route.to_owned()), KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a finished attempt.
+    /// Counts a failed call to a replica.
     pub(super) fn attempt(&self, end: &'static str) {
         self.attempts.add(1, &[KeyValue::new("end", end)]);
     }
@@ -134,7 +134,7 @@
         self.store_calls.add(1, &[KeyValue::new("what", purpose.name())]);
     }
 
-    /// Counts a finished watch call to the store.
+    /// Counts a finished call that reads or watches the store, or a failed check whether it is reachable again.
     pub(super) fn store_answer(&self, end: &'static str) {
         self.store_answers.add(1, &[KeyValue::new("end", end)]);
     }
@@ -144,7 +144,7 @@
         self.peer_messages.add(1, &[KeyValue::new("way", direction)]);
     }
 
-    /// Counts a replica crash while it had a request.
+    /// Counts a crash of a replica that had a request.
     pub(super) fn replica_crash(&self) {
         self.replica_crashes.add(1, &[]);
     }
--- a/crates/daemon/src/gateway/packet.rs
+++ b/crates/daemon/src/gateway/packet.rs
@@ -8,7 +8,6 @@
     quota::{CreditReply, CreditRequest},
 };
 
-/// A datagram.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Packet {
     /// Load report: the work that a daemon has in flight.
@@ -38,7 +37,7 @@
     },
     /// Acknowledges that the leader has recorded the counts of a window.
     UsageAck {
-        /// Fencing token of the leader.
+        /// Fencing number of the leader.
         fence: u64,
         /// The window, which is over.
         window: u64,
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -27,7 +27,6 @@
         Self { first_at: now, last_at: now, count: 0, longest_gap: Span(0), part_start_count: 0, part_start: now }
     }
 
-    /// Records an event.
     pub(super) fn record(&mut self, now: Time) {
         self.longest_gap = self.longest_gap.max(now.since(self.last_at));
         self.last_at = now;
--- a/crates/daemon/src/gateway/peer_table.rs
+++ b/crates/daemon/src/gateway/peer_table.rs
@@ -74,7 +74,7 @@
 }
 
 impl Peers {
-    /// Address of a daemon that has followed the store beyond `revision`.
+    /// Address at which the state of a daemon can be read that has followed the store beyond `revision`.
     ///
     /// It is chosen at random among the peers of the hall, so that what a few know spreads to all in a few rounds
     /// instead of being requested from one. Another hall is asked only if no peer of the hall is ahead: both watchers
@@ -197,7 +197,7 @@
         all
     }
 
-    /// Whether no peer of the hall that is still heard has a higher priority.
+    /// Whether this daemon aggregates its hall: no peer of the hall that is still heard has a higher priority.
     pub(super) fn is_aggregator(&self, own: Priority, hall: u32, now: Time) -> bool {
         let heard = self.heard();
         let mut hall_peers =
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -36,7 +36,7 @@
 /// Minimum interval between two reports. A prompt takes an engine some tens of milliseconds, so older reports would
 /// send requests of two daemons to the same engine.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
-/// Minimum send interval per recipient; caps the packet rate of a daemon.
+/// Minimum interval between two reports for each of their recipients; limits the packet rate of a daemon.
 const SEND_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 /// Maximum interval between two reports, so that silence is meaningful.
 const MAX_PUBLISH_INTERVAL: Duration = Duration::from_millis(400);
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -125,7 +125,6 @@
     peers::send_packet(gw, &Packet::Credit(reply), &[from]).await;
 }
 
-/// Handles a reply.
 pub(in crate::gateway) fn handle_reply(gw: &Gateway, reply: CreditReply) {
     if let Some(tx) = lock(&gw.quotas.pending_replies).remove(&reply.number) {
         // The request may have moved on to another owner.
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -32,10 +32,10 @@
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 /// Added for each daemon: the more daemons there are, the later this one learns what they have sent in the meantime.
 const MARGIN_PER_DAEMON: Span = Span::millis(3);
-/// Time limit for freeing memory at an engine.
+/// Time limit for freeing a KV cache at an engine.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A prefilled prompt. Its memory at the engine is freed unless another engine took it over.
+/// A prefilled prompt. Its KV cache at the engine is freed unless another engine took it over.
 pub(super) struct PrefilledPrompt {
     gw: Arc<Gateway>,
     pub(super) replica: ReplicaFacts,
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -63,7 +63,7 @@
     pub(super) service: Arc<str>,
     pub(super) version: u64,
     pub(super) arrived: Time,
-    /// When the request must be finished: after the caller's timeout or the route's time limit.
+    /// When the request must be finished: after the caller's timeout or the route's time limit, whichever is shorter.
     pub(super) deadline: Time,
     /// Identifier of the last event that the caller received, when a stream is resumed.
     pub(super) last_event: Option<String>,
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -61,7 +61,6 @@
     pub(super) revision: i64,
     /// Whether `entries` contains all entries; otherwise only changed ones.
     pub(super) whole: bool,
-    /// The entries.
     pub(super) entries: Vec<CachedEntry>,
     /// Removed keys, with the revisions of their removal.
     pub(super) removed: Vec<(String, i64)>,
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -94,17 +94,17 @@
     pub(super) finished: CancellationToken,
     /// Requests in flight.
     pub(super) requests: TaskTracker,
-    /// When the process must have exited, in microseconds; 0 before the shutdown.
+    /// When requests still in flight are cut off by the exit of the process, in microseconds; 0 before the shutdown.
     exit_at: AtomicU64,
-    /// When the daemon stops accepting requests with long responses, however short they have been, in microseconds.
+    /// When the daemon stops accepting requests with long answers, however short these have been, in microseconds.
     no_long_from: AtomicU64,
 }
 
-/// Share of the shutdown time after which no long response is started. Some take far longer than usual, and one that
+/// Share of the shutdown time after which no long answer is started. Some take far longer than usual, and one that
 /// starts this late would have to be complete by the end.
 const LONG_ANSWER_SHARE: f64 = 0.3;
 
-/// Multiple of the usual duration of a long response that must be left to start one. One in ten takes twice as long,
+/// Multiple of the usual duration of a long answer that must be left to start one. One in ten takes twice as long,
 /// and one that the exit of the process cuts off is lost; a caller that is refused finds another VM within its latency
 /// objective or soon after.
 const LONG_ANSWER_FACTOR: f64 = 1.3;
@@ -118,7 +118,7 @@
         self.begun.cancel();
     }
 
-    /// Whether a long response that usually takes `usual` may still be started.
+    /// Whether a long answer that usually takes `usual` may still be started.
     pub(super) fn may_start_long(&self, usual: Span, now: Time) -> bool {
         let exit_at = self.exit_at.load(Ordering::Relaxed);
         if exit_at == 0 {
--- a/crates/daemon/src/gateway/store_cache.rs
+++ b/crates/daemon/src/gateway/store_cache.rs
@@ -91,7 +91,7 @@
         self.daemons.record_full_read(revision);
     }
 
-    /// Gives entries that were removed up to a revision until `until` to come back.
+    /// Allows entries that were removed up to the revision `lapsed_up_to` to come back until `until`.
     pub(super) fn set_grace(&mut self, until: Time, lapsed_up_to: i64) {
         self.grace_until = self.grace_until.max(until);
         self.lapsed_up_to = self.lapsed_up_to.max(lapsed_up_to);
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -2,8 +2,8 @@
 //!
 //! The daemon's clock counts suspended time, the timers of the runtime do not: a wait for a deadline would continue for
 //! the rest of its time after a suspension. So each such wait checks the clock again when the machine resumes
-//! ([`Gateway::timeout_at`]), what was known of other daemons before is discarded, and estimates are not updated from
-//! work whose duration includes a suspension.
+//! ([`Gateway::timeout_at`]), load reports of peers that expired in the meantime are discarded, and estimates are not
+//! updated from work whose duration includes a suspension.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -41,7 +41,7 @@
 fn handle_resume(gw: &Gateway, suspended: Span) {
     emit!(warn, MACHINE_RESUMED, away_ms = suspended.as_millis());
     let now = gw.now();
-    // Reports from before the suspension are too old to act on.
+    // Reports that expired during the suspension are too old to act on.
     let silent = gw.fleet().remove_expired_peers(now);
     for sender in silent {
         emit!(info, PEER_SILENT, sender);
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -38,7 +38,7 @@
 const MAX_WAIT_SHARE: f64 = 0.5;
 /// Delay before a report that was not accepted is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(750);
-/// Interval between two checks of the leader.
+/// Interval between two checks by the leader for reports to send.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Counts of this daemon and, if it is the leader, those that were published to it.
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -64,7 +64,7 @@
         self.sent.key
     }
 
-    /// Whether the call is a long response, which occupies a slot for seconds.
+    /// Whether the call is for a long answer, which occupies a slot for seconds.
     pub(super) const fn is_long(&self) -> bool {
         self.sent.load.streams > 0
     }
