--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -1,8 +1,8 @@
 //! Autoscaling: orders for the number of engines in each hall, where the configuration lets the system choose it.
 //!
 //! The leader decides ([`pool`]) and stores each order before sending it, so that its successor continues from there.
-//! An order is repeated until it is accepted. An accepted order without effect, because engines were taken away or none
-//! were available, is sent again.
+//! An order is repeated until it is accepted or refused for good. An accepted order without effect, because engines
+//! were taken away or none were available, is sent again.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -138,7 +138,7 @@
             .map_err(|e| CallError::Lost(format!("the stored pool sizes are unreadable: {e}")))?;
         let now = gw.now();
         // It is unknown whether the previous leader sent these orders.
-        let due = stored.iter().flat_map(|(service, pool)| order_keys(service, &pool.ordered)).map(|s| (s, now));
+        let due = stored.iter().flat_map(|(service, pool)| order_keys(service, &pool.ordered)).map(|key| (key, now));
         Ok(Self { revision: entry.revision, due: due.collect(), stored, peaks: BTreeMap::new() })
     }
 
@@ -260,7 +260,8 @@
         lease: &LeaderLease,
         now: Time,
     ) -> Result<(), CallError> {
-        let due: Vec<OrderKey> = self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(s, _)| s.clone()).collect();
+        let due: Vec<OrderKey> =
+            self.due.iter().filter(|(_, at)| at.is_past(now)).map(|(key, _)| key.clone()).collect();
         if due.is_empty() {
             return Ok(());
         }
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -35,7 +35,7 @@
 }
 
 impl ActiveRequest {
-    /// Starts such a run if it is uncertain whether the request is the cause.
+    /// Starts a trial if it is uncertain whether the request is the cause of the crashes.
     pub(super) fn begin_trial(&self) -> Option<Trial> {
         if !self.isolation.is_some_and(|isolation| isolation.single_replica) {
             return None;
@@ -63,16 +63,17 @@
         }
     }
 
-    /// Determines whether the request may be sent to a replica, and how.
+    /// Determines whether the request may be sent to a replica, and how. Waits while other daemons' reports of its last
+    /// crash may still arrive.
     ///
     /// # Errors
-    /// The refusal, if replicas crash while running it.
-    pub(super) async fn check_standing(&mut self) -> Result<(), Refusal> {
+    /// The refusal, if replicas crash while running it or the deadline passes during the wait.
+    pub(super) async fn check_verdict(&mut self) -> Result<(), Refusal> {
         self.trial = None;
         loop {
             let now = self.gw.now();
-            let standing = self.gw.fleet().verdict(self.content, now);
-            match standing {
+            let verdict = self.gw.fleet().verdict(self.content, now);
+            match verdict {
                 Verdict::Clear => self.isolation = None,
                 Verdict::Isolated(isolation) => self.isolation = Some(isolation),
                 Verdict::Pending(until) if !self.deadline.is_past(now) => {
@@ -80,13 +81,13 @@
                     continue;
                 }
                 Verdict::Pending(_) => return Err(self.final_refusal()),
-                Verdict::Refused(refused) => return Err(self.refuse_blamed(&refused)),
+                Verdict::Refused(refused) => return Err(self.refuse_for_crashes(&refused)),
             }
             return Ok(());
         }
     }
 
-    fn refuse_blamed(&self, refused: &Refused) -> Refusal {
+    fn refuse_for_crashes(&self, refused: &Refused) -> Refusal {
         let now = self.gw.now();
         emit!(
             info,
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -40,10 +40,10 @@
         &self,
         table: &RouteTable,
         route: &Route,
-        given: &PresentedKey,
+        presented: &PresentedKey,
         arrived: Time,
     ) -> Result<Identity, Refusal> {
-        match table.authenticate(given, route) {
+        match table.authenticate(presented, route) {
             Verdict::Allowed(identity @ Identity::Team(_)) if self.is_still_valid(arrived) => Ok(identity),
             Verdict::Allowed(Identity::Team(_)) => Err(Refusal::KeyUncertain),
             Verdict::Allowed(identity) => Ok(identity),
@@ -88,18 +88,17 @@
         self.proofs().age(now)
     }
 
-    /// The same in milliseconds, for logs.
+    /// That age in milliseconds, for logs.
     pub(super) fn age_ms(&self, now: Time) -> Option<u64> {
         self.age(now).map(Span::as_millis)
     }
 
-    /// Records a proof.
     pub(super) fn record(&self, proof: Proof) {
         self.proofs().record(proof);
     }
 
     /// Records that a configuration is in force from now on.
-    pub(super) fn in_force(&self, revision: i64) {
+    pub(super) fn set_in_force(&self, revision: i64) {
         self.proofs().set_in_force(revision);
     }
 
--- a/crates/daemon/src/gateway/peer_table.rs
+++ b/crates/daemon/src/gateway/peer_table.rs
@@ -74,7 +74,7 @@
 }
 
 impl Peers {
-    /// Address of a daemon that has followed the store beyond `revision`.
+    /// Address at which the state of a daemon can be read that has followed the store beyond `revision`.
     ///
     /// It is chosen at random among the peers of the hall, so that what a few know spreads to all in a few rounds
     /// instead of being requested from one. Another hall is asked only if no peer of the hall is ahead: both watchers
@@ -140,8 +140,8 @@
     /// A random peer of a hall that watches the store and is still heard.
     pub(super) fn watcher(&self, hall: u32, random: u64, now: Time) -> Option<SocketAddr> {
         let is_watcher = |peer: &PeerState| {
-            let follows = peer.watched_at.is_some_and(|at| now.since(at) < PEER_FORGET_TIMEOUT);
-            peer.hall == hall && follows && now.since(peer.heard_at) < PEER_SILENCE_TIMEOUT
+            let watches = peer.watched_at.is_some_and(|at| now.since(at) < PEER_FORGET_TIMEOUT);
+            peer.hall == hall && watches && now.since(peer.heard_at) < PEER_SILENCE_TIMEOUT
         };
         let heard = self.heard();
         let mut watchers: Vec<SocketAddr> =
@@ -197,7 +197,7 @@
         all
     }
 
-    /// Whether no peer of the hall that is still heard has a higher priority.
+    /// Whether this daemon aggregates its hall: no peer of the hall that is still heard has a higher priority.
     pub(super) fn is_aggregator(&self, own: Priority, hall: u32, now: Time) -> bool {
         let heard = self.heard();
         let mut hall_peers =
