--- a/crates/core/src/fleet/policy.rs
+++ b/crates/core/src/fleet/policy.rs
@@ -7,7 +7,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct FleetPolicy {
     /// Share of the remaining objective that the predicted time to the first event may use; requests above it are
-    /// refused.
+    /// planned as late.
     pub admit_share: f64,
     /// Like `admit_share`, for requests whose caller appears to be retrying after a refusal.
     pub admit_share_returned: f64,
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -68,7 +68,8 @@
     },
 }
 
-/// Handle of a submitted request, which receives its commands.
+/// Handle of a submitted request, which receives its commands. Dropping the `ActiveRequest` that holds it cancels the
+/// request; dropping the ticket alone does not.
 #[derive(Debug)]
 pub struct Ticket {
     /// Key of the request.
