--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -139,7 +139,7 @@
     assembly: &mut Assembly,
     out: &mpsc::Sender<Piece>,
 ) -> AttemptResult {
-    let mut head = RequestExtension {
+    let mut extension = RequestExtension {
         request: call.request.to_owned(),
         attempt: dispatch.attempt,
         priority: call.priority,
@@ -149,14 +149,14 @@
     };
     let client = clients.for_kind(call.repeatable);
     if let Some(prefill) = &dispatch.prefill {
-        match run_prefill(client, call, &head, prefill).await {
-            Ok(import) => head.import = Some(import),
+        match run_prefill(client, call, &extension, prefill).await {
+            Ok(import) => extension.import = Some(import),
             Err(end) => return AttemptResult::new(end, Site::Prefill),
         }
     }
     assembly.resume(dispatch.attempt);
-    let prompt_ran = head.import.is_some();
-    let resp = match start_call(client, call, &head, &dispatch.endpoint).await {
+    let prompt_ran = extension.import.is_some();
+    let resp = match start_call(client, call, &extension, &dispatch.endpoint).await {
         Ok(resp) => resp,
         Err(mut ended) => {
             // The prompt was processed at another engine, so "not run" would be wrong.
@@ -173,17 +173,17 @@
 async fn run_prefill(
     client: &HttpClient,
     call: &EngineCall<'_>,
-    head: &RequestExtension,
+    extension: &RequestExtension,
     target: &Target,
 ) -> Result<Import, AttemptEnd> {
-    let head = RequestExtension { export: true, ..head.clone() };
-    let resp = start_call(client, call, &head, target).await.map_err(|ended| ended.end)?;
+    let extension = RequestExtension { export: true, ..extension.clone() };
+    let resp = start_call(client, call, &extension, target).await.map_err(|ended| ended.end)?;
     let mut events = BodyDataStream::new(resp.into_body()).eventsource();
     while let Some(event) = events.next().await {
         let event = event.map_err(|_| AttemptEnd::Broken)?;
-        let Some((mark, _, _)) = parse_frame(&event.data) else { continue };
-        let is_own = mark.id.request == head.request && mark.id.attempt == head.attempt;
-        if let Some(handle) = mark.handle.filter(|_| is_own && mark.end) {
+        let Some((frame, _, _)) = parse_frame(&event.data) else { continue };
+        let is_own = frame.id.request == extension.request && frame.id.attempt == extension.attempt;
+        if let Some(handle) = frame.handle.filter(|_| is_own && frame.end) {
             return Ok(Import { from: target.address.to_string(), handle });
         }
     }
@@ -194,12 +194,12 @@
 async fn start_call(
     client: &HttpClient,
     call: &EngineCall<'_>,
-    head: &RequestExtension,
+    extension: &RequestExtension,
     target: &Target,
 ) -> Result<Response<Incoming>, AttemptResult> {
     let mut body = call.body.clone();
     body.insert("stream".to_owned(), Value::Bool(true));
-    body.insert(EXTENSION.to_owned(), serde_json::to_value(head).unwrap_or_default());
+    body.insert(EXTENSION.to_owned(), serde_json::to_value(extension).unwrap_or_default());
     let body = Bytes::from(Value::Object(body).to_string());
     let req = Request::post(format!("http://{}{}", target.address, call.path))
         .header(CONTENT_TYPE, "application/json")
@@ -255,20 +255,20 @@
     let mut events = BodyDataStream::new(resp.into_body()).eventsource();
     while let Some(event) = events.next().await {
         let Ok(event) = event else { return AttemptEnd::Broken };
-        let Some((mark, text, finish)) = parse_frame(&event.data) else { continue };
-        if mark.end {
-            if assembly.is_whole(&mark.id) {
+        let Some((frame, text, finish)) = parse_frame(&event.data) else { continue };
+        if frame.end {
+            if assembly.is_whole(&frame.id) {
                 let _ = out.send(Piece::End(finish)).await;
                 return AttemptEnd::Whole;
             }
-            if assembly.accept(&mark.id, 0) == Verdict::Foreign {
+            if assembly.accept(&frame.id, 0) == Verdict::Foreign {
                 drop_frame(node, call.request, "foreign");
                 continue;
             }
             return AttemptEnd::Broken;
         }
-        match deliver(assembly, &mark, text, out).await {
-            Ok(Verdict::Deliver) => call.progress.record_tokens(mark.tokens),
+        match deliver(assembly, &frame, text, out).await {
+            Ok(Verdict::Deliver) => call.progress.record_tokens(frame.tokens),
             Ok(Verdict::Foreign) => drop_frame(node, call.request, "foreign"),
             Ok(Verdict::Duplicate) => drop_frame(node, call.request, "duplicate"),
             Ok(Verdict::Gap) => return AttemptEnd::Broken,
@@ -288,16 +288,16 @@
 /// If the caller accepts no more.
 pub async fn deliver(
     assembly: &mut Assembly,
-    mark: &FrameExtension,
+    frame: &FrameExtension,
     text: String,
     out: &mpsc::Sender<Piece>,
 ) -> Result<Verdict, CallerGone> {
     // Wait for room in the queue first, and count the piece as delivered only together with sending it: the attempt may
     // be stopped at any await, and the next attempt resumes after the last piece that was counted.
     let permit = out.reserve().await.map_err(|_| CallerGone)?;
-    let verdict = assembly.accept(&mark.id, mark.tokens);
+    let verdict = assembly.accept(&frame.id, frame.tokens);
     if verdict == Verdict::Deliver {
-        permit.send(Piece::Text(text, mark.tokens));
+        permit.send(Piece::Text(text, frame.tokens));
     }
     Ok(verdict)
 }
@@ -310,10 +310,10 @@
 /// Parses a frame into its mark, text and finish reason.
 fn parse_frame(data: &str) -> Option<(FrameExtension, String, String)> {
     let value: Value = serde_json::from_str(data).ok()?;
-    let mark = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
+    let frame = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
     let choice = value.get("choices").and_then(|c| c.get(0))?;
     let text = choice.get("text").or_else(|| choice.pointer("/delta/content"));
     let text = text.and_then(Value::as_str).unwrap_or_default().to_owned();
     let finish = choice.get("finish_reason").and_then(Value::as_str).unwrap_or("stop").to_owned();
-    Some((mark, text, finish))
+    Some((frame, text, finish))
 }
