--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -22,7 +22,7 @@
 use futures_util::future::join_all;
 
 use super::{
-    custodian::{Custodian, DriveResult, query_status},
+    custodian::{Custodian, ReconcileResult, query_status},
     shard::Shard,
 };
 use crate::{emit, endpoint::duties, node::Node};
@@ -90,7 +90,7 @@
         self.update_demand(node).await;
         self.plan(node, &doc, &engines);
         self.send_marks(node, shard, &engines).await;
-        self.drive(node, shard, &doc, &engines).await;
+        self.reconcile(node, shard, &doc, &engines).await;
         self.publish_changing(node, &engines);
     }
 
@@ -108,11 +108,11 @@
     pub(super) async fn release_all(&mut self, node: &Node) -> bool {
         let doc = node.document();
         for (name, custodian) in &mut self.custodians {
-            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_custodian()) {
+            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_own()) {
                 custodian.release(node, &self.client, &endpoint.spec).await;
             }
         }
-        !self.custodians.values().any(Custodian::may_be_custodian)
+        !self.custodians.values().any(Custodian::may_be_own)
     }
 
     /// Status of each engine. Engines with something to do are asked in every round, the others at a longer interval.
@@ -251,18 +251,18 @@
         marks
     }
 
-    async fn drive(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
+    async fn reconcile(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
         for (name, (spec, status)) in engines {
             let order = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
-            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_custodian);
+            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_own);
             if order.is_none() && !may_be_own {
                 continue;
             }
             let custodian = self.custodians.entry(name.clone()).or_insert_with(|| Custodian::new(node, name));
-            let result = custodian.drive(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
+            let result = custodian.reconcile(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
             let wait_reason = match result {
-                DriveResult::Waiting(wait) => Some(wait),
-                DriveResult::Done | DriveResult::Incomplete => None,
+                ReconcileResult::Waiting(wait) => Some(wait),
+                ReconcileResult::Done | ReconcileResult::Incomplete => None,
             };
             if node.control.set_wait_reason(name, wait_reason) && wait_reason == Some(WaitReason::FormerCustodian) {
                 emit!(warn, CUSTODY_WAITS, engine = name, ignores = spec.fencing == Fencing::Ignores);
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -40,7 +40,7 @@
 
 /// Result of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DriveResult {
+pub(super) enum ReconcileResult {
     /// The engine is in the desired state.
     Done,
     /// More remains to be done in the next round.
@@ -61,7 +61,7 @@
     }
 
     /// Whether the stored record may name this process.
-    pub(super) const fn may_be_custodian(&self) -> bool {
+    pub(super) const fn may_be_own(&self) -> bool {
         self.may_be_own
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Brings the engine as close to `wanted` as this round allows.
-    pub(super) async fn drive(
+    pub(super) async fn reconcile(
         &mut self,
         node: &Node,
         client: &HttpClient,
@@ -79,12 +79,12 @@
         spec: &EndpointSpec,
         wanted: Option<&OrderKind>,
         mut status: Option<EngineStatus>,
-    ) -> DriveResult {
+    ) -> ReconcileResult {
         for _ in 0..MAX_STEPS_PER_ROUND {
             if !self.load_record(node).await {
-                return DriveResult::Incomplete;
+                return ReconcileResult::Incomplete;
             }
-            let Some((record, _)) = &self.record else { return DriveResult::Incomplete };
+            let Some((record, _)) = &self.record else { return ReconcileResult::Incomplete };
             let former = record.custodian.as_ref().filter(|c| *c != node.identity.me());
             let view = View {
                 me: node.identity.me(),
@@ -95,29 +95,29 @@
                 wanted,
             };
             match custody::next_step(record, &view) {
-                Step::Done => return DriveResult::Done,
+                Step::Done => return ReconcileResult::Done,
                 Step::Wait(wait) => {
                     // A release by the former custodian shows only in the stored record, so read it again next time.
                     if wait == WaitReason::FormerCustodian {
                         self.record = None;
                     }
-                    return DriveResult::Waiting(wait);
+                    return ReconcileResult::Waiting(wait);
                 }
                 Step::Write(next) => {
                     if !self.write_record(node, next).await {
-                        return DriveResult::Incomplete;
+                        return ReconcileResult::Incomplete;
                     }
                 }
                 Step::Send(order) => {
                     if !self.no_send_until.is_past(node.now()) {
-                        return DriveResult::Incomplete;
+                        return ReconcileResult::Incomplete;
                     }
                     self.send_order(node, client, shard, spec, order).await;
                     status = query_status(client, spec).await;
                 }
             }
         }
-        DriveResult::Incomplete
+        ReconcileResult::Incomplete
     }
 
     /// Releases the record once its intent is settled.
