--- a/crates/daemon/src/bin/dahliaseamd/main.rs
+++ b/crates/daemon/src/bin/dahliaseamd/main.rs
@@ -15,8 +15,8 @@
 
 fn main() -> ExitCode {
     let app = app::app().run();
-    let done = if app.routes { routes::run(&app) } else { run(&app) };
-    match done {
+    let result = if app.routes { routes::run(&app) } else { run(&app) };
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             report(&error);
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -73,8 +73,8 @@
     let id = state.node.identity.new_id();
     let span = info_span!("request", request = id, pool);
     telemetry::continue_trace(&span, req.headers());
-    let answer = handle(&state, &pool, &path, req, &id).instrument(span).await;
-    answer.unwrap_or_else(|failure| refusal::response(&id, &failure))
+    let response = handle(&state, &pool, &path, req, &id).instrument(span).await;
+    response.unwrap_or_else(|failure| refusal::response(&id, &failure))
 }
 
 async fn handle(state: &CallerState, pool: &str, path: &str, req: Request, id: &str) -> Result<Response, Failure> {
@@ -128,13 +128,13 @@
         // A call that must not be repeated is completed once it has been sent, so that its outcome is recorded even if
         // the caller has disconnected.
         let run_to_completion = !active.params.kind.repeatable;
-        let (ended, answer) = tokio::select! {
+        let (ended, response) = tokio::select! {
             done = attempt(&mut active, &call, &clients, &dispatch) => done,
             () = tx.closed(), if !run_to_completion => return,
         };
-        match (active.attempt_ended(&ended), answer) {
+        match (active.attempt_ended(&ended), response) {
             (AfterAttempt::Retry, _) => {}
-            (AfterAttempt::Answered, Some(answer)) => break Ok(answer),
+            (AfterAttempt::Answered, Some(response)) => break Ok(response),
             (AfterAttempt::Failed(failure), _) => break Err(failure),
             (AfterAttempt::Answered, None) => {
                 break Err(Failure::new(Outcome::Unknown, "endpoint_failed", "no answer"));
@@ -156,11 +156,11 @@
     let repeatable = active.params.kind.repeatable;
     let request = active.id().to_owned();
     let work = send(clients, call, dispatch, &request, repeatable).instrument(span);
-    let (end, answer) = tokio::select! {
+    let (end, response) = tokio::select! {
         done = work => done,
         end = active.ticket().stopped() => (end, None),
     };
-    (AttemptResult { end, site: Site::Serving, detail: String::new() }, answer)
+    (AttemptResult { end, site: Site::Serving, detail: String::new() }, response)
 }
 
 async fn send(
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -95,8 +95,8 @@
     let same_hall = members.others().filter(|(_, m)| m.contact.hall == me.hall && m.health == Health::Alive);
     let vms: Vec<_> = same_hall.map(|(_, m)| m.contact.vm.clone()).chain([me.vm.clone()]).collect();
     drop(members);
-    let named = vms.iter().map(|vm| (hash::bytes(vm.as_bytes()), vm));
-    hash::owners(hash::bytes(me.hall.as_bytes()), named, WATCHERS_PER_HALL).contains(&&me.vm)
+    let candidates = vms.iter().map(|vm| (hash::bytes(vm.as_bytes()), vm));
+    hash::owners(hash::bytes(me.hall.as_bytes()), candidates, WATCHERS_PER_HALL).contains(&&me.vm)
 }
 
 async fn watch(node: &Arc<Node>) -> Result<(), CallError> {
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -151,12 +151,13 @@
 ///
 /// # Errors
 /// Why this request must not be sent.
-pub async fn acquire(node: &Arc<Node>, key: &str, request: &str, content: u64) -> Result<HeldClaim, ClaimError> {
+pub async fn acquire(node: &Arc<Node>, key: &str, request: &str, content_hash: u64) -> Result<HeldClaim, ClaimError> {
     let now = node.now();
     if !lock(&node.claims.unavailable_until).is_past(now) {
         return Err(ClaimError::Unavailable);
     }
-    let claim = Claim { request: request.to_owned(), owner: node.identity.me().clone(), content, result: None };
+    let claim =
+        Claim { request: request.to_owned(), owner: node.identity.me().clone(), content: content_hash, result: None };
     let key = format!("{}claims/{key}", node.settings.keyspace);
     let held = |revision| HeldClaim { key: key.clone(), claim: claim.clone(), revision };
     match swap(node, &key, 0, Some(&claim)).await {
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -104,11 +104,11 @@
         });
         match node.dispatcher.submit(pool, &params.team, spec, params.arrived) {
             Ok(ticket) => Ok(Self { node: Arc::clone(node), params, ticket, record, claim: None }),
-            Err((reason, at)) => {
+            Err((reason, retry_at)) => {
                 let mut record = lock(&record);
                 record.outcome = Some(Outcome::NotRun);
                 record.refusal = Some(reason);
-                let retry_ms = at.since(params.arrived).as_millis();
+                let retry_ms = retry_at.since(params.arrived).as_millis();
                 log_finished(node, &params, Outcome::NotRun, reason_name(reason));
                 Err(Failure::refused(Outcome::NotRun, reason, retry_ms))
             }
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -35,14 +35,14 @@
 
     /// Applies marks unless newer ones of the shard are in force; returns whether they were applied.
     pub fn apply_marks(&self, marks: Marks) -> bool {
-        let mut state = self.lock();
+        let mut inner = self.lock();
         let rank = |m: &Marks| (m.epoch, m.sequence);
-        if let Some(present) = state.marks.get(&marks.shard)
+        if let Some(present) = inner.marks.get(&marks.shard)
             && rank(present) > rank(&marks)
         {
             return false;
         }
-        state.marks.insert(marks.shard.clone(), marks);
+        inner.marks.insert(marks.shard.clone(), marks);
         true
     }
 
@@ -72,11 +72,11 @@
 
     /// Records whether an endpoint reports that it refuses new work.
     pub fn set_cordoned(&self, endpoint: &str, cordoned: bool) {
-        let mut state = self.lock();
+        let mut inner = self.lock();
         if cordoned {
-            state.cordoned.insert(endpoint.to_owned());
+            inner.cordoned.insert(endpoint.to_owned());
         } else {
-            state.cordoned.remove(endpoint);
+            inner.cordoned.remove(endpoint);
         }
     }
 
@@ -88,15 +88,15 @@
     /// Why an endpoint gets no new work, if it gets none.
     #[must_use]
     pub fn closed_reason(&self, name: &str, spec: &EndpointSpec) -> Option<&'static str> {
-        let state = self.lock();
+        let inner = self.lock();
         let marked = |m: &Marks| m.leaving.iter().any(|e| e == name);
         if spec.drained {
             Some("drained by an operator")
-        } else if state.closed_vms.contains(&spec.vm) {
+        } else if inner.closed_vms.contains(&spec.vm) {
             Some("its VM is leaving or gone")
-        } else if state.marks.values().any(marked) {
+        } else if inner.marks.values().any(marked) {
             Some("marked by its shard's holder")
-        } else if state.cordoned.contains(name) {
+        } else if inner.cordoned.contains(name) {
             Some("it refuses new work")
         } else {
             None
--- a/crates/daemon/src/listener.rs
+++ b/crates/daemon/src/listener.rs
@@ -153,9 +153,9 @@
         let _ = stream.set_nodelay(true);
         let (handler, begun) = (self.handler.clone(), self.begun.clone());
         let service = service_fn(move |req: Request<Incoming>| {
-            let (answering, begun) = (handler(req), begun.clone());
+            let (response, begun) = (handler(req), begun.clone());
             async move {
-                let mut resp = answering.await;
+                let mut resp = response.await;
                 if begun.is_cancelled() {
                     resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -152,26 +152,20 @@
 
 fn make_probe(node: &Node, key: MemberKey) -> Probe {
     let mut members = node.members();
-    let (from, mut news) = (members.contact().clone(), members.take_updates());
-    news.extend(members.update_to_refute(key));
+    let (from, mut updates) = (members.contact().clone(), members.take_updates());
+    updates.extend(members.update_to_refute(key));
     drop(members);
-    Probe {
-        from,
-        updates: news,
-        digest: digest(node),
-        closed_vms: node.availability.closed_vms(),
-        loads: load_reports(node),
-    }
+    Probe { from, updates, digest: digest(node), closed_vms: node.availability.closed_vms(), loads: load_reports(node) }
 }
 
 fn make_answer(node: &Node) -> Answer {
     let mut members = node.members();
-    let (start, refutation, news) = (members.me().start, members.refutation(), members.take_updates());
+    let (start, refutation, updates) = (members.me().start, members.refutation(), members.take_updates());
     drop(members);
     Answer {
         start,
         refutation,
-        updates: news,
+        updates,
         digest: digest(node),
         closed_vms: node.availability.closed_vms(),
         loads: load_reports(node),
