--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -56,7 +56,7 @@
     kv: Kv,
     vms: VmList,
     engines: Vec<EngineStandIn>,
-    plains: Vec<Plain>,
+    plain_services: Vec<Plain>,
 }
 
 #[tokio::main]
@@ -71,10 +71,11 @@
     for (phase, mix) in PHASES {
         let answers = run_phase(&addresses, phase, &mix).await;
         print_summary(phase, &answers);
-        example = answers.into_iter().rfind(|(call, got)| call.kind == "catalogue-query" && got.outcome == "whole");
+        example =
+            answers.into_iter().rfind(|(call, answer)| call.kind == "catalogue-query" && answer.outcome == "whole");
     }
-    if let Some((_, got)) = example {
-        explain(&daemons, got.request.as_deref().unwrap_or_default());
+    if let Some((_, answer)) = example {
+        explain(&daemons, answer.request.as_deref().unwrap_or_default());
     }
     let started = Instant::now();
     join_all(daemons.into_iter().map(Controller::stop)).await;
@@ -91,12 +92,17 @@
         let setup = EngineSetup { address: local(), role, fencing: Fencing::Checks, params, history };
         engines.push(EngineStandIn::start(setup).await?);
     }
-    let mut plains = Vec::new();
+    let mut plain_services = Vec::new();
     for name in ["till-1", "till-2"] {
         let setup = PlainSetup { address: local(), work_ms: 5, history: History::in_memory(name) };
-        plains.push(Plain::start(setup).await?);
+        plain_services.push(Plain::start(setup).await?);
     }
-    Ok(StandIns { kv: Kv::start("127.0.0.1:0").await?, vms: VmList::start("127.0.0.1:0").await?, engines, plains })
+    Ok(StandIns {
+        kv: Kv::start("127.0.0.1:0").await?,
+        vms: VmList::start("127.0.0.1:0").await?,
+        engines,
+        plain_services,
+    })
 }
 
 async fn start_daemons(stand_ins: &StandIns) -> Result<Vec<Controller>, BoxError> {
@@ -136,8 +142,8 @@
             "hall": "oslo-1", "role": role, "fencing": "checks",
         } })
     }));
-    let plains = ["till-1", "till-2"].iter().zip(&stand_ins.plains);
-    resources.extend(plains.map(|(name, plain)| {
+    let plain_services = ["till-1", "till-2"].iter().zip(&stand_ins.plain_services);
+    resources.extend(plain_services.map(|(name, plain)| {
         json!({ "kind": "endpoint", "name": name, "spec": {
             "pool": "till", "address": plain.server().address().to_string(), "vm": name,
             "hall": "oslo-1", "role": "plain",
@@ -181,8 +187,8 @@
                 }
                 let call = call(pick(&mix, n + i), &format!("{phase} {n} {i}"));
                 let address = &addresses[((n + i) % addresses.len() as u64) as usize];
-                let got = caller.send(address, &call).await;
-                answers.push((call, got));
+                let answer = caller.send(address, &call).await;
+                answers.push((call, answer));
                 tokio::time::sleep(REQUEST_INTERVAL).await;
             }
             answers
@@ -225,13 +231,13 @@
 
 fn print_summary(phase: &str, answers: &[(Call, Answer)]) {
     let mut by_kind: BTreeMap<&str, Vec<&Answer>> = BTreeMap::new();
-    for (call, got) in answers {
-        by_kind.entry(&call.kind).or_default().push(got);
+    for (call, answer) in answers {
+        by_kind.entry(&call.kind).or_default().push(answer);
     }
     println!("phase {phase}: {} requests", answers.len());
     println!("  {:16} {:>6} {:>7} {:>8} {:>8}", "kind", "sent", "whole", "exact", "first");
     for (kind, answers) in by_kind {
-        let count = |test: fn(&Answer) -> bool| answers.iter().filter(|got| test(got)).count();
+        let count = |test: fn(&Answer) -> bool| answers.iter().filter(|answer| test(answer)).count();
         let mut first: Vec<_> = answers.iter().filter(|g| g.outcome == "whole").map(|g| g.first_micros).collect();
         first.sort_unstable();
         let median = first.get(first.len() / 2).copied().unwrap_or(0) as f64 / 1_000.0;
