--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -27,7 +27,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(2);
 /// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which claims are refused immediately after the service failed to answer.
+/// Time after a failed claim for which further claims are refused without calling the service.
 const UNAVAILABLE_TIME: Span = Span::millis(500);
 /// Delay between attempts to settle a record in the background.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Lease with which claims expire.
+/// Lease that the claims are attached to, so that they expire.
 #[derive(Debug, Default)]
 struct ClaimLease {
     id: Option<LeaseId>,
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -36,9 +36,9 @@
 pub struct Dispatch {
     /// Number of the attempt.
     pub attempt: u32,
-    /// Endpoint that generates the response.
+    /// Endpoint that generates the answer.
     pub endpoint: Target,
-    /// Endpoint that processes the prompt first, if it is another one.
+    /// Endpoint that prefills the prompt, if it is another one.
     pub prefill: Option<Target>,
     /// Why the endpoint was chosen.
     pub reason: Reason,
@@ -134,7 +134,7 @@
     pub in_flight: u32,
     /// Concurrency window of the endpoint.
     pub window: f64,
-    /// Prompt tokens that this daemon sent there and that have no answer yet.
+    /// Uncached prompt tokens of this daemon's requests there that have had no token yet.
     pub own_prefill: f64,
 }
 
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Applies a load report from a peer, together with the prompt tokens that the peer itself has outstanding there.
+    /// Applies a load report from a peer, and the number of prompt tokens that the peer itself has outstanding at the
+    /// endpoint. `endpoint` is the hash of its name.
     pub fn observe_by_hash(&self, endpoint: u64, load: LoadReport, at: Time, peer_prefill: f64) {
         let mut inner = self.lock();
         let Some(key) = inner.by_hash.get(&endpoint).copied() else { return };
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Numbers of this daemon's requests at an endpoint: protected ones, and others.
+    /// Numbers of this daemon's requests at an endpoint: those that no planned change may interrupt, and others.
     #[must_use]
     pub fn in_flight(&self, name: &str) -> (usize, usize) {
         let inner = self.lock();
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its final response.
+//! One request from its arrival to its outcome.
 
 use std::sync::Arc;
 
@@ -41,11 +41,11 @@
     pub kind: KindSpec,
     /// Team that sends the request.
     pub team: String,
-    /// Idempotency key, prefixed with the team so that it is unique.
+    /// Idempotency key, prefixed with the team because keys are unique only within a team.
     pub key: Option<String>,
     /// Arrival time.
     pub arrived: Time,
-    /// Time at which the response is due.
+    /// Time at which the answer is due.
     pub deadline: Time,
 }
 
@@ -66,7 +66,7 @@
 pub struct ContentInfo {
     /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Maximum number of response tokens.
+    /// Maximum number of output tokens.
     pub output_tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
@@ -251,7 +251,7 @@
 pub enum AfterAttempt {
     /// The request is tried again.
     Retry,
-    /// The response is complete.
+    /// The answer is complete.
     Answered,
     /// The request has failed.
     Failed(Failure),
@@ -294,7 +294,7 @@
     }
 }
 
-/// What a completion asks of the engines in each of its attempts.
+/// What a completion sends to the engine in each of its attempts.
 #[derive(Debug)]
 pub struct Completion {
     /// Path of the API at the engine.
@@ -305,7 +305,7 @@
     pub content_hash: u64,
 }
 
-/// Runs a completion and sends the pieces of its response to `out`.
+/// Runs a completion and sends the pieces of its answer to `out`.
 pub async fn complete(mut active: ActiveRequest, completion: Completion, clients: Clients, out: mpsc::Sender<Piece>) {
     let mut assembly = Assembly::new(active.params.request.clone(), 0);
     let result = loop {
@@ -361,7 +361,7 @@
     }
 }
 
-/// Time at which the response to a request that arrived at `arrived` is due.
+/// Time at which the answer to a request that arrived at `arrived` is due.
 #[must_use]
 pub fn deadline(arrived: Time, kind: &KindSpec, requested_ms: Option<u64>) -> Time {
     let ms = requested_ms.map_or(kind.deadline_ms, |requested| requested.min(kind.deadline_ms));
--- a/crates/daemon/src/dispatch/failure.rs
+++ b/crates/daemon/src/dispatch/failure.rs
@@ -1,8 +1,8 @@
-//! Why a request has no complete response, as reported to its caller.
+//! Why a request has no complete answer, as reported to its caller.
 
 use dahliaseam_core::{claim::Duplicate, dispatch::Refusal, outcome::Outcome};
 
-/// Why a request has no complete response.
+/// Why a request has no complete answer.
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// Outcome of the request.
--- a/crates/daemon/src/dispatch/mod.rs
+++ b/crates/daemon/src/dispatch/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`exchange`] carries a request from start to end. It asks [`desk`], the shared dispatcher, where to try; [`claims`]
 //! ensures that requests that must not be repeated run at most once; [`records`] keeps the records for `dahliaseam
-//! explain`, and [`failure`] describes why there is no complete response.
+//! explain`, and [`failure`] describes why there is no complete answer.
 
 pub mod claims;
 pub mod desk;
--- a/crates/daemon/src/dispatch/progress.rs
+++ b/crates/daemon/src/dispatch/progress.rs
@@ -9,7 +9,7 @@
     node::Node,
 };
 
-/// Notes the tokens of one request as they arrive.
+/// Recorder of the tokens of one request.
 #[derive(Debug)]
 pub struct Progress {
     node: Arc<Node>,
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -39,8 +39,8 @@
 pub struct Clients {
     /// For requests that may be repeated; reuses connections.
     pub reused: HttpClient,
-    /// For requests that must not be repeated: a new connection cannot be closed by the endpoint while the request is
-    /// being written.
+    /// For requests that must not be repeated; opens a connection for each, because the endpoint might close a reused
+    /// one while the request is being written.
     pub fresh: HttpClient,
 }
 
@@ -58,14 +58,14 @@
     }
 }
 
-/// A piece of a response, on its way to the caller.
+/// A piece of an answer, on its way to the caller.
 #[derive(Debug)]
 pub enum Piece {
     /// Text, and its number of tokens.
     Text(String, u32),
-    /// The response is complete; holds the engine's finish reason.
+    /// The answer is complete; holds the engine's finish reason.
     End(String),
-    /// The request has ended without a complete response.
+    /// The request has ended without a complete answer.
     Failed(crate::dispatch::failure::Failure),
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// Parameters of a call to an engine, besides the dispatch.
+/// Parameters of a call to an engine that are the same for each attempt.
 #[derive(Debug)]
 pub struct EngineCall<'a> {
     /// Path of the request.
@@ -107,7 +107,7 @@
     pub progress: &'a Progress,
 }
 
-/// Makes an attempt at the dispatch's endpoint, and sends the pieces of the response to `out`.
+/// Makes an attempt at the dispatch's endpoint, and sends the pieces of the answer to `out`.
 pub async fn generate(
     node: &Arc<Node>,
     clients: &Clients,
@@ -159,7 +159,7 @@
     let resp = match start_call(client, call, &extension, &dispatch.endpoint).await {
         Ok(resp) => resp,
         Err(mut ended) => {
-            // The prompt was processed at another engine, so "not run" would be wrong.
+            // The prompt was prefilled at another engine, so "not run" would be wrong.
             if prompt_ran && ended.end.is_certainly_not_run() {
                 ended.end = AttemptEnd::Broken;
             }
@@ -169,7 +169,7 @@
     AttemptResult::serving(receive(node, call, assembly, resp, out).await)
 }
 
-/// Has `target` process the prompt, and returns from where its KV cache can be imported.
+/// Has `target` prefill the prompt, and returns the location from which its KV cache can be imported.
 async fn run_prefill(
     client: &HttpClient,
     call: &EngineCall<'_>,
@@ -212,7 +212,7 @@
     check_response(resp).await
 }
 
-/// How an attempt ends whose call failed without a response.
+/// How an attempt ends if its call failed without a response.
 #[must_use]
 pub const fn attempt_end(error: &CallError) -> AttemptEnd {
     match error {
@@ -282,7 +282,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Sends a frame's text on if it is the next of the response.
+/// Passes a frame's text on to the caller if it is the next piece of the answer.
 ///
 /// # Errors
 /// If the caller accepts no more.
@@ -307,7 +307,7 @@
     emit!(debug, FRAME_DROPPED, request, why);
 }
 
-/// Parses a frame into its mark, text and finish reason.
+/// Parses a frame into its extension, text and finish reason.
 fn parse_frame(data: &str) -> Option<(FrameExtension, String, String)> {
     let value: Value = serde_json::from_str(data).ok()?;
     let frame = serde_json::from_value(value.get(EXTENSION)?.clone()).ok()?;
