--- a/crates/daemon/src/control/board.rs
+++ b/crates/daemon/src/control/board.rs
@@ -1,4 +1,4 @@
-//! State of control that operators can see, and what it knows of other processes.
+//! State of the control of engines: what operators can see of it, and which other processes have terminated.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -27,7 +27,7 @@
     changing: BTreeMap<String, String>,
 }
 
-/// State of control in this daemon.
+/// State of the control of engines in this daemon.
 #[derive(Debug, Default)]
 pub struct ControlState {
     inner: Mutex<Inner>,
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -1,6 +1,6 @@
 //! Changes carried out by a shard's holder, one order at a time per engine.
 //!
-//! Steps of a role change: mark the engine, so that daemons send it no new work; cordon it, so that it refuses work
+//! Steps of a role change: mark the engine, so that daemons send it no new work; cordon it, so that it rejects work
 //! from a daemon that is cut off; wait until it reports that nothing runs; change the role; uncordon it. No request
 //! that a person waits for is interrupted.
 
@@ -35,9 +35,9 @@
 const IDLE_STATUS_INTERVAL: Span = Span::millis(2_000);
 /// Number of daemons that are sent new marks directly; the others get them by gossip.
 const MARK_FANOUT: usize = 16;
-/// Interval between attempts to release records without the lease.
+/// Interval between attempts to release records while the lease is not held.
 const RELEASE_INTERVAL: Span = Span::millis(500);
-/// Number of loads that may be ordered at once.
+/// Number of orders to load a model or adapter that may be given at once.
 const LOAD_BURST: f64 = 2.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
@@ -94,7 +94,7 @@
         self.publish_changing(node, &engines);
     }
 
-    /// Without the lease: releases the engines that are still in this process's custody.
+    /// Runs one round while the lease is not held: releases the engines that are still in this process's custody.
     pub(super) async fn step_down(&mut self, node: &Node) {
         self.targets.clear();
         self.sent_marks = None;
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -32,9 +32,10 @@
     name: String,
     key: String,
     record: Option<(EngineRecord, i64)>,
-    /// Whether the stored record may name this process; stays set while that is unknown.
+    /// Whether the stored record may name this process as custodian; stays set while that is unknown.
     may_be_own: bool,
-    /// Set after an order without an answer: nothing is sent until none of its bytes can still arrive.
+    /// Set after an order without an answer to an engine that ignores fencing numbers: no order is sent until none of
+    /// that order's bytes can still arrive.
     no_send_until: Time,
 }
 
@@ -43,7 +44,7 @@
 pub(super) enum ReconcileResult {
     /// The engine is in the desired state.
     Done,
-    /// More remains to be done in the next round.
+    /// More remains to be done in a later round.
     Incomplete,
     /// Nothing can be done now, for this reason.
     Waiting(WaitReason),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Whether the stored record may name this process.
+    /// Whether the stored record may name this process as custodian.
     pub(super) const fn may_be_own(&self) -> bool {
         self.may_be_own
     }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -23,7 +23,7 @@
 
 /// Maximum number of attempts to release records at a graceful stop.
 const MAX_RELEASE_ATTEMPTS: u32 = 25;
-/// Delay between these attempts.
+/// Delay between attempts to release records.
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// One shard, whether or not this daemon holds it.
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -1,7 +1,7 @@
 //! Which endpoints get new work.
 //!
 //! An endpoint is closed if operators drained it, if the platform's list shows its VM as leaving or no longer contains
-//! it, if its shard's holder marked it, or if it reports that it refuses new work. Any one of these is enough.
+//! it, if its shard's holder marked it, or if it reports that it is cordoned. Any one of these is enough.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -70,7 +70,7 @@
         self.lock().closed_vms = vms.into_iter().collect();
     }
 
-    /// Records whether an endpoint reports that it refuses new work.
+    /// Records whether an endpoint reports that it rejects new work.
     pub fn set_cordoned(&self, endpoint: &str, cordoned: bool) {
         let mut inner = self.lock();
         if cordoned {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Applies the known reasons and roles to the dispatcher.
+/// Opens or closes the endpoints in the dispatcher, and sets the roles that shard holders reported.
 pub fn apply(node: &Node) {
     let doc = node.document();
     let now = node.now();
@@ -125,7 +125,7 @@
     }
 }
 
-/// Follows the platform's VM list until the daemon stops.
+/// Polls the platform's VM list until the daemon stops.
 pub async fn watch_vm_list(node: Arc<Node>) {
     let interval = Duration::from_millis(node.settings.timing.list_ms);
     while !node.stop.finished.is_cancelled() {
