--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -50,11 +50,11 @@
         self.held.map(|(_, authority)| authority).filter(|a| a.holds(now))
     }
 
-    /// Renews the lease when due, or tries to acquire it.
+    /// Renews the lease when due, or tries to acquire it if this daemon is a candidate.
     pub(super) async fn maintain(&mut self, node: &Node, candidate: bool) {
         let now = node.now();
         if self.held.is_some() && self.authority(now).is_none() {
-            self.lose(node, "its deadline passed");
+            self.lose(node, "the lease was not renewed in time");
         }
         if let Some((lease, _)) = self.held {
             if self.renew_at.is_past(now) {
@@ -91,7 +91,7 @@
                     authority.renewed(sent, ttl);
                 }
             }
-            Ok(false) => self.lose(node, "the lease is gone"),
+            Ok(false) => self.lose(node, "the lease expired or was revoked"),
             // Without an answer, the deadline of the authority limits how long this daemon still relies on it.
             Err(_) => self.renew_at = node.now() + Span(ttl.0 / RENEWALS_PER_TTL / RENEWALS_PER_TTL),
         }
