--- a/crates/daemon/src/caller/completion.rs
+++ b/crates/daemon/src/caller/completion.rs
@@ -27,14 +27,14 @@
     telemetry,
 };
 
-/// Number of pieces buffered for a slow caller; when they are full, the engine's stream waits.
+/// Number of pieces buffered for a slow caller; when the buffer is full, the engine's stream waits.
 const PIECE_BUFFER: usize = 64;
 /// Number of bytes of a prompt that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Maximum response length that a caller may ask for, in tokens.
+/// Maximum number of output tokens that a caller may request.
 const MAX_TOKENS: u64 = 1 << 20;
 
-/// API through which the request came.
+/// API that the request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Api {
     Text,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Fields repeated in every part of a response.
+/// Fields repeated in every chunk of a stream, and in a response that is not streamed.
 #[derive(Clone, Debug)]
 struct ResponseMeta {
     id: String,
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -34,7 +34,8 @@
 /// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Headers that apply to one connection and are not passed on (RFC 9110, section 7.6.1).
+/// Headers that are not passed on: those that apply to one connection (RFC 9110, section 7.6.1), and those that are set
+/// anew.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TE,
--- a/crates/daemon/src/caller/refusal.rs
+++ b/crates/daemon/src/caller/refusal.rs
@@ -1,4 +1,4 @@
-//! Responses to requests that have no complete response from an endpoint.
+//! HTTP responses to requests that have no complete answer from an endpoint.
 
 use axum::{
     Json,
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -218,7 +218,7 @@
     }
 }
 
-/// Status fields that change constantly and are not reported on their own.
+/// Status fields that change constantly; a change in these alone is not reported.
 const VOLATILE_FIELDS: [&str; 5] = ["load", "load_age_ms", "in_flight", "window", "demand_here"];
 
 fn has_changed(sent: &Resource, current: &Resource) -> bool {
