--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -26,11 +26,11 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Age of the last confirmation from which the service is read directly.
 const MAX_UNCONFIRMED_AGE: Span = Span::millis(1_500);
-/// Maximum number of attempts at one change, in case others change other resources at the same time.
+/// Maximum number of attempts at one change, which fail if the document is changed by others at the same time.
 const MAX_CHANGE_ATTEMPTS: u32 = 8;
 /// Maximum number of attempts to settle a change whose answer was lost.
 const MAX_SETTLE_ATTEMPTS: u32 = 5;
-/// Delay between these attempts.
+/// Delay between attempts to settle a change.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Key of the document.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! [`controller`] starts and stops it; [`node`] is the state that its parts share. A request under the product's own
 //! interface goes through [`caller`] (HTTP from callers), [`dispatch`] (one request, and where it is tried) and
-//! [`endpoint`] (one attempt). Requests on routes go through [`gateway`] to discovered replicas. The other parts are
-//! [`configuration`], [`membership`] and [`control`] (orders to engines, for the shards whose lease this daemon holds).
+//! [`endpoint`] (one attempt). Requests on routes go through [`gateway`] to discovered replicas. Further parts are
+//! [`configuration`], [`membership`], [`control`] (orders to engines, for the shards whose lease this daemon holds) and
+//! [`operator`] (the operators' API).
 
 pub mod caller;
 pub mod clock;
--- a/crates/daemon/src/listener.rs
+++ b/crates/daemon/src/listener.rs
@@ -20,7 +20,7 @@
 
 use crate::emit;
 
-/// Delay after the system refuses a connection, for example when no file descriptors are left.
+/// Delay after accepting a connection failed, for example because no file descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Time in which the connections accepted last can send their first request. Callers send it as soon as they are
@@ -48,7 +48,7 @@
     }
 }
 
-/// Serves `router` until `closing`; see [`serve_with`].
+/// Serves `router` until `closing` is cancelled; see [`serve_with`].
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -69,10 +69,10 @@
     }
 }
 
-/// Answers requests until `closing`, then closes idle connections and waits for the busy ones.
+/// Serves requests until `closing` is cancelled, then closes idle connections and waits for the busy ones.
 ///
-/// `limits` is called for each connection. Once `begun` is cancelled, each response also closes its connection, so that
-/// few are left on which a caller may be writing when the listener closes.
+/// `limits` is called for each connection. `begun` is cancelled when a graceful stop begins. From then on, each
+/// response also closes its connection, so that few are left on which a caller may be writing when the listener closes.
 pub async fn serve_with<F, A, B>(
     listener: TcpListener,
     handler: F,
@@ -135,7 +135,7 @@
 }
 
 impl<F, T> Server<F, T> {
-    /// Serves a connection in its own task if the maximum number is not reached.
+    /// Serves a connection in its own task, or closes it if the maximum number is reached.
     fn spawn_connection<A, B>(&self, stream: TcpStream)
     where
         F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
--- a/crates/daemon/src/membership/peer_server.rs
+++ b/crates/daemon/src/membership/peer_server.rs
@@ -110,7 +110,7 @@
     Ok(server.start(PeerHandler { node }.into_rpc()))
 }
 
-/// Rejects calls without the secret.
+/// Refuses calls without the secret.
 #[derive(Clone)]
 struct AuthLayer {
     node: Arc<Node>,
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Announces that this process has terminated. Others take this as proof that it sends no more orders, so control must
-/// have ended before.
+/// Announces that this process terminates. Others take this as proof that it sends no more orders, so control must have
+/// ended before.
 pub async fn announce_leaving(node: &Arc<Node>) {
     node.members().announce_leaving();
     let keys: Vec<_> = node.members().others().map(|(key, _)| key).collect();
@@ -207,7 +207,7 @@
     (ms != u64::MAX).then(|| at - Span::millis(ms))
 }
 
-/// Applies what a daemon that probes this one has sent along, and answers it.
+/// Applies the updates and reports in the probe of another daemon, and answers it.
 pub fn answer_probe(node: &Arc<Node>, probe: Probe) -> Answer {
     let now = node.now();
     // A suspicion of this daemon must be known before the answer is made, because the answer refutes it.
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -37,7 +37,7 @@
     pub vm_list: Arc<dyn VmList>,
     /// The dispatcher, shared by the daemon's tasks.
     pub dispatcher: SharedDispatcher,
-    /// Members of the deployment.
+    /// Membership table of the daemons.
     pub members: Mutex<Members>,
     /// Connections to other daemons.
     pub peers: PeerClients,
@@ -53,7 +53,7 @@
     pub records: Records,
     /// Metrics of the daemon.
     pub metrics: Metrics,
-    /// State of control.
+    /// State of the control of engines.
     pub control: ControlState,
     /// Progress of a graceful stop.
     pub stop: Stop,
@@ -66,7 +66,7 @@
     pub begun: CancellationToken,
     /// No more connections are accepted.
     pub closing: CancellationToken,
-    /// Background tasks must end.
+    /// All requests have finished; background tasks must end.
     pub finished: CancellationToken,
     /// Requests in flight.
     pub requests: TaskTracker,
