--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -40,7 +40,7 @@
 const PHASE_DURATION: Duration = Duration::from_secs(8);
 /// Pause between two requests of a caller.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
-/// Time for which a caller waits for a response.
+/// Time for which a caller waits for an answer.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(15);
 const ENGINES: [(&str, Role); 4] =
     [("engine-1", Role::Mixed), ("engine-2", Role::Mixed), ("engine-3", Role::Prefill), ("engine-4", Role::Decode)];
@@ -166,7 +166,7 @@
     }
     while !daemons.iter().all(|d| d.node().is_ready() && d.node().document().generation > 0) {
         if Instant::now() > until {
-            return Err("the daemons are not ready in time".into());
+            return Err("the daemons did not become ready in time".into());
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/daemon/src/bin/dahliaseamd/app.rs
+++ b/crates/daemon/src/bin/dahliaseamd/app.rs
@@ -6,12 +6,13 @@
 
 /// The dahliaseam daemon: routes requests from callers to endpoints on one entry VM.
 ///
-/// On SIGTERM it stops gracefully: it reports not ready, then accepts no new work, and exits with 0 when the last request
-/// has finished. Exit code 2 means that the daemon cannot start, for example because the settings cannot be used.
+/// On SIGTERM it stops gracefully: it reports not ready, then accepts no new work, and exits with 0 when the last
+/// request has finished. Exit code 2 means that the daemon cannot start, for example because the settings cannot be
+/// used.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) struct App {
-    /// Serve by the routes and replicas from the platform's store
+    /// Route requests by the routes and replicas in the platform's store
     pub(crate) routes: bool,
     /// Settings file, in JSON
     #[bpaf(short, long, argument("FILE"))]
--- a/crates/daemon/src/bin/dahliaseamd/routes.rs
+++ b/crates/daemon/src/bin/dahliaseamd/routes.rs
@@ -1,4 +1,4 @@
-//! The process of a daemon that serves by routes.
+//! Runs a daemon that takes its routes and replicas from the platform's store.
 
 use std::{
     path::Path,
@@ -18,7 +18,7 @@
 
 use crate::app::App;
 
-/// Interval between checks whether the settings file was written without a signal.
+/// Interval at which the settings file is checked for changes, in case it was written without a SIGHUP.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Runs the daemon until it is told to stop.
