--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -1,6 +1,6 @@
 //! Changes carried out by a shard's holder, one order at a time per engine.
 //!
-//! Steps of a role change: mark the engine, so that daemons send it no new work; cordon it, so that it refuses work
+//! Steps of a role change: mark the engine, so that daemons send it no new work; cordon it, so that it rejects work
 //! from a daemon that is cut off; wait until it reports that nothing runs; change the role; uncordon it. No request
 //! that a person waits for is interrupted.
 
@@ -22,7 +22,7 @@
 use futures_util::future::join_all;
 
 use super::{
-    custodian::{Custodian, DriveResult, query_status},
+    custodian::{Custodian, ReconcileResult, query_status},
     shard::Shard,
 };
 use crate::{emit, endpoint::duties, node::Node};
@@ -35,9 +35,9 @@
 const IDLE_STATUS_INTERVAL: Span = Span::millis(2_000);
 /// Number of daemons that are sent new marks directly; the others get them by gossip.
 const MARK_FANOUT: usize = 16;
-/// Interval between attempts to release records without the lease.
+/// Interval between attempts to release records while the lease is not held.
 const RELEASE_INTERVAL: Span = Span::millis(500);
-/// Number of loads that may be ordered at once.
+/// Number of orders to load a model or adapter that may be given at once.
 const LOAD_BURST: f64 = 2.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
@@ -90,11 +90,11 @@
         self.update_demand(node).await;
         self.plan(node, &doc, &engines);
         self.send_marks(node, shard, &engines).await;
-        self.drive(node, shard, &doc, &engines).await;
+        self.reconcile(node, shard, &doc, &engines).await;
         self.publish_changing(node, &engines);
     }
 
-    /// Without the lease: releases the engines that are still in this process's custody.
+    /// Runs one round while the lease is not held: releases the engines that are still in this process's custody.
     pub(super) async fn step_down(&mut self, node: &Node) {
         self.targets.clear();
         self.sent_marks = None;
@@ -108,11 +108,11 @@
     pub(super) async fn release_all(&mut self, node: &Node) -> bool {
         let doc = node.document();
         for (name, custodian) in &mut self.custodians {
-            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_custodian()) {
+            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_own()) {
                 custodian.release(node, &self.client, &endpoint.spec).await;
             }
         }
-        !self.custodians.values().any(Custodian::may_be_custodian)
+        !self.custodians.values().any(Custodian::may_be_own)
     }
 
     /// Status of each engine. Engines with something to do are asked in every round, the others at a longer interval.
@@ -251,18 +251,18 @@
         marks
     }
 
-    async fn drive(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
+    async fn reconcile(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
         for (name, (spec, status)) in engines {
             let order = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
-            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_custodian);
+            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_own);
             if order.is_none() && !may_be_own {
                 continue;
             }
             let custodian = self.custodians.entry(name.clone()).or_insert_with(|| Custodian::new(node, name));
-            let result = custodian.drive(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
+            let result = custodian.reconcile(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
             let wait_reason = match result {
-                DriveResult::Waiting(wait) => Some(wait),
-                DriveResult::Done | DriveResult::Incomplete => None,
+                ReconcileResult::Waiting(wait) => Some(wait),
+                ReconcileResult::Done | ReconcileResult::Incomplete => None,
             };
             if node.control.set_wait_reason(name, wait_reason) && wait_reason == Some(WaitReason::FormerCustodian) {
                 emit!(warn, CUSTODY_WAITS, engine = name, ignores = spec.fencing == Fencing::Ignores);
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -27,7 +27,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(2);
 /// Timeout of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which claims are refused immediately after the service failed to answer.
+/// Time after a failed claim for which further claims are refused without calling the service.
 const UNAVAILABLE_TIME: Span = Span::millis(500);
 /// Delay between attempts to settle a record in the background.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Lease with which claims expire.
+/// Lease that the claims are attached to, so that they expire.
 #[derive(Debug, Default)]
 struct ClaimLease {
     id: Option<LeaseId>,
@@ -151,12 +151,13 @@
 ///
 /// # Errors
 /// Why this request must not be sent.
-pub async fn acquire(node: &Arc<Node>, key: &str, request: &str, content: u64) -> Result<HeldClaim, ClaimError> {
+pub async fn acquire(node: &Arc<Node>, key: &str, request: &str, content_hash: u64) -> Result<HeldClaim, ClaimError> {
     let now = node.now();
     if !lock(&node.claims.unavailable_until).is_past(now) {
         return Err(ClaimError::Unavailable);
     }
-    let claim = Claim { request: request.to_owned(), owner: node.identity.me().clone(), content, result: None };
+    let claim =
+        Claim { request: request.to_owned(), owner: node.identity.me().clone(), content: content_hash, result: None };
     let key = format!("{}claims/{key}", node.settings.keyspace);
     let held = |revision| HeldClaim { key: key.clone(), claim: claim.clone(), revision };
     match swap(node, &key, 0, Some(&claim)).await {
