--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -9,8 +9,8 @@
 use dahliaseam_settings::{gateway::GatewaySettings, settings::Settings};
 use dahliaseam_wire::{
     error::from_json,
-    operator::{Accepted, ApplyBody, PutBody, RequestRecord, Resource, ResourceList, StatusReport, WatchEvent},
-    resource::{Change, Document, Refused, ResourceKind},
+    operator::{Accepted, ApplyBody, DeploymentStatus, PutBody, RequestRecord, Resource, ResourceList, WatchEvent},
+    resource::{Change, ChangeRefusal, Document, ResourceKind},
 };
 use http::Method;
 use serde_json::{Value, json};
@@ -124,7 +124,7 @@
         Command::Streams { log } => streams::table(&log)?,
         Command::Drain { endpoint, undo, wait_seconds } => drain(&client, &endpoint, undo, wait_seconds).await?,
         Command::Check { file } => check(&file)?,
-        Command::Status => output.text(&client.get::<StatusReport>("/v1/status").await?),
+        Command::Status => output.text(&client.get::<DeploymentStatus>("/v1/status").await?),
     };
     // A closed pipe, for example after `head` has exited, is not an error of the command.
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -210,7 +210,7 @@
         .collect();
     match Document::default().with_changes(&changes, "check") {
         Ok(_) => Ok(format!("{}: {count} resources are good\n", file.display())),
-        Err(Refused::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
+        Err(ChangeRefusal::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
         Err(_) => Err(CommandError::Usage("a resource is listed twice".to_owned())),
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -4,7 +4,7 @@
 
 use dahliaseam_border::error::CallError;
 use dahliaseam_settings::error::SettingsError;
-use dahliaseam_wire::{error::ReadError, operator::ApiError};
+use dahliaseam_wire::{error::ParseError, operator::ApiError};
 use quick_error::quick_error;
 
 quick_error! {
@@ -25,7 +25,7 @@
             display("cannot read {}: {}", path.display(), e)
         }
         /// The content of a file is not valid JSON, or a field is missing, unknown or of the wrong type.
-        Read(path: PathBuf, e: ReadError) {
+        Read(path: PathBuf, e: ParseError) {
             display("{}: {}", path.display(), e)
         }
         /// A settings file is not valid.
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,6 +1,6 @@
 //! Formatting of results.
 
-use dahliaseam_wire::operator::{RequestRecord, Resource, StatusReport, WatchEvent};
+use dahliaseam_wire::operator::{DeploymentStatus, RequestRecord, Resource, WatchEvent};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -100,7 +100,7 @@
     }
 }
 
-impl Show for StatusReport {
+impl Show for DeploymentStatus {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["VM", "HALL", "READY", "STANDING", "GENERATION", "HELD", "WAITING", "SHARDS"])];
         rows.extend(self.vms.iter().map(|vm| {
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -15,7 +15,7 @@
     member::Health,
     time::{Span, Time},
 };
-use dahliaseam_wire::resource::{Change, Document, Refused};
+use dahliaseam_wire::resource::{Change, ChangeRefusal, Document};
 use futures_util::StreamExt;
 
 use crate::{emit, endpoint::duties, node::Node};
@@ -150,7 +150,7 @@
 #[derive(Clone, Debug)]
 pub enum ChangeError {
     /// The change cannot be applied.
-    Refused(Refused),
+    Refused(ChangeRefusal),
     /// The change did not take effect: the service or the other daemons are unreachable.
     Unavailable(String),
     /// Whether the change took effect is not known.
--- a/crates/daemon/src/membership/peer_server.rs
+++ b/crates/daemon/src/membership/peer_server.rs
@@ -9,7 +9,7 @@
 use dahliaseam_core::member::Contact;
 use dahliaseam_wire::{
     operator::{RequestRecord, VmStatus},
-    peer::{Answer, DemandReport, Marks, MarksAnswer, PeerClient, PeerServer, PoolDemand, Probe},
+    peer::{DemandReport, Marks, MarksAnswer, PeerClient, PeerServer, PoolDemand, Probe, ProbeAnswer},
     resource::Document,
 };
 use http::{StatusCode, header::AUTHORIZATION};
@@ -30,7 +30,7 @@
 
 #[async_trait]
 impl PeerServer for PeerHandler {
-    async fn probe(&self, probe: Probe) -> RpcResult<Answer> {
+    async fn probe(&self, probe: Probe) -> RpcResult<ProbeAnswer> {
         Ok(peers::answer_probe(&self.node, probe))
     }
 
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -11,7 +11,7 @@
     member::{Contact, MemberKey},
     time::{Span, Time},
 };
-use dahliaseam_wire::peer::{Answer, Digest, EndpointLoad, PeerClient, Probe};
+use dahliaseam_wire::peer::{Digest, EndpointLoad, PeerClient, Probe, ProbeAnswer};
 use futures_util::future::join_all;
 use http::{HeaderMap, HeaderValue, header::AUTHORIZATION};
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
@@ -164,11 +164,11 @@
     }
 }
 
-fn make_answer(node: &Node) -> Answer {
+fn make_answer(node: &Node) -> ProbeAnswer {
     let mut members = node.members();
     let (start, refutation, news) = (members.me().start, members.refutation(), members.take_updates());
     drop(members);
-    Answer {
+    ProbeAnswer {
         start,
         refutation,
         updates: news,
@@ -178,7 +178,7 @@
     }
 }
 
-async fn apply_answer(node: &Arc<Node>, key: MemberKey, address: &str, answer: Answer, requested_at: Time) {
+async fn apply_answer(node: &Arc<Node>, key: MemberKey, address: &str, answer: ProbeAnswer, requested_at: Time) {
     let now = node.now();
     let reachability = {
         let mut members = node.members();
@@ -200,7 +200,7 @@
 }
 
 /// Adopts the peer's view of the VM list if it is newer than this daemon's.
-fn apply_closed_vms(node: &Node, answer: &Answer, requested_at: Time) {
+fn apply_closed_vms(node: &Node, answer: &ProbeAnswer, requested_at: Time) {
     let Some(at) = time_before(requested_at, answer.digest.list_ms) else { return };
     if node.freshness().list_at().is_none_or(|own| at > own) {
         node.availability.set_closed_vms(answer.closed_vms.iter().cloned());
@@ -214,7 +214,7 @@
 }
 
 /// Applies what a daemon that probes this one has sent along, and answers it.
-pub fn answer_probe(node: &Arc<Node>, probe: Probe) -> Answer {
+pub fn answer_probe(node: &Arc<Node>, probe: Probe) -> ProbeAnswer {
     let now = node.now();
     // A suspicion of this daemon must be known before the answer is made, because the answer refutes it.
     node.members().apply(&probe.updates, now);
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -13,7 +13,7 @@
     routing::{get, post},
 };
 use dahliaseam_wire::{
-    operator::{ApiError, RequestRecord, StatusReport},
+    operator::{ApiError, DeploymentStatus, RequestRecord},
     peer::PeerClient,
 };
 use futures_util::future::join_all;
@@ -49,7 +49,7 @@
     (status, Json(body)).into_response()
 }
 
-async fn all_status(State(node): State<Arc<Node>>) -> Json<StatusReport> {
+async fn all_status(State(node): State<Arc<Node>>) -> Json<DeploymentStatus> {
     let others: Vec<_> = {
         let members = node.members();
         members.others().filter(|(_, m)| m.listed).map(|(_, m)| m.contact.clone()).collect()
@@ -59,7 +59,7 @@
         client.status().await.ok()
     });
     let answers = join_all(calls).await;
-    let mut report = StatusReport { vms: vec![status::vm_status(&node)], silent: Vec::new() };
+    let mut report = DeploymentStatus { vms: vec![status::vm_status(&node)], silent: Vec::new() };
     for (contact, answer) in others.iter().zip(answers) {
         match answer {
             Some(vm) => report.vms.push(vm),
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -9,9 +9,9 @@
     response::{IntoResponse, Response},
 };
 use dahliaseam_wire::{
-    error::{ReadError, from_json},
+    error::{ParseError, from_json},
     operator::{Accepted, ApiError, ApplyBody, PutBody, Resource, ResourceList, WatchEvent},
-    resource::{Change, Document, Refused, ResourceKind},
+    resource::{Change, ChangeRefusal, Document, ResourceKind},
     validate::Problem,
 };
 use futures_util::stream;
@@ -131,9 +131,9 @@
     change_response(configure::change(&node, &changes).await)
 }
 
-fn invalid_body(node: &Node, e: ReadError) -> Response {
+fn invalid_body(node: &Node, e: ParseError) -> Response {
     node.metrics.refused_call("operator");
-    let ReadError::Invalid(path, expected) = e;
+    let ParseError::Invalid(path, expected) = e;
     invalid_change(vec![Problem { path, expected }])
 }
 
@@ -160,11 +160,11 @@
 fn change_response(result: Result<u64, ChangeError>) -> Response {
     match result {
         Ok(generation) => Json(Accepted { generation }).into_response(),
-        Err(ChangeError::Refused(Refused::Conflict { present })) => conflict(present),
-        Err(ChangeError::Refused(Refused::NotFound)) => {
+        Err(ChangeError::Refused(ChangeRefusal::Conflict { present })) => conflict(present),
+        Err(ChangeError::Refused(ChangeRefusal::NotFound)) => {
             error(StatusCode::NOT_FOUND, "not_found", "there is no such resource")
         }
-        Err(ChangeError::Refused(Refused::Invalid(problems))) => invalid_change(problems),
+        Err(ChangeError::Refused(ChangeRefusal::Invalid(problems))) => invalid_change(problems),
         Err(ChangeError::Unavailable(why)) => error(StatusCode::SERVICE_UNAVAILABLE, "unavailable", why),
         Err(ChangeError::Unknown(why)) => error(StatusCode::GATEWAY_TIMEOUT, "unknown", why),
     }
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -15,7 +15,7 @@
 use dahliaseam_settings::settings::Settings;
 use dahliaseam_wire::{
     operator::{RequestRecord, VmStatus},
-    peer::{Answer, DemandReport, Digest, Marks, MarksAnswer, PeerServer, Probe},
+    peer::{DemandReport, Digest, Marks, MarksAnswer, PeerServer, Probe, ProbeAnswer},
     resource::{Change, Document, ResourceKind},
 };
 use dahliaseamd::{
@@ -46,13 +46,20 @@
 
 #[async_trait]
 impl PeerServer for PeerStandIn {
-    async fn probe(&self, _: Probe) -> RpcResult<Answer> {
+    async fn probe(&self, _: Probe) -> RpcResult<ProbeAnswer> {
         self.probes.fetch_add(1, Ordering::SeqCst);
         let own = Update { contact: self.contact.clone(), start: 1, refutation: 0, health: Health::Alive };
         let generation = self.generation.load(Ordering::SeqCst);
         // Its own copy was never confirmed, so only the majority can keep the daemon ready.
         let digest = Digest { generation, confirmed_ms: u64::MAX, marks: 0, list_ms: u64::MAX };
-        Ok(Answer { start: 1, refutation: 0, updates: vec![own], digest, closed_vms: Vec::new(), loads: Vec::new() })
+        Ok(ProbeAnswer {
+            start: 1,
+            refutation: 0,
+            updates: vec![own],
+            digest,
+            closed_vms: Vec::new(),
+            loads: Vec::new(),
+        })
     }
 
     async fn probe_via(&self, _: Contact) -> RpcResult<Option<(u64, u32)>> {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::{io, path::PathBuf};
 
-use dahliaseam_wire::error::ReadError;
+use dahliaseam_wire::error::ParseError;
 use quick_error::quick_error;
 
 quick_error! {
@@ -14,7 +14,7 @@
             display("cannot read {}: {}", path.display(), e)
         }
         /// The content is not valid JSON, or a field is missing, unknown or of the wrong type.
-        Read(path: PathBuf, e: ReadError) {
+        Read(path: PathBuf, e: ParseError) {
             display("{}: {}", path.display(), e)
         }
         /// A field has an invalid value.
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -5,7 +5,7 @@
 quick_error! {
     /// Why a JSON text could not be parsed.
     #[derive(Debug)]
-    pub enum ReadError {
+    pub enum ParseError {
         /// The value at `path` is not as expected.
         Invalid(path: String, expected: String) {
             display("{}: {}", path, expected)
@@ -17,11 +17,11 @@
 ///
 /// # Errors
 /// Returns the path of the first invalid field and what was expected there.
-pub fn from_json<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, ReadError> {
+pub fn from_json<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, ParseError> {
     let mut de = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut de)
-        .map_err(|e| ReadError::Invalid(e.path().to_string(), e.inner().to_string()))?;
-    de.end().map_err(|e| ReadError::Invalid(".".into(), e.to_string()))?;
+        .map_err(|e| ParseError::Invalid(e.path().to_string(), e.inner().to_string()))?;
+    de.end().map_err(|e| ParseError::Invalid(".".into(), e.to_string()))?;
     Ok(value)
 }
 
@@ -29,6 +29,7 @@
 ///
 /// # Errors
 /// Returns the path of the first invalid field and what was expected there.
-pub fn from_value<T: serde::de::DeserializeOwned>(value: serde_json::Value) -> Result<T, ReadError> {
-    serde_path_to_error::deserialize(value).map_err(|e| ReadError::Invalid(e.path().to_string(), e.inner().to_string()))
+pub fn from_value<T: serde::de::DeserializeOwned>(value: serde_json::Value) -> Result<T, ParseError> {
+    serde_path_to_error::deserialize(value)
+        .map_err(|e| ParseError::Invalid(e.path().to_string(), e.inner().to_string()))
 }
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -32,7 +32,7 @@
 /// A resource as declared in a file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ResourceFile {
+pub struct ResourceDeclaration {
     /// Its kind.
     pub kind: ResourceKind,
     /// Its name.
@@ -63,7 +63,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ApplyBody {
     /// The resources.
-    pub resources: Vec<ResourceFile>,
+    pub resources: Vec<ResourceDeclaration>,
 }
 
 /// Answer to an accepted change.
@@ -184,7 +184,7 @@
 
 /// State of the deployment, as gathered by one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StatusReport {
+pub struct DeploymentStatus {
     /// States of the daemons that answered.
     pub vms: Vec<VmStatus>,
     /// Names of the entry VMs that did not answer.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -45,7 +45,7 @@
 
 /// Answer to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ProbeAnswer {
     /// Start number of the answering daemon's run.
     pub start: u64,
     /// Number of suspicions that it has refuted in this run.
@@ -90,8 +90,8 @@
 }
 
 impl From<EndpointLoad> for LoadTuple {
-    fn from(n: EndpointLoad) -> Self {
-        (n.endpoint, n.age_ms, n.queued_prefill, n.running, n.waiting, n.own_prefill)
+    fn from(load: EndpointLoad) -> Self {
+        (load.endpoint, load.age_ms, load.queued_prefill, load.running, load.waiting, load.own_prefill)
     }
 }
 
@@ -142,7 +142,7 @@
 pub trait Peer {
     /// Probes this daemon.
     #[method(name = "probe")]
-    async fn probe(&self, probe: Probe) -> RpcResult<Answer>;
+    async fn probe(&self, probe: Probe) -> RpcResult<ProbeAnswer>;
 
     /// Probes another daemon on the sender's behalf; returns its start number and refutation count if it answered.
     #[method(name = "probe_via")]
--- a/crates/wire/src/resource.rs
+++ b/crates/wire/src/resource.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::error::{ReadError, from_value};
+use crate::error::{ParseError, from_value};
 
 /// A specification with the generation at which it last changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -237,7 +237,7 @@
                 }
             }
 
-            fn insert(&mut self, kind: ResourceKind, name: &str, spec: Value) -> Result<(), ReadError> {
+            fn insert(&mut self, kind: ResourceKind, name: &str, spec: Value) -> Result<(), ParseError> {
                 let version = self.generation;
                 match kind {
                     $(ResourceKind::$kind => {
@@ -292,7 +292,7 @@
 
 /// Why a change is refused.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
+pub enum ChangeRefusal {
     /// The resource has another version.
     Conflict {
         /// Present version; zero if the resource does not exist.
@@ -309,7 +309,7 @@
     ///
     /// # Errors
     /// Returns why a change is refused; then none is made.
-    pub fn with_changes(&self, changes: &[Change], token: &str) -> Result<Self, Refused> {
+    pub fn with_changes(&self, changes: &[Change], token: &str) -> Result<Self, ChangeRefusal> {
         let mut next = self.clone();
         next.generation += 1;
         for change in changes {
@@ -317,7 +317,7 @@
         }
         let problems = crate::validate::problems(&next);
         if !problems.is_empty() {
-            return Err(Refused::Invalid(problems));
+            return Err(ChangeRefusal::Invalid(problems));
         }
         next.writes.push(Write { token: token.to_owned(), generation: next.generation });
         let excess = next.writes.len().saturating_sub(MAX_WRITES);
@@ -331,14 +331,14 @@
         self.writes.iter().find(|w| w.token == token).map(|w| w.generation)
     }
 
-    fn apply(&mut self, change: &Change) -> Result<(), Refused> {
+    fn apply(&mut self, change: &Change) -> Result<(), ChangeRefusal> {
         let present = self.get(change.kind, &change.name).map_or(0, |(version, _)| version);
         if change.based_on.is_some_and(|based_on| based_on != present) {
-            return Err(Refused::Conflict { present });
+            return Err(ChangeRefusal::Conflict { present });
         }
         match &change.spec {
             Some(spec) => self.insert(change.kind, &change.name, spec.clone()).map_err(invalid_spec),
-            None if present == 0 => Err(Refused::NotFound),
+            None if present == 0 => Err(ChangeRefusal::NotFound),
             None => {
                 self.remove(change.kind, &change.name);
                 Ok(())
@@ -347,7 +347,7 @@
     }
 }
 
-fn invalid_spec(error: ReadError) -> Refused {
-    let ReadError::Invalid(path, expected) = error;
-    Refused::Invalid(vec![crate::validate::Problem { path: format!("spec.{path}"), expected }])
+fn invalid_spec(error: ParseError) -> ChangeRefusal {
+    let ParseError::Invalid(path, expected) = error;
+    ChangeRefusal::Invalid(vec![crate::validate::Problem { path: format!("spec.{path}"), expected }])
 }
--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -19,7 +19,7 @@
 };
 use dahliaseam_wire::{
     engine::{STATUS_PATH, StatusReport as EngineReport},
-    operator::{Accepted, ResourceList, StatusReport},
+    operator::{Accepted, DeploymentStatus, ResourceList},
 };
 use http::{Request, StatusCode, header::AUTHORIZATION};
 use http_body_util::Full;
@@ -546,7 +546,7 @@
     }
 
     /// Returns the status of the deployment as `vm` shows it.
-    pub async fn status(&self, vm: &str) -> Option<StatusReport> {
+    pub async fn status(&self, vm: &str) -> Option<DeploymentStatus> {
         let (_, value) = self.operator_call(vm, "GET", "/v1/status", None).await.ok()?;
         serde_json::from_value(value).ok()
     }
