--- a/crates/border/src/dialect.rs
+++ b/crates/border/src/dialect.rs
@@ -18,7 +18,7 @@
 use http::{Request, request, response};
 use http_body_util::Full;
 
-use crate::error::DecodeError;
+use crate::error::FormatError;
 
 /// Data from the head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 
 /// Data from the head of an endpoint's answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseHead {
     /// Identifier of the request that it answers.
     pub request_id: Option<String>,
     /// Whether the endpoint ran the request.
@@ -222,46 +222,46 @@
     ///
     /// # Errors
     /// Names the field that is missing or invalid.
-    fn configuration(&self, text: &str) -> Result<RouteTable, DecodeError>;
+    fn decode_configuration(&self, text: &str) -> Result<RouteTable, FormatError>;
 
     /// Decodes a replica's stored entry; also returns the number of orders that it has accepted.
     ///
     /// # Errors
     /// Names the field that is missing or invalid.
-    fn replica(&self, id: &str, text: &str) -> Result<(ReplicaFacts, u64), DecodeError>;
+    fn decode_replica(&self, id: &str, text: &str) -> Result<(ReplicaFacts, u64), FormatError>;
 
     /// Decodes the head of a caller's request.
     ///
     /// # Errors
     /// Names the header that is missing or invalid.
-    fn caller(&self, head: &request::Parts) -> Result<CallerRequest, DecodeError>;
+    fn decode_caller_request(&self, head: &request::Parts) -> Result<CallerRequest, FormatError>;
 
     /// Builds the request to an endpoint.
     ///
     /// # Errors
     /// Returns an error if a part of the head cannot be encoded.
-    fn forward(&self, forward: &Forward<'_>) -> Result<Request<Full<Bytes>>, DecodeError>;
+    fn forward(&self, forward: &Forward<'_>) -> Result<Request<Full<Bytes>>, FormatError>;
 
     /// Decodes the head of an endpoint's answer.
-    fn answer(&self, head: &response::Parts) -> AnswerFacts;
+    fn decode_response_head(&self, head: &response::Parts) -> ResponseHead;
 
     /// Decodes the body of the answer to [`Task::Prefill`].
     ///
     /// # Errors
     /// Names the field that is missing or invalid.
-    fn handle(&self, body: &[u8]) -> Result<Handle, DecodeError>;
+    fn decode_handle(&self, body: &[u8]) -> Result<Handle, FormatError>;
 
     /// Builds the call that frees a handle.
     ///
     /// # Errors
     /// Returns an error if the call cannot be encoded.
-    fn free_handle(&self, replica: &ReplicaFacts, handle: &str) -> Result<Request<Full<Bytes>>, DecodeError>;
+    fn free_handle(&self, replica: &ReplicaFacts, handle: &str) -> Result<Request<Full<Bytes>>, FormatError>;
 
     /// Builds the call that orders a role.
     ///
     /// # Errors
     /// Returns an error if the call cannot be encoded.
-    fn order_role(&self, replica: &ReplicaFacts, order: &RoleOrder) -> Result<Request<Full<Bytes>>, DecodeError>;
+    fn order_role(&self, replica: &ReplicaFacts, order: &RoleOrder) -> Result<Request<Full<Bytes>>, FormatError>;
 
     /// Interprets the status of the answer to an order; `None` for statuses without a defined meaning.
     fn order_answer(&self, status: u16) -> Option<OrderAnswer>;
@@ -270,7 +270,7 @@
     ///
     /// # Errors
     /// Returns an error if the call cannot be encoded.
-    fn ask_report(&self, replica: &ReplicaFacts) -> Result<Request<Full<Bytes>>, DecodeError>;
+    fn ask_report(&self, replica: &ReplicaFacts) -> Result<Request<Full<Bytes>>, FormatError>;
 
     /// Whether the platform requires usage reports, according to the names of duties in the settings.
     fn wants_usage_reports(&self, duties: &[String]) -> bool;
@@ -284,7 +284,7 @@
         address: SocketAddr,
         holder: &Leader,
         report: &Report,
-    ) -> Result<Request<Full<Bytes>>, DecodeError>;
+    ) -> Result<Request<Full<Bytes>>, FormatError>;
 
     /// Whether the platform accepts orders for the number of engines, according to the names of duties in the settings.
     fn accepts_size_orders(&self, duties: &[String]) -> bool;
@@ -298,7 +298,7 @@
         address: SocketAddr,
         holder: &Leader,
         order: &SizeOrder,
-    ) -> Result<Request<Full<Bytes>>, DecodeError>;
+    ) -> Result<Request<Full<Bytes>>, FormatError>;
 
     /// Interprets the status of the answer to a duty call.
     fn duty_answer(&self, status: u16) -> DutyAnswer;
@@ -307,7 +307,7 @@
     ///
     /// # Errors
     /// Names the field that is missing or invalid.
-    fn report(&self, body: &[u8]) -> Result<EngineReport, DecodeError>;
+    fn decode_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
 }
 
 /// A dialect shared between tasks.
--- a/crates/border/src/error.rs
+++ b/crates/border/src/error.rs
@@ -32,7 +32,7 @@
 quick_error! {
     /// Why data in the platform's format could not be decoded or encoded.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum DecodeError {
+    pub enum FormatError {
         /// A required part is missing.
         Missing(what: &'static str) {
             display("{} is missing", what)
--- a/crates/border/src/kv.rs
+++ b/crates/border/src/kv.rs
@@ -28,7 +28,7 @@
     /// The key.
     pub key: String,
     /// Revision that the key must have; zero if it must be absent.
-    pub expect: i64,
+    pub expected_revision: i64,
     /// New value; `None` to delete the key.
     pub value: Option<String>,
     /// Lease that the key is attached to; the key is deleted when the lease ends.
--- a/crates/border/src/vms.rs
+++ b/crates/border/src/vms.rs
@@ -24,7 +24,8 @@
     #[serde(default)]
     pub address: String,
     /// Purpose of the VM.
-    pub part: VmPart,
+    #[serde(rename = "part")]
+    pub purpose: VmPurpose,
     /// Whether it is about to be removed.
     #[serde(default)]
     pub leaving: bool,
@@ -33,7 +34,7 @@
 /// Purpose of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum VmPart {
+pub enum VmPurpose {
     /// It runs a dahliaseam daemon.
     Entry,
     /// It runs endpoints.
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -169,8 +169,12 @@
     /// time.
     async fn write_record(&mut self, node: &Node, next: EngineRecord) -> bool {
         let Some((_, revision)) = self.record.take() else { return false };
-        let swap =
-            Swap { key: self.key.clone(), expect: revision, value: serde_json::to_string(&next).ok(), lease: None };
+        let swap = Swap {
+            key: self.key.clone(),
+            expected_revision: revision,
+            value: serde_json::to_string(&next).ok(),
+            lease: None,
+        };
         let is_custodian = next.custodian.as_ref() == Some(node.identity.me());
         self.may_be_own |= is_custodian;
         node.metrics.kv_call("record_write");
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use dahliaseam_border::vms::{ListedVm, VmPart};
+use dahliaseam_border::vms::{ListedVm, VmPurpose};
 use dahliaseam_core::{endpoint::AdminState, hash, member::Contact, time::Time};
 use dahliaseam_wire::{peer::Marks, resource::EndpointSpec};
 
@@ -142,7 +142,7 @@
 }
 
 fn apply_vm_list(node: &Arc<Node>, list: &[ListedVm], requested_at: Time) {
-    let me = list.iter().find(|vm| vm.part == VmPart::Entry && vm.vm == node.settings.vm);
+    let me = list.iter().find(|vm| vm.purpose == VmPurpose::Entry && vm.vm == node.settings.vm);
     let Some(me) = me else {
         emit!(warn, LIST_REFUSED, vms = list.len());
         return;
@@ -153,7 +153,7 @@
     }
     let entries: Vec<_> = list
         .iter()
-        .filter(|vm| vm.part == VmPart::Entry)
+        .filter(|vm| vm.purpose == VmPurpose::Entry)
         .map(|vm| Contact { vm: vm.vm.clone(), hall: vm.hall.clone(), address: vm.address.clone() })
         .collect();
     node.members().set_listed(&entries);
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -270,7 +270,7 @@
         };
         self.record_connect_time(replica, connect_time);
         let (head, body) = resp.into_parts();
-        let facts = dialect.answer(&head);
+        let facts = dialect.decode_response_head(&head);
         // The headers of another replica's response do not apply to this replica.
         if facts.run != RunStatus::OtherReplica {
             self.record_rate_limit(replica, facts.rate_limit, now);
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -184,7 +184,8 @@
     let sent = gw.now();
     gw.metrics.store_call(StoreCall::Leadership);
     let lease = gw.outside.kv.grant(LEASE_S).await?;
-    let swap = Swap { key: key.to_owned(), expect: 0, value: Some(gw.settings.vm.clone()), lease: Some(lease) };
+    let swap =
+        Swap { key: key.to_owned(), expected_revision: 0, value: Some(gw.settings.vm.clone()), lease: Some(lease) };
     gw.metrics.store_call(StoreCall::Leadership);
     let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() else {
         gw.metrics.store_call(StoreCall::Leadership);
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -165,7 +165,7 @@
     if status != StatusCode::OK {
         return Err(CallError::NotSent(format!("the engine's report has status {status}")));
     }
-    gw.outside.dialect.report(&body).map_err(|e| CallError::NotSent(e.to_string()))
+    gw.outside.dialect.decode_report(&body).map_err(|e| CallError::NotSent(e.to_string()))
 }
 
 async fn call(
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -146,7 +146,7 @@
         if head.status != StatusCode::OK {
             return Err(CallFailure::Lost(format!("status {}", head.status)));
         }
-        let handle = self.gw.outside.dialect.handle(&text).map_err(|e| CallFailure::Lost(e.to_string()))?;
+        let handle = self.gw.outside.dialect.decode_handle(&text).map_err(|e| CallFailure::Lost(e.to_string()))?;
         self.gw.upstream.keep(call.replica.address, conn);
         Ok(handle)
     }
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -244,7 +244,7 @@
         return;
     }
     gw.store_cache().newest_configuration = entry.revision;
-    match gw.outside.dialect.configuration(&entry.value) {
+    match gw.outside.dialect.decode_configuration(&entry.value) {
         Ok(table) => {
             let (version, routes) = (table.version, table.len());
             for service in table.services() {
@@ -270,7 +270,7 @@
     if !gw.store_cache().replicas.put(&entry.key, entry.revision, entry.clone()) {
         return;
     }
-    match gw.outside.dialect.replica(&id, &entry.value) {
+    match gw.outside.dialect.decode_replica(&id, &entry.value) {
         Ok((facts, _)) => {
             let (draining, role) = (facts.draining, facts.role);
             let (service, address, born) = (Arc::clone(&facts.service), facts.address, facts.start_time_ms);
