--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -186,13 +186,13 @@
 }
 
 fn read_resources(file: &Path) -> Result<ApplyBody, CommandError> {
-    let text = std::fs::read(file).map_err(|e| CommandError::Open(file.to_owned(), e))?;
-    from_json(&text).map_err(|e| CommandError::Read(file.to_owned(), e))
+    let text = std::fs::read(file).map_err(|e| CommandError::Read(file.to_owned(), e))?;
+    from_json(&text).map_err(|e| CommandError::Parse(file.to_owned(), e))
 }
 
 fn check(file: &Path) -> Result<String, CommandError> {
-    let text = std::fs::read(file).map_err(|e| CommandError::Open(file.to_owned(), e))?;
-    let value: Value = from_json(&text).map_err(|e| CommandError::Read(file.to_owned(), e))?;
+    let text = std::fs::read(file).map_err(|e| CommandError::Read(file.to_owned(), e))?;
+    let value: Value = from_json(&text).map_err(|e| CommandError::Parse(file.to_owned(), e))?;
     if value.get("resources").is_none() {
         if value.get("store_address").is_some() {
             GatewaySettings::load(file)?;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -21,11 +21,11 @@
             display("the daemon does not answer: {}", e)
         }
         /// A file cannot be read.
-        Open(path: PathBuf, e: io::Error) {
+        Read(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
         /// The content of a file is not valid JSON, or a field is missing, unknown or of the wrong type.
-        Read(path: PathBuf, e: ParseError) {
+        Parse(path: PathBuf, e: ParseError) {
             display("{}: {}", path.display(), e)
         }
         /// A settings file is not valid.
@@ -67,9 +67,9 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Api(e) if matches!(e.code.as_str(), "unavailable" | "unknown") => UNAVAILABLE,
-            Self::Api(_) | Self::Read(..) | Self::Settings(_) | Self::Invalid(..) => REFUSED,
+            Self::Api(_) | Self::Parse(..) | Self::Settings(_) | Self::Invalid(..) => REFUSED,
             Self::Call(_) | Self::Answer(_) => UNAVAILABLE,
-            Self::Open(..) | Self::Usage(_) => USAGE,
+            Self::Read(..) | Self::Usage(_) => USAGE,
             Self::TimedOut(_) => TIMED_OUT,
         }
     }
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -37,11 +37,11 @@
 /// # Errors
 /// Returns an error if the file cannot be read.
 pub(crate) fn for_each_line(file: &Path, mut f: impl FnMut(&str)) -> Result<(), CommandError> {
-    let open = |e| CommandError::Open(file.to_owned(), e);
+    let read_error = |e| CommandError::Read(file.to_owned(), e);
     let input: Box<dyn Read> =
-        if file == Path::new("-") { Box::new(stdin()) } else { Box::new(File::open(file).map_err(open)?) };
+        if file == Path::new("-") { Box::new(stdin()) } else { Box::new(File::open(file).map_err(read_error)?) };
     for line in BufReader::new(input).lines() {
-        let line = line.map_err(open)?;
+        let line = line.map_err(read_error)?;
         if let Some(start) = line.find('{') {
             f(&line[start..]);
         }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -27,7 +27,7 @@
 }
 
 /// A result that can be formatted as a table.
-pub trait Show: Serialize {
+pub trait Tabular: Serialize {
     /// Rows of the table; the first is the header, if there is one.
     fn rows(&self) -> Vec<Vec<String>>;
 }
@@ -35,7 +35,7 @@
 impl Output {
     /// Formats a result.
     #[must_use]
-    pub fn text(self, result: &impl Show) -> String {
+    pub fn text(self, result: &impl Tabular) -> String {
         match self {
             Self::Json => serde_json::to_string_pretty(result).unwrap_or_default() + "\n",
             Self::Table => align_columns(&result.rows()),
@@ -81,7 +81,7 @@
     cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-impl Show for Vec<Resource> {
+impl Tabular for Vec<Resource> {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["NAME", "VERSION", "STATUS"])];
         rows.extend(self.iter().map(|r| vec![r.name.clone(), r.resource_version.to_string(), summary(&r.status)]));
@@ -89,7 +89,7 @@
     }
 }
 
-impl Show for Resource {
+impl Tabular for Resource {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["name", &self.name]), row(&["version", &self.resource_version.to_string()])];
         for (section, value) in [("spec", &self.spec), ("status", &self.status)] {
@@ -100,7 +100,7 @@
     }
 }
 
-impl Show for DeploymentStatus {
+impl Tabular for DeploymentStatus {
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows = vec![row(&["VM", "HALL", "READY", "STANDING", "GENERATION", "HELD", "WAITING", "SHARDS"])];
         rows.extend(self.vms.iter().map(|vm| {
@@ -121,7 +121,7 @@
     }
 }
 
-impl Show for RequestRecord {
+impl Tabular for RequestRecord {
     fn rows(&self) -> Vec<Vec<String>> {
         let ms = |value: Option<f64>| value.map_or_else(|| "-".to_owned(), |ms| format!("{ms:.1} ms"));
         let mut rows = vec![
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -56,12 +56,12 @@
     /// Whether a configured key cannot have been withdrawn for longer than allowed.
     fn is_still_valid(&self, arrived: Time) -> bool {
         let strict = self.settings.filter(|settings| settings.strict);
-        strict.is_none_or(|settings| self.proofs().is_fresh(settings.withdrawn(), arrived))
+        strict.is_none_or(|settings| self.proofs().is_fresh(settings.withdrawal_limit(), arrived))
     }
 
     /// Whether a key that is not in the configuration has certainly not been added since.
     fn is_surely_unknown(&self, arrived: Time) -> bool {
-        let bound = self.settings.map(|settings| Span(settings.added().0 / UNKNOWN_KEY_DIVISOR));
+        let bound = self.settings.map(|settings| Span(settings.addition_limit().0 / UNKNOWN_KEY_DIVISOR));
         bound.is_none_or(|bound| self.proofs().is_fresh(bound, arrived))
     }
 
@@ -74,12 +74,13 @@
     /// the call, and two such calls lie between two proofs.
     pub(super) fn longest_wait(&self) -> Option<Span> {
         let strict = self.settings.filter(|settings| settings.strict);
-        strict.map(|settings| Span(settings.withdrawn().0 / WATCH_WAIT_DIVISOR))
+        strict.map(|settings| Span(settings.withdrawal_limit().0 / WATCH_WAIT_DIVISOR))
     }
 
     /// Whether the newest proof is so old that the store should be asked.
     pub(super) fn is_proof_stale(&self, now: Time) -> bool {
-        let bound = self.settings.map(|settings| Span::seconds(settings.withdrawn().as_seconds() * STALE_PROOF_SHARE));
+        let bound =
+            self.settings.map(|settings| Span::seconds(settings.withdrawal_limit().as_seconds() * STALE_PROOF_SHARE));
         bound.is_some_and(|bound| !self.proofs().is_fresh(bound, now))
     }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -10,11 +10,11 @@
     #[derive(Debug)]
     pub enum SettingsError {
         /// The file cannot be read.
-        Open(path: PathBuf, e: io::Error) {
+        Read(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
         /// The content is not valid JSON, or a field is missing, unknown or of the wrong type.
-        Read(path: PathBuf, e: ParseError) {
+        Parse(path: PathBuf, e: ParseError) {
             display("{}: {}", path.display(), e)
         }
         /// A field has an invalid value.
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -100,13 +100,13 @@
 impl KeySettings {
     /// Time after its withdrawal from which a key must be rejected.
     #[must_use]
-    pub const fn withdrawn(&self) -> Span {
+    pub const fn withdrawal_limit(&self) -> Span {
         Span::millis(self.withdrawn_ms)
     }
 
     /// Time after its addition from which a key must be known.
     #[must_use]
-    pub const fn added(&self) -> Span {
+    pub const fn addition_limit(&self) -> Span {
         Span::millis(self.added_ms)
     }
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -300,8 +300,8 @@
 
 /// Reads a settings file without checking its values.
 pub(crate) fn read_file<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
-    let text = std::fs::read(path).map_err(|e| SettingsError::Open(path.to_owned(), e))?;
-    dahliaseam_wire::error::from_json(&text).map_err(|e| SettingsError::Read(path.to_owned(), e))
+    let text = std::fs::read(path).map_err(|e| SettingsError::Read(path.to_owned(), e))?;
+    dahliaseam_wire::error::from_json(&text).map_err(|e| SettingsError::Parse(path.to_owned(), e))
 }
 
 pub(crate) fn expect(ok: bool, path: &str, expected: &str) -> Result<(), SettingsError> {
