--- a/stand-ins/src/engine.rs
+++ b/stand-ins/src/engine.rs
@@ -286,14 +286,14 @@
     } else {
         json!({ "index": 0, "text": text, "finish_reason": finish })
     };
-    let mark = FrameExtension {
+    let extension = FrameExtension {
         id: FrameId { request: req.request.clone(), attempt: req.attempt, position },
         tokens,
         end: end.is_some(),
         handle: end.and_then(|end| end.handle.clone()),
     };
     let object = if chat { "chat.completion.chunk" } else { "text_completion" };
-    let value = json!({ "id": req.request, "object": object, "choices": [choice], EXTENSION: mark });
+    let value = json!({ "id": req.request, "object": object, "choices": [choice], EXTENSION: extension });
     Bytes::from(format!("data: {value}\n\n"))
 }
 
--- a/stand-ins/src/model.rs
+++ b/stand-ins/src/model.rs
@@ -105,7 +105,7 @@
         self.prompt_left <= 0.0
     }
 
-    const fn kv(&self) -> u32 {
+    const fn kv_tokens(&self) -> u32 {
         self.job.prompt_tokens + self.job.output_tokens
     }
 }
@@ -226,7 +226,7 @@
     #[must_use]
     pub fn load(&self) -> LoadReport {
         let all = self.batch.iter().chain(&self.waiting);
-        let kv: u32 = self.batch.iter().map(Sequence::kv).sum();
+        let kv: u32 = self.batch.iter().map(Sequence::kv_tokens).sum();
         LoadReport {
             queued_prefill: all.map(|s| s.prompt_left.max(0.0)).sum::<f64>() as u32,
             running: self.batch.len() as u32,
@@ -250,9 +250,9 @@
 
     fn admit(&mut self) {
         while let Some(next) = self.waiting.first() {
-            let kv: u32 = self.batch.iter().map(Sequence::kv).sum();
+            let kv: u32 = self.batch.iter().map(Sequence::kv_tokens).sum();
             let full = self.batch.len() >= self.params.slots as usize;
-            let fits = self.batch.is_empty() || kv + next.kv() <= self.params.kv_tokens;
+            let fits = self.batch.is_empty() || kv + next.kv_tokens() <= self.params.kv_tokens;
             if full || !fits {
                 return;
             }
--- a/stand-ins/src/relay.rs
+++ b/stand-ins/src/relay.rs
@@ -122,7 +122,7 @@
 
 async fn relay_connection(client: TcpStream, target: SocketAddr, link: Arc<AtomicU8>) {
     if current(&link).closes() {
-        reset_if_set(&client, &link);
+        reset_if_link_resets(&client, &link);
         return;
     }
     wait_while_held(&link, false).await;
@@ -141,12 +141,12 @@
             () = wait_until_closed(&link) => {}
         }
     }
-    reset_if_set(&client, &link);
-    reset_if_set(&target_stream, &link);
+    reset_if_link_resets(&client, &link);
+    reset_if_link_resets(&target_stream, &link);
 }
 
 /// Makes the connection reset when it is dropped, if the link is in state [`Link::Reset`].
-fn reset_if_set(stream: &TcpStream, link: &AtomicU8) {
+fn reset_if_link_resets(stream: &TcpStream, link: &AtomicU8) {
     if current(link) == Link::Reset {
         let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     }
