--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -26,13 +26,13 @@
 #[must_use]
 pub fn problems(doc: &Document) -> Vec<Problem> {
     let mut problems = Problems::default();
-    names(doc, &mut problems);
-    pools(doc, &mut problems);
-    models(doc, &mut problems);
-    kinds(doc, &mut problems);
-    endpoints(doc, &mut problems);
-    roles(doc, &mut problems);
-    teams(doc, &mut problems);
+    check_names(doc, &mut problems);
+    check_pools(doc, &mut problems);
+    check_models(doc, &mut problems);
+    check_kinds(doc, &mut problems);
+    check_endpoints(doc, &mut problems);
+    check_roles(doc, &mut problems);
+    check_teams(doc, &mut problems);
     problems.0
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-fn names(doc: &Document, problems: &mut Problems) {
+fn check_names(doc: &Document, problems: &mut Problems) {
     for kind in crate::resource::ResourceKind::ALL {
         for (name, _) in doc.names(*kind) {
             let ok = !name.is_empty()
@@ -64,7 +64,7 @@
     }
 }
 
-fn pools(doc: &Document, problems: &mut Problems) {
+fn check_pools(doc: &Document, problems: &mut Problems) {
     for (name, pool) in &doc.pools {
         for model in &pool.spec.models {
             problems.expect_exists(&doc.models, model, format!("pools.{name}.models"), "model");
@@ -78,7 +78,7 @@
     }
 }
 
-fn models(doc: &Document, problems: &mut Problems) {
+fn check_models(doc: &Document, problems: &mut Problems) {
     for (name, model) in &doc.models {
         problems.expect_exists(&doc.versions, &model.spec.version, format!("models.{name}.version"), "version");
     }
@@ -90,7 +90,7 @@
     }
 }
 
-fn kinds(doc: &Document, problems: &mut Problems) {
+fn check_kinds(doc: &Document, problems: &mut Problems) {
     for (name, kind) in &doc.kinds {
         let at = |field: &str| format!("kinds.{name}.{field}");
         let spec = &kind.spec;
@@ -105,7 +105,7 @@
     }
 }
 
-fn endpoints(doc: &Document, problems: &mut Problems) {
+fn check_endpoints(doc: &Document, problems: &mut Problems) {
     for (name, endpoint) in &doc.endpoints {
         let spec = &endpoint.spec;
         let at = |field: &str| format!("endpoints.{name}.{field}");
@@ -123,7 +123,7 @@
     }
 }
 
-fn roles(doc: &Document, problems: &mut Problems) {
+fn check_roles(doc: &Document, problems: &mut Problems) {
     for (name, role) in &doc.roles {
         problems.expect_exists(&doc.pools, name, format!("roles.{name}"), "pool");
         for endpoint in role.spec.fixed.keys() {
@@ -137,7 +137,7 @@
     }
 }
 
-fn teams(doc: &Document, problems: &mut Problems) {
+fn check_teams(doc: &Document, problems: &mut Problems) {
     for (name, team) in &doc.teams {
         let ok = team.spec.rate.is_finite() && team.spec.rate > 0.0;
         problems.expect(ok, || format!("teams.{name}.rate"), "requests a second above 0");
