--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! Headers that extend the callers' protocols, and the body of error answers.
+//! Headers that extend the callers' protocols, and the body of error responses.
 
 use dahliaseam_core::outcome::Outcome;
 use serde::{Deserialize, Serialize};
@@ -7,19 +7,19 @@
 pub const KIND: &str = "x-dahliaseam-kind";
 /// Header with the number of milliseconds within which the answer is useful.
 pub const DEADLINE: &str = "x-dahliaseam-deadline-ms";
-/// Header with the name of the team.
+/// Header with the name of the caller's team.
 pub const TEAM: &str = "x-dahliaseam-team";
-/// Header with the key under which a request runs at most once.
+/// Header with the idempotency key, under which a request runs at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Header of each answer with the request's identifier, for `dahliaseam explain`.
+/// Header of each response with the request's identifier, for `dahliaseam explain`.
 pub const REQUEST: &str = "x-dahliaseam-request";
-/// Header of each answer with the outcome of the request; a stream has an event at its end instead.
+/// Header of each response with the outcome of the request. In a stream, its last event reports the outcome instead.
 pub const OUTCOME: &str = "x-dahliaseam-outcome";
 
-/// Body of the answer to a request that failed.
+/// Body of the response to a request that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -17,7 +17,7 @@
 pub const REQUEST: &str = "x-dahliaseam-request";
 /// Header with the attempt's number.
 pub const ATTEMPT: &str = "x-dahliaseam-attempt";
-/// Header by which an endpoint states in a refusal that it ran no part of the request.
+/// Header by which an endpoint that rejects a request states that it ran no part of it.
 pub const NOT_RUN: &str = "x-dahliaseam-not-run";
 /// Path for orders (POST).
 pub const ORDER_PATH: &str = "/control/order";
@@ -37,13 +37,13 @@
     pub attempt: u32,
     /// Priority in the engine's queue; higher goes first.
     pub priority: u8,
-    /// Number of tokens that the caller already has, after which generation resumes.
+    /// Number of output tokens that the caller already has, after which generation resumes.
     #[serde(default)]
     pub resume_at: u32,
-    /// Whether to only process the prompt and keep its KV cache for export.
+    /// Whether to only prefill the prompt and keep its KV cache for export.
     #[serde(default)]
     pub export: bool,
-    /// Where to import the prompt's KV cache from, instead of processing the prompt.
+    /// Where to import the prompt's KV cache from, instead of prefilling the prompt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub import: Option<Import>,
 }
@@ -63,7 +63,7 @@
     /// Identifier of the frame.
     #[serde(flatten)]
     pub id: FrameId,
-    /// Number of tokens in the frame.
+    /// Number of output tokens in the frame.
     pub tokens: u32,
     /// Whether this is the last frame; its `position` is then the length of the whole answer.
     #[serde(default)]
@@ -78,7 +78,7 @@
 pub struct OrderRequest {
     /// The order.
     pub order: Order,
-    /// Unix time in milliseconds after which the engine must refuse the order.
+    /// Unix time in milliseconds after which the engine must reject the order.
     pub not_after_ms: u64,
 }
 
@@ -88,12 +88,12 @@
 pub enum OrderAnswer {
     /// It accepted the order.
     Taken,
-    /// It refused the order, since it has seen a higher fencing number.
+    /// It rejected the order, since it has seen a higher fencing number.
     Fenced {
         /// Highest fencing number that it has seen.
         highest: u64,
     },
-    /// It refused the order for another reason.
+    /// It rejected the order for another reason.
     Refused {
         /// The reason.
         why: String,
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -20,7 +20,7 @@
     pub kind: ResourceKind,
     /// Its name.
     pub name: String,
-    /// Generation at which it last changed; a change that is based on it names this version.
+    /// Generation at which it last changed. A change that states this version is refused if another one came first.
     pub resource_version: u64,
     /// Declared specification.
     pub spec: Value,
@@ -29,7 +29,7 @@
     pub status: Value,
 }
 
-/// A resource as declared in a file.
+/// A resource as declared by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceDeclaration {
@@ -66,7 +66,7 @@
     pub resources: Vec<ResourceDeclaration>,
 }
 
-/// Answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// Generation that the change created.
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum WatchEvent {
-    /// The resource exists, or was created or changed.
+    /// The resource existed when the watch began, or was created or changed since.
     Put {
         /// The resource.
         resource: Resource,
@@ -102,7 +102,7 @@
     },
 }
 
-/// Body of an error answer of this API.
+/// Body of an error response of this API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiError {
     /// Stable identifier: `invalid`, `conflict`, `not_found`, `unauthorized`, `unavailable` or `unknown`.
@@ -122,7 +122,7 @@
 pub struct EndpointStatus {
     /// Its role.
     pub role: Role,
-    /// Whether this daemon sends new work there.
+    /// Whether this daemon sends new requests there.
     pub open: bool,
     /// Why it does not, in plain words.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -151,9 +151,9 @@
     pub hall: String,
     /// Start number of the daemon's run.
     pub start: u64,
-    /// Whether it accepts new work.
+    /// Whether it accepts new requests.
     pub ready: bool,
-    /// Why it does not, or on what basis it does.
+    /// Why it accepts none, or whether its configuration is confirmed if it does; in plain words.
     pub standing: String,
     /// Generation of the configuration in force.
     pub generation: u64,
@@ -165,7 +165,7 @@
     pub held: usize,
     /// Number of waiting requests.
     pub waiting: usize,
-    /// State of the other entry VMs, as this daemon believes it.
+    /// State of the daemons on the other entry VMs, as this daemon believes it.
     pub members: Vec<MemberStatus>,
 }
 
@@ -202,9 +202,9 @@
     pub team: String,
     /// Its pool.
     pub pool: String,
-    /// Estimated number of tokens of its prompt.
+    /// Estimated number of tokens in its prompt.
     pub prompt_tokens: u32,
-    /// Milliseconds within which it was to be answered.
+    /// Deadline, in milliseconds after its arrival.
     pub deadline_ms: u64,
     /// Milliseconds from its arrival to its end; `None` while it is running.
     pub took_ms: Option<u64>,
@@ -227,7 +227,7 @@
     pub sent_ms: u64,
     /// Endpoint that it was sent to.
     pub endpoint: String,
-    /// Endpoint that processed the prompt, if it is another one.
+    /// Endpoint that prefilled the prompt, if it is another one.
     pub prefill: Option<String>,
     /// Why the endpoint was chosen.
     pub reason: Reason,
@@ -235,7 +235,7 @@
     pub predicted_first_ms: f64,
     /// Actual milliseconds until its first token; `None` if there was none.
     pub first_ms: Option<f64>,
-    /// Number of tokens delivered.
+    /// Number of output tokens delivered.
     pub tokens: u32,
     /// How it ended; `None` while it is running.
     pub end: Option<AttemptEnd>,
@@ -248,7 +248,7 @@
 pub struct CandidateRecord {
     /// The endpoint.
     pub endpoint: String,
-    /// Endpoint that would process the prompt, if it is another one.
+    /// Endpoint that would prefill the prompt, if it is another one.
     pub prefill: Option<String>,
     /// Predicted milliseconds until the first token.
     pub first_ms: f64,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons, by JSON-RPC with `jsonrpsee`.
+//! Calls between daemons, by JSON-RPC over HTTP.
 //!
 //! Each call carries the deployment's peer secret in the HTTP `authorization` header.
 
@@ -13,17 +13,17 @@
 
 /// Versions of a daemon's copies of shared state, sent with every probe and answer.
 ///
-/// A daemon fetches the other's configuration if that is newer, and the other's marks if they differ.
+/// A daemon fetches its peer's configuration if that is newer, and its peer's marks if they differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// Generation of its configuration.
     pub generation: u64,
-    /// Milliseconds since that copy was confirmed with the key-value service, by it or through
-    /// others; `u64::MAX` if never.
+    /// Milliseconds since that copy was confirmed with the key-value service, directly or through peers; `u64::MAX` if
+    /// never.
     pub confirmed_ms: u64,
     /// Hash of the marks in force.
     pub marks: u64,
-    /// Milliseconds since its list of VMs was confirmed; `u64::MAX` if never.
+    /// Milliseconds since its VM list was confirmed; `u64::MAX` if never.
     pub list_ms: u64,
 }
 
@@ -37,7 +37,7 @@
     pub updates: Vec<Update>,
     /// Versions of the sender's copies.
     pub digest: Digest,
-    /// VMs of configured endpoints that are leaving or gone according to the sender's list.
+    /// VMs of configured endpoints that are leaving or gone according to the sender's VM list.
     pub closed_vms: Vec<String>,
     /// Recent loads of endpoints, as seen or caused by the sender.
     pub loads: Vec<EndpointLoad>,
@@ -55,7 +55,7 @@
     pub updates: Vec<Update>,
     /// Versions of its copies.
     pub digest: Digest,
-    /// VMs of configured endpoints that are leaving or gone according to its list.
+    /// VMs of configured endpoints that are leaving or gone according to its VM list.
     pub closed_vms: Vec<String>,
     /// Recent loads of endpoints, as seen or caused by it.
     pub loads: Vec<EndpointLoad>,
@@ -71,13 +71,13 @@
     pub endpoint: u64,
     /// Age of the load in milliseconds.
     pub age_ms: u64,
-    /// Prompt tokens queued for prefill.
+    /// Number of prompt tokens queued for prefill.
     pub queued_prefill: u32,
-    /// Sequences being generated.
+    /// Number of sequences being decoded.
     pub running: u32,
-    /// Requests that wait for a slot in the batch.
+    /// Number of requests that wait for a slot in the batch.
     pub waiting: u32,
-    /// Prompt tokens sent by the sender itself whose request has had no token yet.
+    /// Prompt tokens of the sender's own requests that have had no output token yet.
     pub own_prefill: u32,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Marks of one shard, set by its holder: which endpoints get no new work.
+/// Marks of one shard, set by its holder: which endpoints get no new requests, and the roles of endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Marks {
     /// Name of the shard.
@@ -104,7 +104,7 @@
     pub epoch: u64,
     /// Grows with each change under one fencing number.
     pub sequence: u64,
-    /// Names of the endpoints that get no new work.
+    /// Names of the endpoints that get no new requests.
     pub leaving: Vec<String>,
     /// Roles of endpoints as last seen by the holder.
     pub roles: Vec<(String, dahliaseam_core::endpoint::Role)>,
@@ -115,7 +115,7 @@
 pub struct MarksAnswer {
     /// Whether the marks are in force at this daemon.
     pub taken: bool,
-    /// Per endpoint, numbers of this daemon's requests in flight: protected ones, and others.
+    /// This daemon's requests in flight, as name of the endpoint, number of protected ones and number of others.
     pub in_flight: Vec<(String, usize, usize)>,
 }
 
@@ -144,7 +144,7 @@
     #[method(name = "probe")]
     async fn probe(&self, probe: Probe) -> RpcResult<ProbeAnswer>;
 
-    /// Probes another daemon on the sender's behalf; returns its start number and refutation count if it answered.
+    /// Probes another daemon on the calling peer's behalf; returns its start number and refutation count if it answers.
     #[method(name = "probe_via")]
     async fn probe_via(&self, target: Contact) -> RpcResult<Option<(u64, u32)>>;
 
--- a/crates/wire/src/resource.rs
+++ b/crates/wire/src/resource.rs
@@ -67,7 +67,7 @@
 pub struct AdapterSpec {
     /// The adapted model.
     pub model: String,
-    /// Its name in the weight store.
+    /// Name of its weights in the weight store.
     pub artifact: String,
 }
 
@@ -77,11 +77,11 @@
 pub struct VersionSpec {
     /// The model.
     pub model: String,
-    /// Its name in the weight store.
+    /// Name of its weights in the weight store.
     pub artifact: String,
 }
 
-/// How engine roles are assigned in one pool; has the same name as the pool.
+/// How engine roles are assigned in one pool; the resource has the name of the pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoleSpec {
@@ -99,7 +99,7 @@
 pub struct KindSpec {
     /// Priority from 0 to 15; higher goes first, and 8 or more is urgent.
     pub priority: u8,
-    /// Value of one whole answer in time.
+    /// Value of one complete answer that arrives before the deadline.
     pub weight: f64,
     /// Milliseconds within which an answer is useful.
     pub deadline_ms: u64,
@@ -121,7 +121,7 @@
 }
 
 impl KindSpec {
-    /// The properties that affect decisions.
+    /// The properties that decisions about its requests depend on.
     #[must_use]
     pub const fn traits(&self) -> KindTraits {
         KindTraits {
@@ -151,7 +151,7 @@
     /// Whether it rejects orders with an old fencing number.
     #[serde(default)]
     pub fencing: Fencing,
-    /// Whether operators want it to get no new work.
+    /// Whether operators want it to get no new requests.
     #[serde(default)]
     pub drained: bool,
     /// Adapters and versions of models that it is to have loaded.
@@ -163,7 +163,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSpec {
-    /// Limit on requests per second over the whole deployment.
+    /// Maximum number of requests per second in the whole deployment.
     pub rate: f64,
 }
 
