--- a/crates/border/src/dialect.rs
+++ b/crates/border/src/dialect.rs
@@ -1,7 +1,7 @@
 //! Conversion between a platform's formats and dahliaseam's types.
 //!
-//! Each platform has its own header names, paths and documents for callers, endpoints and the stored configuration.
-//! A [`Dialect`] decodes and encodes them, and makes no decisions.
+//! Each platform has its own header names and paths for callers and endpoints, and its own documents for the stored
+//! configuration. A [`Dialect`] decodes and encodes them, and makes no decisions.
 
 use std::{fmt::Debug, net::SocketAddr, sync::Arc};
 
@@ -23,9 +23,9 @@
 /// Data from the head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Its identifier, which must be repeated in the answer.
+    /// Its identifier, which must be repeated in the response.
     pub id: String,
-    /// How long the caller waits for the answer, if it states that.
+    /// How long the caller waits for the answer, if it states a limit.
     pub timeout: Option<Span>,
     /// The prompt, if the head describes one.
     pub prompt: Option<Prompt>,
@@ -40,12 +40,12 @@
 pub enum Task {
     /// Serve it completely.
     Serve {
-        /// An endpoint from which to copy the KV cache of the prompt, since it holds more of it.
+        /// An endpoint that holds the KV cache of a longer part of the prompt, from which to copy it.
         copy_from: Option<SocketAddr>,
     },
     /// Only prefill the prompt and keep its KV cache.
     Prefill {
-        /// An endpoint from which to copy the KV cache of the prompt, since it holds more of it.
+        /// An endpoint that holds the KV cache of a longer part of the prompt, from which to copy it.
         copy_from: Option<SocketAddr>,
     },
     /// Generate the answer from the KV cache of a prompt that another endpoint has prefilled.
@@ -57,7 +57,7 @@
     },
 }
 
-/// Data of a request that is forwarded to one endpoint.
+/// Everything from which a request to one endpoint is built.
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
     /// Head of the caller's request.
@@ -70,7 +70,7 @@
     pub time_left: Span,
     /// Priority at the replica; 0 is the most urgent.
     pub priority: u8,
-    /// What the endpoint is to do.
+    /// What the endpoint is to do with the request.
     pub task: &'a Task,
     /// Identifier of the last event that the caller has received, if the answer is to resume after it.
     pub last_event: Option<&'a str>,
@@ -78,7 +78,7 @@
     pub identity: &'a Identity,
 }
 
-/// Whether an endpoint ran a request that it answered.
+/// Whether an endpoint ran a request, according to its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunStatus {
     /// It ran the request, or did not state otherwise.
@@ -89,14 +89,14 @@
     OtherReplica,
 }
 
-/// Data from the head of an endpoint's answer.
+/// Data from the head of an endpoint's response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseHead {
-    /// Identifier of the request that it answers.
+    /// Identifier of the request that it responds to.
     pub request_id: Option<String>,
     /// Whether the endpoint ran the request.
     pub run: RunStatus,
-    /// Whether it carries the endpoint's seal, its proof of a complete answer.
+    /// Whether it carries the endpoint's seal, which proves that the answer is complete.
     pub sealed: bool,
     /// Requests per second that the endpoint accepts from all daemons combined, or `None` if it states no limit.
     pub rate_limit: Option<f64>,
@@ -124,11 +124,11 @@
     pub holder: String,
     /// Fencing number of that daemon.
     pub fence: u64,
-    /// Number of orders that the engine must have accepted before; it refuses this one if the number differs.
+    /// Number of orders that the engine must have accepted before; it rejects this one if the number differs.
     pub expected_orders: u64,
 }
 
-/// The daemon in whose name a duty is carried out that only one daemon may have at a time.
+/// The daemon that carries out the duties which only one daemon may have at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
     /// Name of the daemon.
@@ -144,13 +144,13 @@
     pub service: String,
     /// Name of the hall.
     pub hall: String,
-    /// Whether it concerns the engines that the platform may reclaim at any time, rather than the others.
+    /// Whether it is about the engines that the platform may reclaim at any time; otherwise it is about the others.
     pub reclaimable: bool,
     /// Desired number of engines.
     pub desired: u32,
 }
 
-/// The platform's answer to a duty call.
+/// The platform's answer to a call that only the leader may make (a duty call).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyAnswer {
     /// The call was accepted.
@@ -184,7 +184,7 @@
     Conflict,
     /// The engine has seen a higher fencing number.
     Fenced,
-    /// The order cannot be carried out.
+    /// The engine cannot carry out the order.
     Refused,
     /// Another replica listens at the address.
     OtherReplica,
@@ -193,7 +193,7 @@
 /// State reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Unix time of its start in milliseconds, if it states that.
+    /// Unix time of its start in milliseconds, if it reports that.
     pub start_time_ms: Option<u64>,
     /// Current role.
     pub role: Role,
@@ -201,9 +201,9 @@
     pub changing: bool,
     /// Number of orders that it has accepted.
     pub orders: u64,
-    /// Number of waiting requests.
+    /// Number of requests that wait at the engine.
     pub waiting: u32,
-    /// Number of running requests.
+    /// Number of requests that run at the engine.
     pub running: u32,
 }
 
@@ -242,10 +242,10 @@
     /// Returns an error if a part of the head cannot be encoded.
     fn forward(&self, forward: &Forward<'_>) -> Result<Request<Full<Bytes>>, FormatError>;
 
-    /// Decodes the head of an endpoint's answer.
+    /// Decodes the head of an endpoint's response.
     fn decode_response_head(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Decodes the body of the answer to [`Task::Prefill`].
+    /// Decodes the body of the response to [`Task::Prefill`].
     ///
     /// # Errors
     /// Names the field that is missing or invalid.
@@ -263,7 +263,7 @@
     /// Returns an error if the call cannot be encoded.
     fn order_role(&self, replica: &ReplicaFacts, order: &RoleOrder) -> Result<Request<Full<Bytes>>, FormatError>;
 
-    /// Interprets the status of the answer to an order; `None` for statuses without a defined meaning.
+    /// Interprets the status of the response to an order; `None` for statuses without a defined meaning.
     fn order_answer(&self, status: u16) -> Option<OrderAnswer>;
 
     /// Builds the call that asks an engine for its state.
@@ -300,7 +300,7 @@
         order: &SizeOrder,
     ) -> Result<Request<Full<Bytes>>, FormatError>;
 
-    /// Interprets the status of the answer to a duty call.
+    /// Interprets the status of the response to a duty call.
     fn duty_answer(&self, status: u16) -> DutyAnswer;
 
     /// Decodes an engine's report.
--- a/crates/border/src/error.rs
+++ b/crates/border/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the interfaces to the platform.
+//! Errors of the interfaces to external services.
 
 use quick_error::quick_error;
 
@@ -6,7 +6,7 @@
     /// Why a call failed. The variants differ in whether the call may have taken effect.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum CallError {
-        /// No connection was established, so nothing of the call was sent.
+        /// No connection was established or the call could not be encoded, so nothing of it was sent.
         NotSent(why: String) {
             display("not sent: {}", why)
         }
@@ -14,7 +14,7 @@
         Lost(why: String) {
             display("no answer, may have taken effect: {}", why)
         }
-        /// The other side answered with an error, and the call had no effect.
+        /// The service answered with an error, and the call had no effect.
         Refused(status: u16, body: String) {
             display("refused with status {}: {}", status, body)
         }
--- a/crates/border/src/etcd.rs
+++ b/crates/border/src/etcd.rs
@@ -24,7 +24,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without data after which a watch counts as broken.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Maximum size of one watch message.
+/// Maximum size of one message of a watch.
 const MAX_WATCH_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Client of the service at one address.
@@ -159,7 +159,7 @@
     json!({ "request_range": { "key": BASE64.encode(&swap.key) } })
 }
 
-/// The first key after all keys that begin with `prefix`.
+/// Returns the first key after all keys that begin with `prefix`.
 fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -209,7 +209,7 @@
             .map(|txn| swap_result(txn, revision))
             .collect::<Result<_, _>>()?;
         if results.len() != swaps.len() {
-            return Err(CallError::Lost("an answer of another length".to_owned()));
+            return Err(CallError::Lost("the number of results differs from that of the swaps".to_owned()));
         }
         Ok(results)
     }
@@ -226,7 +226,7 @@
     async fn grant(&self, ttl_seconds: u64) -> Result<LeaseId, CallError> {
         let body = json!({ "TTL": ttl_seconds.to_string() });
         let answer: GrantAnswer = self.call("lease/grant", &body).await?;
-        let id = answer.id.parse().map_err(|_| CallError::Lost("an unreadable lease".to_owned()))?;
+        let id = answer.id.parse().map_err(|_| CallError::Lost("the lease identifier is not a number".to_owned()))?;
         Ok(LeaseId(id))
     }
 
@@ -273,7 +273,7 @@
             }
             let frame = tokio::time::timeout(WATCH_IDLE_TIMEOUT, self.body.frame())
                 .await
-                .map_err(|_| CallError::Lost("the watch is silent".to_owned()))?;
+                .map_err(|_| CallError::Lost("no data from the watch in time".to_owned()))?;
             let Some(frame) = frame else { return Ok(None) };
             let frame = frame.map_err(|e| CallError::Lost(e.to_string()))?;
             if let Ok(data) = frame.into_data() {
--- a/crates/border/src/feed.rs
+++ b/crates/border/src/feed.rs
@@ -1,4 +1,4 @@
-//! Ordered change feed of a key-value service, for clients that keep a local copy of many keys.
+//! Ordered changes of a key-value service, for clients that keep a local copy of many keys.
 
 use std::fmt::Debug;
 
@@ -12,7 +12,7 @@
 pub struct Snapshot {
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Revision from which the changes can be followed without missing any.
+    /// Revision from which to follow the changes, so that none is missed.
     pub revision: i64,
 }
 
@@ -49,14 +49,14 @@
 pub trait ChangeFeed: Debug + Send + Sync {
     /// Reads all keys that begin with `prefix`.
     ///
-    /// With `allow_stale`, the read costs less, but its result may be some seconds old, so the changes since must
-    /// be followed. Otherwise the result is no older than the call.
+    /// With `allow_stale`, the read costs less, but its result may be some seconds old, so the changes after its
+    /// revision must be read too. Otherwise the result is no older than the call.
     ///
     /// # Errors
     /// Returns an error if no valid answer arrives.
     async fn snapshot(&self, prefix: &str, allow_stale: bool) -> Result<Snapshot, CallError>;
 
-    /// Checks at the lowest cost whether the service answers.
+    /// Makes the cheapest call that shows whether the service answers.
     ///
     /// # Errors
     /// Returns an error if no valid answer arrives.
--- a/crates/border/src/http.rs
+++ b/crates/border/src/http.rs
@@ -15,13 +15,13 @@
 
 pub use hyper::body::Incoming;
 
-/// Maximum size of the body of an answer.
+/// Maximum size of the body of a response.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 /// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a connection is closed if sent data has not been acknowledged by the other side's kernel.
 ///
-/// It bounds how long data of a terminated process can still arrive.
+/// It bounds how long data that a process sent before it terminated can still arrive.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -62,7 +62,7 @@
         Self { inner }
     }
 
-    /// Sends a request and returns once the head of the answer has arrived; the body is still to be read.
+    /// Sends a request and returns the response once its head has arrived; the body is still to be read.
     ///
     /// # Errors
     /// [`CallError::NotSent`] if no connection was established, otherwise [`CallError::Lost`].
@@ -72,10 +72,10 @@
         })
     }
 
-    /// Sends a request and reads the complete answer, within `timeout`.
+    /// Sends a request and reads the complete response, within `timeout`.
     ///
     /// # Errors
-    /// As [`HttpClient::send`]; an answer that arrives late or is too large counts as [`CallError::Lost`].
+    /// As [`HttpClient::send`]; a response that arrives late or is too large counts as [`CallError::Lost`].
     pub async fn fetch(&self, req: Request<Full<Bytes>>, timeout: Duration) -> Result<(StatusCode, Bytes), CallError> {
         let answer = async {
             let resp = self.send(req).await?;
@@ -91,11 +91,11 @@
             .unwrap_or_else(|_| Err(CallError::Lost("no answer in time".to_owned())))
     }
 
-    /// Posts a JSON value and parses the JSON answer.
+    /// Posts a JSON value and parses the JSON response.
     ///
     /// # Errors
-    /// As [`HttpClient::fetch`]. An answer with an error status is [`CallError::Refused`], except that server errors
-    /// other than 503 are [`CallError::Lost`], as is an answer that cannot be parsed.
+    /// As [`HttpClient::fetch`]. A response with an error status is [`CallError::Refused`], except that server errors
+    /// other than 503 are [`CallError::Lost`], as is a response that cannot be parsed.
     pub async fn post<A: Serialize, B: DeserializeOwned>(
         &self,
         url: &str,
@@ -110,7 +110,7 @@
         parse_response(self.fetch(req, timeout).await?)
     }
 
-    /// Sends a GET request and parses the JSON answer.
+    /// Sends a GET request and parses the JSON response.
     ///
     /// # Errors
     /// As [`HttpClient::post`].
--- a/crates/border/src/kv.rs
+++ b/crates/border/src/kv.rs
@@ -31,16 +31,16 @@
     pub expected_revision: i64,
     /// New value; `None` to delete the key.
     pub value: Option<String>,
-    /// Lease that the key is attached to; the key is deleted when the lease ends.
+    /// Lease to attach the key to, if any; the key is deleted when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// Result of one compare-and-swap.
+/// Result of a compare-and-swap operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Swapped {
     /// The operation took effect at this revision.
     Done(i64),
-    /// The key had another revision, so nothing changed; contains the present entry, if any.
+    /// The key had another revision, so nothing changed; contains the present entry, if the key exists.
     Differs(Option<Entry>),
 }
 
@@ -91,7 +91,7 @@
     /// Returns an error if no valid answer arrives.
     async fn grant(&self, ttl_seconds: u64) -> Result<LeaseId, CallError>;
 
-    /// Renews a lease; returns whether it still existed.
+    /// Renews a lease; returns whether it still exists.
     ///
     /// # Errors
     /// Returns an error if no valid answer arrives.
--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,10 +1,11 @@
-//! Interfaces to external services, each of them a trait.
+//! Interfaces to external services, each with a trait.
 //!
 //! - [`kv`]: the key-value service; [`etcd`] implements it over the JSON gateway of etcd's v3 protocol.
 //! - [`feed`]: a key-value service whose changes can be followed.
-//! - [`vms`]: the platform's list of VMs.
+//! - [`vms`]: the platform's VM list.
 //! - [`dialect`]: the formats of a platform for callers, endpoints and the stored configuration.
-//! - [`http`]: the HTTP client of all calls except those of [`once`], of which nothing may arrive after their timeout.
+//! - [`once`]: HTTP calls of which no data may arrive after their timeout.
+//! - [`http`]: the HTTP client of all other calls.
 
 pub mod dialect;
 pub mod error;
--- a/crates/border/src/once.rs
+++ b/crates/border/src/once.rs
@@ -1,4 +1,4 @@
-//! Calls of which nothing arrives after they have ended.
+//! HTTP calls of which no data arrives after they have ended.
 //!
 //! A call that merely timed out may still be in send buffers and arrive once a broken link works again, when another
 //! daemon may already have the right to make such calls. Each call here therefore uses its own connection, which is
@@ -16,7 +16,7 @@
 
 use crate::error::CallError;
 
-/// Maximum size of the body of an answer.
+/// Maximum size of the body of a response.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// Makes one call within `timeout`.
--- a/crates/border/src/vms.rs
+++ b/crates/border/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind their actual state.
+//! The platform's VM list, which lags behind the actual state of the VMs.
 
 use std::{fmt::Debug, time::Duration};
 
@@ -20,7 +20,7 @@
     pub vm: String,
     /// Hall of the VM.
     pub hall: String,
-    /// Peer address of an entry VM as `IP:port`.
+    /// Address of an entry VM for other daemons, as `IP:port`.
     #[serde(default)]
     pub address: String,
     /// Purpose of the VM.
