--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file cannot be used.
+//! Errors of settings files.
 
 use std::{io, path::PathBuf};
 
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,6 @@
 //! Settings of a daemon that serves by routes: one JSON object, checked before anything starts.
+//!
+//! Such a daemon reads the routes and the replicas from the platform's key-value service, called the store.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -31,12 +33,12 @@
     pub peer_address: SocketAddr,
     /// UDP address for messages from other daemons, such as load reports.
     pub load_address: SocketAddr,
-    /// Address of the metrics.
+    /// Address at which the metrics are served.
     pub metrics_address: SocketAddr,
-    /// Peer addresses of a few daemons; may be outdated.
+    /// Peer addresses of a few daemons, of which one is asked for a first snapshot; may be outdated.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Address of the platform's key-value store.
+    /// Address of the store.
     pub store_address: SocketAddr,
     /// Prefix of the daemons' own keys in the store.
     pub keyspace: String,
@@ -44,17 +46,17 @@
     pub max_files: u32,
     /// Bandwidth of the VM's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Limits on the retries of all daemons together.
+    /// Retry budget of all daemons together.
     pub retries: RetrySettings,
     /// Time limits of the daemon's own work.
     pub timing: GatewayTiming,
-    /// How soon changes to callers' keys must take effect; absent if there is no such limit.
+    /// Limits on how soon changes to callers' keys must take effect; absent if there are none.
     #[serde(default)]
     pub keys: Option<KeySettings>,
     /// By how much teams may exceed their quotas.
     #[serde(default)]
     pub quotas: QuotaSettings,
-    /// Duties that the platform accepts from one daemon at a time; absent if there are none.
+    /// Calls to the platform that only one daemon may make at a time (duties); absent if there are none.
     #[serde(default)]
     pub duties: Option<DutySettings>,
     /// Parameters of the routing policy.
@@ -65,40 +67,40 @@
     pub log: LogSettings,
 }
 
-/// Limits on the retries of all daemons together at one service.
+/// Retry budget of all daemons together for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Retries for each new request.
+    /// Number of retries allowed per new request.
     pub ratio: f64,
-    /// Additional retries in each window.
+    /// Number of additional retries allowed in each window.
     pub slack: f64,
     /// Length of a window in seconds.
     pub window_s: f64,
 }
 
 impl RetrySettings {
-    /// Terms of the retry budget.
+    /// Converts the settings to the terms of the retry budget.
     #[must_use]
     pub fn terms(&self) -> RetryBudgetTerms {
         RetryBudgetTerms { ratio: self.ratio, slack: self.slack, window: Span::seconds(self.window_s) }
     }
 }
 
-/// How soon changes to callers' keys must take effect.
+/// Limits on how soon changes to callers' keys must take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// Whether a withdrawn key must be rejected in time on every VM, even on one that is cut off.
+    /// Whether withdrawn keys must be refused in time on every VM, even on one that is cut off from the store.
     pub strict: bool,
-    /// Milliseconds after its withdrawal from which a key must be rejected.
+    /// Milliseconds after its withdrawal from which a key must be refused.
     pub withdrawn_ms: u64,
     /// Milliseconds after its addition from which a key must be known.
     pub added_ms: u64,
 }
 
 impl KeySettings {
-    /// Time after its withdrawal from which a key must be rejected.
+    /// Time after its withdrawal from which a key must be refused.
     #[must_use]
     pub const fn withdrawal_limit(&self) -> Span {
         Span::millis(self.withdrawn_ms)
@@ -117,9 +119,9 @@
 pub struct QuotaSettings {
     /// Length in seconds of the windows in which usage is counted.
     pub window_s: f64,
-    /// Share of the quota by which usage in a window may exceed it.
+    /// Share of its quota by which a team's usage in a window may exceed the quota.
     pub over: f64,
-    /// Further units by which usage in a window may exceed it.
+    /// Number of units by which the usage may exceed the quota in addition to that share.
     pub slack: f64,
 }
 
@@ -137,17 +139,17 @@
     }
 }
 
-/// Duties that the platform accepts from one daemon at a time.
+/// Calls to the platform that only one daemon may make at a time (duties).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// Address at which the platform accepts the calls.
+    /// Address at which the platform accepts these calls.
     pub address: SocketAddr,
     /// Names of the required duties; unknown names are ignored.
     pub asked: Vec<String>,
-    /// Length in seconds of a window of the usage reports.
+    /// Length in seconds of the windows of usage, one for each usage report.
     pub usage_window_s: f64,
-    /// Seconds after the end of a window within which its report must arrive.
+    /// Seconds after the end of a window within which its usage report must arrive.
     pub usage_late_s: f64,
 }
 
@@ -166,7 +168,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayTiming {
-    /// Milliseconds after the end of a store disturbance within which this daemon must follow the store again.
+    /// Milliseconds after the store has recovered from a fault within which this daemon must follow its changes again.
     pub contact_ms: u64,
     /// Seconds after the stop signal within which the process must exit.
     pub stop_s: f64,
@@ -174,7 +176,7 @@
     pub order_lease_ms: u64,
 }
 
-/// Number of open files reserved for purposes other than connections.
+/// Number of open files reserved for purposes other than connections of callers and to endpoints.
 const RESERVED_FILES: u32 = 256;
 
 impl GatewaySettings {
@@ -193,28 +195,28 @@
     /// # Errors
     /// Returns the first invalid field and what is expected there.
     pub fn check(&self) -> Result<(), SettingsError> {
-        expect(!self.vm.is_empty(), "vm", "the VM's name")?;
-        expect(!self.hall.is_empty(), "hall", "the hall's name")?;
+        expect(!self.vm.is_empty(), "vm", "the name of the VM")?;
+        expect(!self.hall.is_empty(), "hall", "the name of the hall")?;
         expect(self.keyspace.ends_with('/'), "keyspace", "a prefix that ends with '/'")?;
-        expect(self.max_files > 2 * RESERVED_FILES, "max_files", "512 at least")?;
+        expect(self.max_files > 2 * RESERVED_FILES, "max_files", "a number above 512")?;
         expect(self.link_mbps > 0.0, "link_mbps", "a number above 0")?;
-        expect(self.retries.ratio >= 0.0, "retries.ratio", "0 at least")?;
-        expect(self.retries.slack >= 0.0, "retries.slack", "0 at least")?;
+        expect(self.retries.ratio >= 0.0, "retries.ratio", "at least 0")?;
+        expect(self.retries.slack >= 0.0, "retries.slack", "at least 0")?;
         expect(self.retries.window_s > 0.0, "retries.window_s", "a number above 0")?;
-        expect(self.timing.contact_ms >= 500, "timing.contact_ms", "500 at least")?;
-        expect(self.timing.stop_s >= 1.0, "timing.stop_s", "1 at least")?;
+        expect(self.timing.contact_ms >= 500, "timing.contact_ms", "at least 500")?;
+        expect(self.timing.stop_s >= 1.0, "timing.stop_s", "at least 1")?;
         if let Some(duties) = &self.duties {
-            expect(duties.usage_window_s >= 1.0, "duties.usage_window_s", "1 at least")?;
-            expect(duties.usage_late_s >= 1.0, "duties.usage_late_s", "1 at least")?;
+            expect(duties.usage_window_s >= 1.0, "duties.usage_window_s", "at least 1")?;
+            expect(duties.usage_late_s >= 1.0, "duties.usage_late_s", "at least 1")?;
         }
         if let Some(keys) = &self.keys {
-            expect(keys.withdrawn_ms >= 1_000, "keys.withdrawn_ms", "1000 at least")?;
-            expect(keys.added_ms >= 500, "keys.added_ms", "500 at least")?;
+            expect(keys.withdrawn_ms >= 1_000, "keys.withdrawn_ms", "at least 1000")?;
+            expect(keys.added_ms >= 500, "keys.added_ms", "at least 500")?;
         }
-        expect(self.quotas.window_s >= 1.0, "quotas.window_s", "1 at least")?;
-        expect(self.quotas.over >= 0.0, "quotas.over", "0 at least")?;
-        expect(self.quotas.slack >= 0.0, "quotas.slack", "0 at least")?;
-        expect(self.timing.order_lease_ms >= 1_000, "timing.order_lease_ms", "1000 at least")
+        expect(self.quotas.window_s >= 1.0, "quotas.window_s", "at least 1")?;
+        expect(self.quotas.over >= 0.0, "quotas.over", "at least 0")?;
+        expect(self.quotas.slack >= 0.0, "quotas.slack", "at least 0")?;
+        expect(self.timing.order_lease_ms >= 1_000, "timing.order_lease_ms", "at least 1000")
     }
 
     /// Maximum number of concurrent connections from callers: half of the files that are not reserved, since the
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of a daemon: one JSON object, checked before anything starts.
+//! Settings of a daemon that serves the endpoints declared by operators: one JSON object, checked before anything
+//! starts.
 //!
 //! Durations are given in milliseconds, and are converted to deadlines where they are used.
 
@@ -42,7 +43,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the VM in the platform's list.
+    /// Name of the VM in the VM list.
     pub vm: String,
     /// Hall of the VM.
     pub hall: String,
@@ -57,7 +58,7 @@
     pub peer_advertise: Option<String>,
     /// Address of the key-value service, as `IP:port`.
     pub kv_address: String,
-    /// Address of the platform's list of VMs, as `IP:port`.
+    /// Address of the platform's VM list, as `IP:port`.
     pub vm_list_address: String,
     /// Prefix of this deployment's keys in the key-value service.
     pub keyspace: String,
@@ -65,7 +66,7 @@
     pub peer_secret: Secret,
     /// Token by which operators authenticate; at least 16 bytes.
     pub operator_token: Secret,
-    /// Kind of requests that name none; if absent, such requests are refused.
+    /// Kind of the requests whose caller names none; if absent, such requests are refused.
     #[serde(default)]
     pub default_kind: Option<String>,
     /// Limits on callers' requests and connections.
@@ -122,21 +123,21 @@
     pub probe_ms: u64,
     /// Timeout of a call to another daemon.
     pub peer_call_ms: u64,
-    /// Time that a daemon suspected of having failed has to refute it.
+    /// Time within which a daemon that is suspected of having failed can refute the suspicion.
     pub suspicion_ms: u64,
-    /// Interval between reads of the list of VMs.
+    /// Interval between reads of the VM list.
     pub list_ms: u64,
-    /// Maximum time by which the list of VMs lags behind the actual state.
+    /// Maximum time by which the VM list lags behind the actual state of the VMs.
     pub list_lag_ms: u64,
     /// Interval between queries of an endpoint's load.
     pub observe_ms: u64,
-    /// Time without confirmation after which the configuration or the list of VMs counts as outdated.
+    /// Time without confirmation after which the configuration or the VM list counts as outdated.
     pub confirm_ms: u64,
     /// Duration of a shard's lease, rounded down to whole seconds.
     pub lease_ms: u64,
     /// Interval between rounds of the control loop.
     pub control_ms: u64,
-    /// Time for which new work is still accepted after a planned stop has begun, until the load balancer has noticed.
+    /// Time for which new requests are accepted after a planned stop has begun, until the load balancer has noticed.
     pub stop_grace_ms: u64,
     /// Minimum time for which an idempotency key is remembered.
     pub claim_ms: u64,
@@ -174,8 +175,8 @@
     pub retry_ratio: f64,
     /// Factor applied to the predicted response time before it is compared with the deadline.
     pub refuse_margin: f64,
-    /// Milliseconds without a token after which an attempt counts as stalled, or three times the predicted time to the
-    /// first token if that is longer.
+    /// Milliseconds without an output token after which an attempt counts as stalled, or three times the predicted time
+    /// to the first token if that is longer.
     pub stall_ms: u64,
 }
 
@@ -214,7 +215,7 @@
 pub struct LogSettings {
     /// Format of the lines.
     pub format: LogFormat,
-    /// Filter of the lines, in the syntax of `tracing`'s environment filter.
+    /// Filter that selects the lines, in the syntax of `tracing`'s environment filter.
     pub filter: String,
 }
 
@@ -234,7 +235,7 @@
     Text,
 }
 
-/// Minimum length of a secret.
+/// Minimum length of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
 impl Settings {
@@ -255,23 +256,23 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_addresses()?;
         let long_enough = |secret: &Secret| secret.len() >= MIN_SECRET_BYTES;
-        expect(long_enough(&self.peer_secret), "peer_secret", "16 bytes at least")?;
-        expect(long_enough(&self.operator_token), "operator_token", "16 bytes at least")?;
-        expect(!self.vm.is_empty(), "vm", "the VM's name")?;
-        expect(!self.hall.is_empty(), "hall", "the hall's name")?;
+        expect(long_enough(&self.peer_secret), "peer_secret", "at least 16 bytes")?;
+        expect(long_enough(&self.operator_token), "operator_token", "at least 16 bytes")?;
+        expect(!self.vm.is_empty(), "vm", "the name of the VM")?;
+        expect(!self.hall.is_empty(), "hall", "the name of the hall")?;
         expect(self.keyspace.ends_with('/'), "keyspace", "a prefix that ends with '/'")?;
         let timing = &self.timing;
-        expect(timing.lease_ms >= 2_000, "timing.lease_ms", "2000 at least")?;
-        expect(timing.probe_ms >= 10, "timing.probe_ms", "10 at least")?;
-        expect(timing.control_ms >= 10, "timing.control_ms", "10 at least")?;
-        expect(timing.observe_ms >= 10, "timing.observe_ms", "10 at least")?;
-        expect(timing.list_ms >= 10, "timing.list_ms", "10 at least")?;
+        expect(timing.lease_ms >= 2_000, "timing.lease_ms", "at least 2000")?;
+        expect(timing.probe_ms >= 10, "timing.probe_ms", "at least 10")?;
+        expect(timing.control_ms >= 10, "timing.control_ms", "at least 10")?;
+        expect(timing.observe_ms >= 10, "timing.observe_ms", "at least 10")?;
+        expect(timing.list_ms >= 10, "timing.list_ms", "at least 10")?;
         let confirm_ok = timing.confirm_ms >= 2 * timing.probe_ms;
-        expect(confirm_ok, "timing.confirm_ms", "twice timing.probe_ms at least")?;
-        expect(self.limits.connections > 0, "limits.connections", "1 at least")?;
-        expect(self.limits.header_bytes >= 8_192, "limits.header_bytes", "8192 at least")?;
+        expect(confirm_ok, "timing.confirm_ms", "at least twice timing.probe_ms")?;
+        expect(self.limits.connections > 0, "limits.connections", "at least 1")?;
+        expect(self.limits.header_bytes >= 8_192, "limits.header_bytes", "at least 8192")?;
         expect(self.loads_per_minute > 0.0, "loads_per_minute", "a number above 0")?;
-        expect(self.policy.attempts > 0, "policy.attempts", "1 at least")?;
+        expect(self.policy.attempts > 0, "policy.attempts", "at least 1")?;
         expect(self.policy.refuse_margin > 0.0, "policy.refuse_margin", "a number above 0")
     }
 
@@ -292,7 +293,7 @@
         addresses.extend(self.peer_advertise.iter().map(|a| ("peer_advertise", a)));
         for (field, address) in addresses {
             let ok = address.parse::<SocketAddr>().is_ok();
-            expect(ok, field, "an IP number and a port, as in 10.0.0.1:8000")?;
+            expect(ok, field, "an IP address and a port, as in 10.0.0.1:8000")?;
         }
         Ok(())
     }
