--- a/crates/cli/src/bin/dahliaseam/app.rs
+++ b/crates/cli/src/bin/dahliaseam/app.rs
@@ -76,7 +76,7 @@
         let (kind, name) = (kind(), name());
         construct!(Command::Edit { set, kind, name })
             .to_options()
-            .descr("Set fields of one resource; fails with a conflict if it is changed at the same time")
+            .descr("Set fields of one resource; fails with a conflict if somebody else changes it at the same time")
             .command("edit")
     };
     let delete = {
@@ -94,7 +94,7 @@
     };
     let explain = {
         let log = long("log")
-            .help("Search the logs in FILE, or standard input if it is -, instead of asking a daemon")
+            .help("Search the logs in FILE (- for standard input) instead of asking a daemon")
             .argument::<PathBuf>("FILE")
             .optional();
         let request = positional::<String>("REQUEST")
@@ -105,10 +105,10 @@
             .command("explain")
     };
     let streams = {
-        let log = long("log").help("Read the logs in FILE, or standard input if it is -").argument::<PathBuf>("FILE");
+        let log = long("log").help("Read the logs in FILE (- for standard input)").argument::<PathBuf>("FILE");
         construct!(Command::Streams { log })
             .to_options()
-            .descr("Show how streams ended and at what pace, by replica")
+            .descr("Show how streams ended and how fast they were, by replica")
             .command("streams")
     };
     let drain = {
@@ -118,7 +118,7 @@
         let endpoint = positional::<String>("ENDPOINT").help("Name of the endpoint");
         construct!(Command::Drain { undo, wait_seconds, endpoint })
             .to_options()
-            .descr("Take an endpoint out of service and wait until it is empty")
+            .descr("Take an endpoint out of service and wait until no request runs there")
             .command("drain")
     };
     let check = {
--- a/crates/cli/src/bin/dahliaseam/main.rs
+++ b/crates/cli/src/bin/dahliaseam/main.rs
@@ -1,4 +1,4 @@
-//! Command for operators of a deployment.
+//! The command by which operators control a deployment.
 
 mod app;
 
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -17,7 +17,7 @@
 /// Time limit for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Address of a daemon and credentials of the operator.
+/// Address of a daemon and token of the operator.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Operator address of the daemon, as `IP:port`.
@@ -40,10 +40,10 @@
         Self { target, http: HttpClient::new(Reuse::Fresh) }
     }
 
-    /// Makes a call and parses the JSON answer.
+    /// Makes a call and parses the JSON response.
     ///
     /// # Errors
-    /// Returns an error if the call was refused or no valid answer arrived.
+    /// Returns an error if the daemon refused the call or no valid response arrived.
     pub async fn call<A: Serialize, B: DeserializeOwned>(
         &self,
         method: Method,
@@ -58,7 +58,7 @@
         Err(api_error(&body))
     }
 
-    /// Makes a GET call and parses the JSON answer.
+    /// Makes a GET call and parses the JSON response.
     ///
     /// # Errors
     /// As [`Client::call`].
@@ -66,7 +66,7 @@
         self.call::<(), B>(Method::GET, path, None).await
     }
 
-    /// Opens a stream of lines.
+    /// Makes a GET call whose response is a stream of lines.
     ///
     /// # Errors
     /// As [`Client::call`].
@@ -106,7 +106,7 @@
     }
 }
 
-/// Lines of a streamed answer.
+/// Lines of a streamed response.
 #[derive(Debug)]
 pub struct Lines {
     resp: Response<Incoming>,
@@ -114,10 +114,10 @@
 }
 
 impl Lines {
-    /// Returns the next line, or `None` at the end of the answer.
+    /// Returns the next line, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// Returns an error if the connection broke.
+    /// Returns an error if the connection breaks.
     pub async fn next(&mut self) -> Result<Option<Bytes>, CommandError> {
         loop {
             if let Some(end) = self.buf.iter().position(|b| *b == b'\n') {
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -23,7 +23,7 @@
     patch, streams,
 };
 
-/// Interval between checks whether an endpoint is drained.
+/// Interval between checks whether an endpoint is still running requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A subcommand with its arguments.
@@ -36,7 +36,7 @@
         /// Name of the resource; `None` for all of the kind.
         name: Option<String>,
     },
-    /// Create or change all resources in a file, or none.
+    /// Create or change all resources in a file, or none if one of them is refused.
     Apply {
         /// Path of the file.
         file: PathBuf,
@@ -71,12 +71,12 @@
         /// Log file to search instead of asking a daemon; `-` for standard input.
         log: Option<PathBuf>,
     },
-    /// Show how streams ended and at what pace, by replica.
+    /// Show how streams ended and how fast they were, by replica.
     Streams {
         /// Log file to read; `-` for standard input.
         log: PathBuf,
     },
-    /// Take an endpoint out of service and wait until nothing runs there.
+    /// Take an endpoint out of service and wait until no request runs there.
     Drain {
         /// Name of the endpoint.
         endpoint: String,
@@ -145,7 +145,7 @@
     for assignment in set {
         patch::set(&mut spec, assignment)?;
     }
-    // With the version that was read, a concurrent change leads to a conflict instead of being overwritten.
+    // With the version that was read, a concurrent change is a conflict; without it, that change would be overwritten.
     let body = PutBody { resource_version: Some(resource.resource_version), spec };
     client.call(Method::PUT, &format!("/v1/{}/{name}", kind.plural()), Some(&json!(body_value(&body)))).await
 }
@@ -182,7 +182,7 @@
         }
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    Err(CommandError::TimedOut(format!("{endpoint} is marked as drained, but not yet closed to new work and empty")))
+    Err(CommandError::TimedOut(format!("{endpoint} is marked as drained, but still accepts new requests or runs some")))
 }
 
 fn read_resources(file: &Path) -> Result<ApplyBody, CommandError> {
@@ -199,7 +199,7 @@
         } else {
             Settings::load(file)?;
         }
-        return Ok(format!("{}: the settings are good\n", file.display()));
+        return Ok(format!("{}: the settings are valid\n", file.display()));
     }
     let body = read_resources(file)?;
     let count = body.resources.len();
@@ -209,7 +209,7 @@
         .map(|r| Change { kind: r.kind, name: r.name, based_on: None, spec: Some(r.spec) })
         .collect();
     match Document::default().with_changes(&changes, "check") {
-        Ok(_) => Ok(format!("{}: {count} resources are good\n", file.display())),
+        Ok(_) => Ok(format!("{}: {count} resources are valid\n", file.display())),
         Err(ChangeRefusal::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
         Err(_) => Err(CommandError::Usage("a resource is listed twice".to_owned())),
     }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -37,7 +37,7 @@
         Invalid(path: PathBuf, problems: Vec<dahliaseam_wire::validate::Problem>) {
             display("{}: not valid{}", path.display(), problem_lines(problems))
         }
-        /// The answer or the logs contain no usable result.
+        /// The daemon's answer cannot be parsed, or the logs do not contain what was searched for.
         Answer(why: String) {
             display("no usable result: {}", why)
         }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Exit code: the daemon refused the request, or a file is not valid.
+/// Exit code: the daemon refused the call, or a file is not valid.
 pub const REFUSED: u8 = 1;
 /// Exit code: the arguments are not valid, or a file cannot be read.
 pub const USAGE: u8 = 2;
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -10,10 +10,10 @@
 
 use crate::error::CommandError;
 
-/// Fields that are not printed as `name=value`: two lead the line, the others are omitted.
+/// Fields that are not printed as `name=value`: the time and the event start the line, the others are omitted.
 const EXCLUDED_FIELDS: [&str; 5] = ["timestamp", "level", "code", "event", "request"];
 
-/// Formats the log lines in `file`, or on standard input for `-`, that name `request`, in their order.
+/// Formats those log lines in `file`, or on standard input for `-`, that name `request`, in the order of the file.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read or no line names the request.
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -28,7 +28,7 @@
 
 /// A result that can be formatted as a table.
 pub trait Tabular: Serialize {
-    /// Rows of the table; the first is the header, if there is one.
+    /// Rows of the table; the first one is the header, if the table has one.
     fn rows(&self) -> Vec<Vec<String>>;
 }
 
@@ -137,7 +137,7 @@
             ],
         ];
         for a in &self.attempts {
-            let via = a.prefill.as_ref().map(|p| format!("prompt at {p}")).unwrap_or_default();
+            let via = a.prefill.as_ref().map(|p| format!("prefill at {p}")).unwrap_or_default();
             rows.push(vec![
                 format!("attempt {}", a.attempt),
                 a.endpoint.clone(),
@@ -158,8 +158,8 @@
     vec![
         "  candidate".into(),
         c.endpoint.clone(),
-        c.prefill.as_ref().map(|p| format!("prompt at {p}")).unwrap_or_default(),
-        format!("first token in {:.1} ms, whole in {:.1} ms", c.first_ms, c.whole_ms),
+        c.prefill.as_ref().map(|p| format!("prefill at {p}")).unwrap_or_default(),
+        format!("first token in {:.1} ms, whole answer in {:.1} ms", c.first_ms, c.whole_ms),
         skipped,
     ]
 }
--- a/crates/cli/src/patch.rs
+++ b/crates/cli/src/patch.rs
@@ -4,7 +4,9 @@
 
 use crate::error::CommandError;
 
-/// Sets the field at a dotted path and creates missing objects on the way. A value that is not JSON is a string.
+/// Sets the field at a dotted path, and creates missing objects on that path.
+///
+/// A value that is not JSON is set as a string.
 ///
 /// # Errors
 /// Returns an error if there is no `=`, or if the path leads through a value that is not an object.
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -1,8 +1,8 @@
 //! Summary of the ended streams in daemons' logs, by replica.
 //!
 //! A stream that ends unfinished long after its first event was either slow throughout or stopped. The interval between
-//! events, grouped by the number of long answers that the replica was generating, shows why a replica is slow: it grows
-//! with that number if an engine has too many of them, and is longer at any number if the engine itself is slow.
+//! events, grouped by the number of other long answers at the replica, shows why a replica is slow: it grows with that
+//! number if the replica has too many of them, and is long at any number if the engine itself is slow.
 
 use std::{collections::BTreeMap, path::Path};
 
@@ -14,7 +14,7 @@
 const REQUEST_OVER: &str = "ROUTED_OVER";
 /// Outcome of a request whose whole answer was delivered.
 const OUTCOME_ANSWERED: &str = "answered";
-/// Lower bounds of the groups, as numbers of long answers that the replica generates beside a stream.
+/// Lower bounds of the groups of streams, by the number of other long answers at the replica when the stream began.
 const CONCURRENCY_BUCKETS: [u32; 5] = [0, 20, 40, 60, 80];
 
 /// A log line about an ended stream.
@@ -34,7 +34,7 @@
     total: usize,
     unfinished: usize,
     max_events: u64,
-    /// Microseconds between two events, one value per stream, grouped by [`CONCURRENCY_BUCKETS`].
+    /// Microseconds between events, one value per stream, grouped by [`CONCURRENCY_BUCKETS`].
     intervals: [Vec<u64>; CONCURRENCY_BUCKETS.len()],
 }
 
@@ -60,7 +60,7 @@
 /// Formats a table of the streams in the logs in `file`, or on standard input for `-`.
 ///
 /// It shows per replica the number of streams, how many of them did not finish, the maximum number of events of one,
-/// and the median interval between events in milliseconds, by the number of long answers at the replica.
+/// and the median interval between events in milliseconds, by the number of other long answers at the replica.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read or contains no ended stream.
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -25,7 +25,7 @@
 
 fn write_temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("dahliaseam-command-{}-{name}", std::process::id()));
-    std::fs::write(&path, text).expect("the folder can be written");
+    std::fs::write(&path, text).expect("the temporary folder is writable");
     path.display().to_string()
 }
 
@@ -46,7 +46,7 @@
         &["drain", "--help"],
         &expect![[r#"
         exit 0
-        Take an endpoint out of service and wait until it is empty
+        Take an endpoint out of service and wait until no request runs there
 
         Usage: dahliaseam drain [--undo] [--wait-seconds=N] ENDPOINT
 
@@ -74,9 +74,9 @@
     expect![[r#"
         exit 1
         dahliaseam: FILE: not valid
-          endpoints.e.pool: expected the name of a pool that exists, not "p"
-          endpoints.e.address: expected an IP number and a port, as in 10.0.0.1:8000
-          teams.t.rate: expected requests a second above 0
+          endpoints.e.pool: expected the name of an existing pool, not "p"
+          endpoints.e.address: expected an IP address and a port, as in 10.0.0.1:8000
+          teams.t.rate: expected a number of requests per second above 0
     "#]]
     .assert_eq(&out);
 }
@@ -111,8 +111,8 @@
 #[test]
 fn set_requires_path_and_value() {
     let mut spec = serde_json::json!({ "a": { "b": 1 }, "c": 2 });
-    dahliaseam::patch::set(&mut spec, "a.b=[3]").expect("it is set");
-    dahliaseam::patch::set(&mut spec, "d.e=words").expect("it is made");
+    dahliaseam::patch::set(&mut spec, "a.b=[3]").expect("existing field is set");
+    dahliaseam::patch::set(&mut spec, "d.e=words").expect("missing object is created");
     assert_eq!(spec, serde_json::json!({ "a": { "b": [3] }, "c": 2, "d": { "e": "words" } }));
     assert!(dahliaseam::patch::set(&mut spec, "c").is_err());
     assert!(dahliaseam::patch::set(&mut spec, "c.x=1").is_err());
