--- a/stand-ins/src/answer.rs
+++ b/stand-ins/src/answer.rs
@@ -1,11 +1,12 @@
-//! The answer of every engine stand-in to a prompt. It depends only on the prompt, so a caller can
-//! check that an answer is complete and correct.
+//! The answer of every engine stand-in to a prompt.
+//!
+//! It depends only on the prompt, so that a caller can check that an answer is complete and correct.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Number of distinct words in answers.
 const DISTINCT_WORDS: u64 = 9_973;
-/// Number of prompt bytes that count as one token.
+/// Number of bytes of a prompt that count as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
 /// Returns the token at `position` of the answer to `prompt`.
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -29,9 +29,9 @@
 /// Request of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// Name of its kind.
+    /// Name of the request's kind.
     pub kind: String,
-    /// Name of the team.
+    /// Name of the caller's team.
     pub team: String,
     /// Name of the model, or of the pool of plain services.
     pub target: String,
@@ -45,7 +45,7 @@
     pub chat: bool,
     /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Deadline of the request, in milliseconds.
+    /// Deadline of the request in milliseconds; `None` for that of its kind.
     pub deadline_ms: Option<u64>,
 }
 
@@ -54,11 +54,11 @@
 pub struct Answer {
     /// HTTP status; zero if there was no response.
     pub status: u16,
-    /// Request id.
+    /// Identifier of the request, if there was a response.
     pub request: Option<String>,
     /// `whole`, `not_run`, `ran`, `unknown`, or `none`.
     pub outcome: String,
-    /// Reason of a refusal.
+    /// Why the request failed; empty if it did not.
     pub reason: String,
     /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
--- a/stand-ins/src/engine.rs
+++ b/stand-ins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine stand-in: the engine model behind the completions API, in real time.
+//! Stand-in for a model engine: the engine model, run in real time behind the completions API.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -40,17 +40,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFault {
-    /// Number of requests that the faults of streams below apply to.
+    /// Number of requests to which the faults of the answer stream below apply.
     pub requests: u32,
-    /// Break the connection after this number of tokens.
+    /// Break the connection after this number of output tokens.
     pub break_after: Option<u32>,
-    /// Omit the token at this position.
+    /// Omit the output token at this position.
     pub gap_at: Option<u32>,
     /// Send each frame twice.
     pub duplicate: bool,
     /// Send a frame of another request before each frame.
     pub cross: bool,
-    /// Stop sending after this number of tokens, without closing the connection.
+    /// Stop sending after this number of output tokens, without closing the connection.
     pub stall_after: Option<u32>,
     /// Crash during the next role change, and restart with the old role.
     pub crash_in_change: bool,
@@ -61,7 +61,7 @@
 /// Setup of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSetup {
-    /// Address to listen on.
+    /// Address to listen on, as `IP:port`.
     pub address: String,
     /// Initial role.
     pub role: Role,
@@ -73,7 +73,7 @@
     pub history: History,
 }
 
-/// Number of load samples kept, from which a load of some time ago is reported.
+/// Number of load samples kept, from which an outdated load is reported.
 const MAX_LOAD_SAMPLES: usize = 4_096;
 /// Number of cache events kept.
 const MAX_CACHE_EVENTS: usize = 1_024;
@@ -278,7 +278,7 @@
     handle: Option<String>,
 }
 
-/// Returns a server-sent event.
+/// Returns one frame of an answer as a server-sent event.
 fn frame(req: &RequestExtension, position: u32, tokens: u32, text: &str, chat: bool, end: Option<&EndFrame>) -> Bytes {
     let finish = if end.is_some() { json!("length") } else { Value::Null };
     let choice = if chat {
@@ -405,7 +405,7 @@
     }
 }
 
-/// Takes an exported KV cache from the engine that holds it. Returns whether it was there.
+/// Imports an exported KV cache, which releases it at the engine that holds it. Returns whether it was there.
 async fn import_kv_cache(import: &Import) -> bool {
     let client = dahliaseam_border::http::HttpClient::new(dahliaseam_border::http::Reuse::Fresh);
     let url = format!("http://{}{RELEASE_PATH}", import.from);
@@ -506,17 +506,17 @@
             return Some(OrderAnswer::Fenced { highest });
         }
         if order.boot != state.boot {
-            return refused("another boot");
+            return refused("the order is for another start of the engine");
         }
         if state.last_order >= (order.epoch, order.sequence) {
-            return refused("an old sequence number");
+            return refused("the sequence number is not above that of the last order");
         }
         if wall_millis() > not_after_ms {
-            return refused("too late");
+            return refused("the order has expired");
         }
     }
     if state.changing {
-        return refused("an order is being carried out");
+        return refused("another order is being carried out");
     }
     None
 }
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -1,5 +1,6 @@
-//! History of events that the checkers read: one JSON object per line, written by each process.
+//! History of the events in a test, from which checks decide whether it passed.
 //!
+//! Each process appends its events to a file, as one JSON object per line, or keeps them in memory.
 //! Times are taken from the machine's monotonic clock, which all processes share.
 
 use std::{
@@ -17,9 +18,9 @@
 pub struct Entry {
     /// Time of the monotonic clock, in microseconds.
     pub at: u64,
-    /// Name of the process.
+    /// Name of the process that recorded the event.
     pub who: String,
-    /// Event.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -48,7 +49,7 @@
         /// Highest fencing number that the engine had seen.
         highest: u64,
     },
-    /// An engine completed an order.
+    /// An engine has carried out an order.
     OrderDone {
         /// Fencing number of the order.
         epoch: u64,
@@ -57,7 +58,7 @@
     },
     /// An endpoint started to run a request.
     Ran {
-        /// Request id.
+        /// Identifier of the request.
         request: String,
         /// Number of the attempt.
         attempt: u32,
@@ -66,23 +67,23 @@
     },
     /// An endpoint aborted a request because of an order.
     Cut {
-        /// Request id.
+        /// Identifier of the request.
         request: String,
     },
     /// A caller sent a request.
     Sent {
         /// Number of the call, assigned by the caller.
         call: u64,
-        /// Name of the kind.
+        /// Name of the request's kind.
         kind: String,
         /// Idempotency key, if any.
         key: Option<String>,
     },
-    /// A caller received its final answer, or none.
+    /// A caller received the final answer to a request, or gave up.
     Got {
         /// Number of the call, assigned by the caller.
         call: u64,
-        /// Request id, if there was a response.
+        /// Identifier of the request, if there was a response.
         request: Option<String>,
         /// `whole`, `not_run`, `ran`, `unknown`, or `none` if no outcome was received.
         outcome: String,
@@ -115,7 +116,7 @@
         Ok(Self { who: who.to_owned(), file: Some(Arc::new(Mutex::new(f))), ..Self::default() })
     }
 
-    /// Returns the same history for another process name.
+    /// Returns the same history, with events recorded under another process name.
     #[must_use]
     pub fn with_name(&self, who: &str) -> Self {
         Self { who: who.to_owned(), ..self.clone() }
--- a/stand-ins/src/kv.rs
+++ b/stand-ins/src/kv.rs
@@ -1,8 +1,7 @@
-//! The key-value service: the subset of etcd's v3 JSON gateway that dahliaseam uses.
+//! Stand-in for the key-value service: the subset of etcd's v3 JSON gateway that dahliaseam uses.
 //!
-//! `/fault` makes the service unavailable or slow, makes reads stale, or makes writes take effect
-//! although their responses are lost.
-//! `/calls` returns the number of calls by path.
+//! A POST to `/fault` makes the service unavailable or slow, makes reads stale, or makes writes take effect although
+//! their responses are lost. `/calls` returns the number of calls of each kind.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -37,11 +36,11 @@
     pub slow_ms: u64,
     /// Number of writes that take effect although their responses are lost.
     pub lose_answers: u32,
-    /// Reads return values from before the last change.
+    /// Reads return the value that each key had before its last change.
     pub stale_reads: bool,
 }
 
-/// Interval of empty messages on an idle watch.
+/// Interval at which an idle watch sends empty messages.
 const WATCH_PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of changes that a slow watch may lag behind before it is closed.
 const WATCH_BUFFER: usize = 1_024;
@@ -136,7 +135,7 @@
     if fault.down { Err(broken_response()) } else { Ok(()) }
 }
 
-/// Returns a response whose body breaks off, which is equivalent to none.
+/// Returns a response whose body breaks off, which to the client is the same as none.
 fn broken_response() -> Response {
     let broken = stream::once(async { Err::<Bytes, _>(std::io::Error::other("response lost by an injected fault")) });
     Response::builder().header("content-length", "1000").body(Body::from_stream(broken)).unwrap_or_default()
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,7 +1,9 @@
 //! Small stand-ins for the systems around dahliaseam, for tests and the quick start.
 //!
-//! Each is a value that serves on a loopback address; tests inject faults through its `/fault` path.
-//! The examples of this package run each stand-in as a separate process.
+//! The engine, the plain service, the key-value service and the VM list each serve on a loopback address until they are
+//! dropped; the examples of this package run them as separate processes. Tests inject faults into the first three by a
+//! POST to `/fault`. [`caller`] sends requests, [`relay`] stands in for a network link, and [`history`] records what
+//! happens.
 //! [`model`] is the engine model without I/O, which the experiments use too.
 
 pub mod answer;
--- a/stand-ins/src/model.rs
+++ b/stand-ins/src/model.rs
@@ -1,22 +1,22 @@
 //! Engine model: continuous batching, step by step, without I/O.
 //!
-//! Each step generates one token for each sequence whose prompt has been processed, and processes a
-//! chunk of the remaining prompts. A step takes a base time, plus a time for each generating
-//! sequence, plus the chunk size divided by the prefill rate, so prompts slow generation down. The
-//! chunk size depends on the role: large on a prefill engine, small on a decode engine.
+//! Each step generates one token for each sequence whose prompt has been prefilled, and prefills a chunk of the
+//! remaining prompts. A step takes a base time, plus a time for each generating sequence, plus the chunk size divided
+//! by the prefill rate, so prompts slow generation down. The maximum chunk size depends on the role: large on a prefill
+//! engine, small on a decode engine.
 
 use std::collections::VecDeque;
 
 use dahliaseam_core::endpoint::{LoadReport, Role};
 use serde::{Deserialize, Serialize};
 
-/// Parameters of the model. The users have not yet provided figures of their own.
+/// Parameters of the model. The defaults do not describe the engines of a particular deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ModelParams {
-    /// Prompt tokens per second when nothing else runs.
+    /// Prompt tokens that an engine prefills per second when nothing else runs.
     pub prefill_rate: f64,
-    /// Base time of a step, in seconds.
+    /// Base time of a step, in seconds; a step in which no sequence generates has a quarter of it.
     pub step: f64,
     /// Time that each generating sequence adds to a step, in seconds.
     pub step_per_seq: f64,
@@ -28,11 +28,11 @@
     pub prefixes: usize,
     /// Fraction of a prompt that a cached prefix saves.
     pub cached_share: f64,
-    /// Prompt tokens per step of a prefill engine.
+    /// Maximum number of prompt tokens per step of a prefill engine.
     pub chunk_prefill: u32,
-    /// Prompt tokens per step of a mixed engine.
+    /// Maximum number of prompt tokens per step of a mixed engine.
     pub chunk_mixed: u32,
-    /// Prompt tokens per step of a decode engine.
+    /// Maximum number of prompt tokens per step of a decode engine.
     pub chunk_decode: u32,
     /// Time that an engine is unavailable during a role change, in seconds.
     pub change_seconds: f64,
@@ -40,7 +40,7 @@
     pub report_lag: f64,
     /// Delay of cache events, in seconds.
     pub cache_lag: f64,
-    /// One of this number of cache events is lost; zero for none.
+    /// Evictions are not reported if the number of their cache event is a multiple of this; zero to report all.
     pub cache_gap: u64,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Request in the model.
+/// A request, as the model sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// Identifier chosen by the user of the model.
@@ -78,13 +78,13 @@
     pub output_tokens: u32,
     /// Priority; jobs with a higher one run first.
     pub priority: u8,
-    /// Whether the KV cache of the prompt is imported, so that the prompt need not be processed.
+    /// Whether the KV cache of the prompt is imported, so that the prompt need not be prefilled.
     pub imported: bool,
-    /// Whether only the prompt is processed.
+    /// Whether the prompt is only prefilled, and no token is generated.
     pub prefill_only: bool,
 }
 
-/// Result of a step.
+/// Event of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The job with this id generated a token.
@@ -197,7 +197,7 @@
         Some(base + generating * self.params.step_per_seq + chunk / self.params.prefill_rate)
     }
 
-    /// Finishes the step.
+    /// Finishes the step and returns its events.
     pub fn finish_step(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         for sequence in &mut self.batch {
--- a/stand-ins/src/plain.rs
+++ b/stand-ins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service, such as a till application or a porting lookup.
+//! Stand-in for a plain service, such as a till application or a porting lookup.
 
 use std::{
     sync::{Arc, Mutex},
@@ -33,14 +33,14 @@
     pub delay_ms: u64,
     /// Number of requests that run although their answers are lost.
     pub lose_answers: u32,
-    /// Number of requests that are refused without running.
+    /// Number of requests that are rejected without running.
     pub refuse: u32,
 }
 
 /// Setup of a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainSetup {
-    /// Address to listen on.
+    /// Address to listen on, as `IP:port`.
     pub address: String,
     /// Duration of a call, in milliseconds.
     pub work_ms: u64,
@@ -61,7 +61,7 @@
 }
 
 impl Plain {
-    /// Starts a service that accepts any path and returns the request body in its answer.
+    /// Starts a service that accepts any path and repeats the request body in its answer.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -116,7 +116,7 @@
     answer(&String::from_utf8_lossy(&body)).into_response()
 }
 
-/// Returns the fault for one request, and decrements its counters.
+/// Returns the faults for one request, and decrements the counters of those that apply.
 fn take_fault(shared: &Shared) -> PlainFault {
     let mut fault = shared.fault.lock().expect("the lock is not poisoned");
     let current = *fault;
--- a/stand-ins/src/relay.rs
+++ b/stand-ins/src/relay.rs
@@ -18,21 +18,21 @@
     },
 };
 
-/// What the relay does with data.
+/// State of the link: what the relay does with connections and data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Link {
-    /// Forwards it.
+    /// Forwards data.
     Pass = 0,
-    /// Holds it. Connections are accepted, but nothing is forwarded.
+    /// Holds data: connections are accepted, but nothing is forwarded.
     Hold = 1,
     /// Closes connections at once.
     Cut = 2,
     /// Resets connections at once.
     Reset = 3,
-    /// Forwards it with a delay.
+    /// Forwards data with a delay.
     Slow = 4,
-    /// Forwards data to the target, and holds the data that it returns.
+    /// Forwards data to the target, and holds the data that the target returns.
     HoldBack = 5,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Interval at which a held connection checks the state of the link.
+/// Interval at which a connection checks the state of the link.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Delay of a slow link.
 const SLOW_DELAY: Duration = Duration::from_millis(120);
@@ -92,7 +92,7 @@
         Ok(Self { address, link, task })
     }
 
-    /// Address it listens on.
+    /// Address on which the relay listens.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
--- a/stand-ins/src/serve.rs
+++ b/stand-ins/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves a stand-in on a loopback address until it is stopped.
+//! HTTP server of the stand-ins, and free addresses for tests.
 
 use std::{
     net::SocketAddr,
@@ -14,14 +14,14 @@
 
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// Returns a loopback address that is free now and that no outgoing connection will get.
+/// Returns a loopback address that is free now and that the system gives to no outgoing connection.
 ///
 /// # Panics
 /// If no port is free.
 #[must_use]
 pub fn free_address() -> String {
     let count = u32::from(PORT_RANGE.end - PORT_RANGE.start);
-    // Test processes that run in parallel start at distant ports.
+    // Test processes that run in parallel start at ports far apart, so that they do not choose the same one.
     let first = std::process::id().wrapping_mul(331);
     let ports = (0..count).map(|_| {
         let n = first.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
@@ -64,7 +64,7 @@
         Ok(Self { address, stop, task })
     }
 
-    /// Address it serves.
+    /// Address at which it serves.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
--- a/stand-ins/src/vms.rs
+++ b/stand-ins/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which the test sets.
+//! Stand-in for the platform's VM list, which the test sets.
 
 use std::sync::{Arc, Mutex};
 
@@ -9,15 +9,16 @@
 
 type Shared = Arc<Mutex<Option<Value>>>;
 
-/// Running list service.
+/// Running service of the VM list.
 #[derive(Debug)]
 pub struct VmList {
     server: Server,
 }
 
 impl VmList {
-    /// Starts a service at `address` with an empty list. `PUT /vms` replaces the list; `null` makes it
-    /// unavailable.
+    /// Starts a service at `address` with an empty list.
+    ///
+    /// `PUT /vms` replaces the list; `null` makes the service unavailable.
     ///
     /// # Errors
     /// If the address cannot be bound.
