--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -56,7 +56,7 @@
 pub const REFUSED: u8 = 1;
 /// Exit code: the arguments are not valid, or a file cannot be read.
 pub const USAGE: u8 = 2;
-/// Exit code: there is no usable answer, or it is unknown whether a change took effect.
+/// Exit code: there is no usable answer. A change had no effect, or that is unknown; the command can be repeated.
 pub const UNAVAILABLE: u8 = 3;
 /// Exit code: the expected state was not reached in time.
 pub const TIMED_OUT: u8 = 4;
