--- a/crates/border/src/vms.rs
+++ b/crates/border/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind their actual state.
+//! The platform's VM list, which lags behind the actual state of the VMs.
 
 use std::{fmt::Debug, time::Duration};
 
@@ -20,11 +20,12 @@
     pub vm: String,
     /// Hall of the VM.
     pub hall: String,
-    /// Peer address of an entry VM as `IP:port`.
+    /// Address of an entry VM for other daemons, as `IP:port`.
     #[serde(default)]
     pub address: String,
     /// Purpose of the VM.
-    pub part: VmPart,
+    #[serde(rename = "part")]
+    pub purpose: VmPurpose,
     /// Whether it is about to be removed.
     #[serde(default)]
     pub leaving: bool,
@@ -33,7 +34,7 @@
 /// Purpose of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum VmPart {
+pub enum VmPurpose {
     /// It runs a dahliaseam daemon.
     Entry,
     /// It runs endpoints.
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -9,8 +9,8 @@
 use dahliaseam_settings::{gateway::GatewaySettings, settings::Settings};
 use dahliaseam_wire::{
     error::from_json,
-    operator::{Accepted, ApplyBody, PutBody, RequestRecord, Resource, ResourceList, StatusReport, WatchEvent},
-    resource::{Change, Document, Refused, ResourceKind},
+    operator::{Accepted, ApplyBody, DeploymentStatus, PutBody, RequestRecord, Resource, ResourceList, WatchEvent},
+    resource::{Change, ChangeRefusal, Document, ResourceKind},
 };
 use http::Method;
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
     patch, streams,
 };
 
-/// Interval between checks whether an endpoint is drained.
+/// Interval between checks whether an endpoint is still running requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A subcommand with its arguments.
@@ -36,7 +36,7 @@
         /// Name of the resource; `None` for all of the kind.
         name: Option<String>,
     },
-    /// Create or change all resources in a file, or none.
+    /// Create or change all resources in a file, or none if one of them is refused.
     Apply {
         /// Path of the file.
         file: PathBuf,
@@ -71,12 +71,12 @@
         /// Log file to search instead of asking a daemon; `-` for standard input.
         log: Option<PathBuf>,
     },
-    /// Show how streams ended and at what pace, by replica.
+    /// Show how streams ended and how fast they were, by replica.
     Streams {
         /// Log file to read; `-` for standard input.
         log: PathBuf,
     },
-    /// Take an endpoint out of service and wait until nothing runs there.
+    /// Take an endpoint out of service and wait until no request runs there.
     Drain {
         /// Name of the endpoint.
         endpoint: String,
@@ -124,7 +124,7 @@
         Command::Streams { log } => streams::table(&log)?,
         Command::Drain { endpoint, undo, wait_seconds } => drain(&client, &endpoint, undo, wait_seconds).await?,
         Command::Check { file } => check(&file)?,
-        Command::Status => output.text(&client.get::<StatusReport>("/v1/status").await?),
+        Command::Status => output.text(&client.get::<DeploymentStatus>("/v1/status").await?),
     };
     // A closed pipe, for example after `head` has exited, is not an error of the command.
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -145,7 +145,7 @@
     for assignment in set {
         patch::set(&mut spec, assignment)?;
     }
-    // With the version that was read, a concurrent change leads to a conflict instead of being overwritten.
+    // With the version that was read, a concurrent change is a conflict; without it, that change would be overwritten.
     let body = PutBody { resource_version: Some(resource.resource_version), spec };
     client.call(Method::PUT, &format!("/v1/{}/{name}", kind.plural()), Some(&json!(body_value(&body)))).await
 }
@@ -182,24 +182,24 @@
         }
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    Err(CommandError::TimedOut(format!("{endpoint} is marked as drained, but not yet closed to new work and empty")))
+    Err(CommandError::TimedOut(format!("{endpoint} is marked as drained, but still accepts new requests or runs some")))
 }
 
 fn read_resources(file: &Path) -> Result<ApplyBody, CommandError> {
-    let text = std::fs::read(file).map_err(|e| CommandError::Open(file.to_owned(), e))?;
-    from_json(&text).map_err(|e| CommandError::Read(file.to_owned(), e))
+    let text = std::fs::read(file).map_err(|e| CommandError::Read(file.to_owned(), e))?;
+    from_json(&text).map_err(|e| CommandError::Parse(file.to_owned(), e))
 }
 
 fn check(file: &Path) -> Result<String, CommandError> {
-    let text = std::fs::read(file).map_err(|e| CommandError::Open(file.to_owned(), e))?;
-    let value: Value = from_json(&text).map_err(|e| CommandError::Read(file.to_owned(), e))?;
+    let text = std::fs::read(file).map_err(|e| CommandError::Read(file.to_owned(), e))?;
+    let value: Value = from_json(&text).map_err(|e| CommandError::Parse(file.to_owned(), e))?;
     if value.get("resources").is_none() {
         if value.get("store_address").is_some() {
             GatewaySettings::load(file)?;
         } else {
             Settings::load(file)?;
         }
-        return Ok(format!("{}: the settings are good\n", file.display()));
+        return Ok(format!("{}: the settings are valid\n", file.display()));
     }
     let body = read_resources(file)?;
     let count = body.resources.len();
@@ -209,8 +209,8 @@
         .map(|r| Change { kind: r.kind, name: r.name, based_on: None, spec: Some(r.spec) })
         .collect();
     match Document::default().with_changes(&changes, "check") {
-        Ok(_) => Ok(format!("{}: {count} resources are good\n", file.display())),
-        Err(Refused::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
+        Ok(_) => Ok(format!("{}: {count} resources are valid\n", file.display())),
+        Err(ChangeRefusal::Invalid(problems)) => Err(CommandError::Invalid(file.to_owned(), problems)),
         Err(_) => Err(CommandError::Usage("a resource is listed twice".to_owned())),
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -4,7 +4,7 @@
 
 use dahliaseam_border::error::CallError;
 use dahliaseam_settings::error::SettingsError;
-use dahliaseam_wire::{error::ReadError, operator::ApiError};
+use dahliaseam_wire::{error::ParseError, operator::ApiError};
 use quick_error::quick_error;
 
 quick_error! {
@@ -21,11 +21,11 @@
             display("the daemon does not answer: {}", e)
         }
         /// A file cannot be read.
-        Open(path: PathBuf, e: io::Error) {
+        Read(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
         /// The content of a file is not valid JSON, or a field is missing, unknown or of the wrong type.
-        Read(path: PathBuf, e: ReadError) {
+        Parse(path: PathBuf, e: ParseError) {
             display("{}: {}", path.display(), e)
         }
         /// A settings file is not valid.
@@ -37,7 +37,7 @@
         Invalid(path: PathBuf, problems: Vec<dahliaseam_wire::validate::Problem>) {
             display("{}: not valid{}", path.display(), problem_lines(problems))
         }
-        /// The answer or the logs contain no usable result.
+        /// The daemon's answer cannot be parsed, or the logs do not contain what was searched for.
         Answer(why: String) {
             display("no usable result: {}", why)
         }
@@ -52,11 +52,11 @@
     }
 }
 
-/// Exit code: the daemon refused the request, or a file is not valid.
+/// Exit code: the daemon refused the call, or a file is not valid.
 pub const REFUSED: u8 = 1;
 /// Exit code: the arguments are not valid, or a file cannot be read.
 pub const USAGE: u8 = 2;
-/// Exit code: there is no usable answer, or it is unknown whether a change took effect.
+/// Exit code: there is no usable answer. A change had no effect, or that is unknown; the command can be repeated.
 pub const UNAVAILABLE: u8 = 3;
 /// Exit code: the expected state was not reached in time.
 pub const TIMED_OUT: u8 = 4;
@@ -67,9 +67,9 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Api(e) if matches!(e.code.as_str(), "unavailable" | "unknown") => UNAVAILABLE,
-            Self::Api(_) | Self::Read(..) | Self::Settings(_) | Self::Invalid(..) => REFUSED,
+            Self::Api(_) | Self::Parse(..) | Self::Settings(_) | Self::Invalid(..) => REFUSED,
             Self::Call(_) | Self::Answer(_) => UNAVAILABLE,
-            Self::Open(..) | Self::Usage(_) => USAGE,
+            Self::Read(..) | Self::Usage(_) => USAGE,
             Self::TimedOut(_) => TIMED_OUT,
         }
     }
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -10,10 +10,10 @@
 
 use crate::error::CommandError;
 
-/// Fields that are not printed as `name=value`: two lead the line, the others are omitted.
+/// Fields that are not printed as `name=value`: the time and the event start the line, the others are omitted.
 const EXCLUDED_FIELDS: [&str; 5] = ["timestamp", "level", "code", "event", "request"];
 
-/// Formats the log lines in `file`, or on standard input for `-`, that name `request`, in their order.
+/// Formats those log lines in `file`, or on standard input for `-`, that name `request`, in the order of the file.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read or no line names the request.
@@ -37,11 +37,11 @@
 /// # Errors
 /// Returns an error if the file cannot be read.
 pub(crate) fn for_each_line(file: &Path, mut f: impl FnMut(&str)) -> Result<(), CommandError> {
-    let open = |e| CommandError::Open(file.to_owned(), e);
+    let read_error = |e| CommandError::Read(file.to_owned(), e);
     let input: Box<dyn Read> =
-        if file == Path::new("-") { Box::new(stdin()) } else { Box::new(File::open(file).map_err(open)?) };
+        if file == Path::new("-") { Box::new(stdin()) } else { Box::new(File::open(file).map_err(read_error)?) };
     for line in BufReader::new(input).lines() {
-        let line = line.map_err(open)?;
+        let line = line.map_err(read_error)?;
         if let Some(start) = line.find('{') {
             f(&line[start..]);
         }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,8 +1,8 @@
-//! Why a settings file cannot be used.
+//! Errors of settings files.
 
 use std::{io, path::PathBuf};
 
-use dahliaseam_wire::error::ReadError;
+use dahliaseam_wire::error::ParseError;
 use quick_error::quick_error;
 
 quick_error! {
@@ -10,11 +10,11 @@
     #[derive(Debug)]
     pub enum SettingsError {
         /// The file cannot be read.
-        Open(path: PathBuf, e: io::Error) {
+        Read(path: PathBuf, e: io::Error) {
             display("cannot read {}: {}", path.display(), e)
         }
         /// The content is not valid JSON, or a field is missing, unknown or of the wrong type.
-        Read(path: PathBuf, e: ReadError) {
+        Parse(path: PathBuf, e: ParseError) {
             display("{}: {}", path.display(), e)
         }
         /// A field has an invalid value.
