--- a/proofs/examples/cost.rs
+++ b/proofs/examples/cost.rs
@@ -7,8 +7,8 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    cluster::{Cluster, ClusterConfig},
-    process::usage,
+    cluster::{Cluster, ClusterSetup},
+    process::cpu_and_memory,
 };
 use serde_json::json;
 
@@ -33,24 +33,24 @@
             "probe_ms": 500, "suspicion_ms": 2_000, "list_ms": 1_000, "observe_ms": 500, "confirm_ms": 3_000,
             "lease_ms": 6_000, "control_ms": 250,
         } });
-        let config = ClusterConfig {
+        let setup = ClusterSetup {
             daemons,
             engines: vec![(Role::Mixed, Fencing::Checks); 12],
             plain_services: 3,
             settings: timing,
-            ..ClusterConfig::default()
+            ..ClusterSetup::default()
         };
-        let mut cluster = Cluster::start(config).await;
+        let mut cluster = Cluster::start(setup).await;
         // The first loads of the engines are rate-limited; only the steady state is measured.
         tokio::time::sleep(Duration::from_secs(30)).await;
         let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
         let pids: Vec<_> = vms.iter().map(|vm| cluster.daemon(vm).id()).collect();
         let calls_before = cluster.kv_calls().await;
-        let (bytes_before, usage_before) = (loopback_bytes(), pids.iter().map(|p| usage(*p).0).sum::<f64>());
+        let (bytes_before, cpu_before) = (loopback_bytes(), pids.iter().map(|p| cpu_and_memory(*p).0).sum::<f64>());
         tokio::time::sleep(MEASURE_TIME).await;
         let bytes = loopback_bytes() - bytes_before;
-        let cpu_seconds = pids.iter().map(|p| usage(*p).0).sum::<f64>() - usage_before;
-        let memory_bytes = pids.iter().map(|p| usage(*p).1).max().unwrap_or(0);
+        let cpu_seconds = pids.iter().map(|p| cpu_and_memory(*p).0).sum::<f64>() - cpu_before;
+        let max_memory_bytes = pids.iter().map(|p| cpu_and_memory(*p).1).max().unwrap_or(0);
         let calls = cluster.kv_calls().await;
         let seconds = MEASURE_TIME.as_secs_f64();
         let rates: Vec<_> = calls
@@ -59,14 +59,14 @@
             .filter(|(_, count)| *count > 0)
             .map(|(path, count)| format!("{path} {:.1}", count as f64 / seconds))
             .collect();
-        let all: u64 = calls.values().sum::<u64>() - calls_before.values().sum::<u64>();
+        let total_calls: u64 = calls.values().sum::<u64>() - calls_before.values().sum::<u64>();
         println!(
             "| {daemons} | {:.1} | {} | {:.0} | {:.2}% of a core | {:.1} MB |",
-            all as f64 / seconds,
+            total_calls as f64 / seconds,
             rates.join(", "),
             bytes as f64 / seconds / daemons as f64,
             cpu_seconds / seconds / daemons as f64 * 100.0,
-            memory_bytes as f64 / 1e6,
+            max_memory_bytes as f64 / 1e6,
         );
     }
 }
--- a/proofs/examples/latency.rs
+++ b/proofs/examples/latency.rs
@@ -8,9 +8,9 @@
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use hdrhistogram::Histogram;
 use proofs::{
-    cluster::{Cluster, ClusterConfig},
+    cluster::{Cluster, ClusterSetup},
     load::{Mix, call},
-    process::usage,
+    process::cpu_and_memory,
 };
 use serde_json::json;
 use stand_ins::{caller::Call, model::ModelParams};
@@ -24,7 +24,7 @@
 /// Number of open streams in the memory measurement.
 const STREAMS: u64 = 100;
 
-fn print_quantiles(what: &str, h: &Histogram<u64>) {
+fn print_percentiles(what: &str, h: &Histogram<u64>) {
     let ms = |q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
     println!("{what}: p50 {:.3} ms, p99 {:.3} ms", ms(0.5), ms(0.99));
 }
@@ -42,16 +42,16 @@
 async fn main() {
     let params =
         ModelParams { step: 0.002, step_per_seq: 0.0, slots: 2_048, kv_tokens: u32::MAX, ..ModelParams::default() };
-    let config = ClusterConfig {
+    let setup = ClusterSetup {
         daemons: 1,
         engines: vec![(Role::Mixed, Fencing::Checks)],
         plain_services: 1,
         params,
         work_ms: 0,
         settings: json!({ "policy": { "queue_limit": 100_000, "stall_ms": 30_000 } }),
-        ..ClusterConfig::default()
+        ..ClusterSetup::default()
     };
-    let mut cluster = Cluster::start(config).await;
+    let mut cluster = Cluster::start(setup).await;
     let rates = json!({ "rates": { "prefill": 1e6, "step": 0.002, "step_per_seq": 0.0, "slots": 2_048 } });
     cluster.edit("entry-1", "pools", "catalogue", &rates).await;
     cluster.edit("entry-1", "kinds", "chat-reply", &json!({ "deadline_ms": 60_000 })).await;
@@ -62,8 +62,8 @@
     assert!(status.is_success());
     cluster.apply_until_accepted(&[json!({ "kind": "endpoint", "name": "engine-1", "spec": engine })]).await;
     let pid = cluster.daemon("entry-1").id();
-    let idle = usage(pid).1;
-    println!("idle memory: {:.1} MB", idle as f64 / 1e6);
+    let idle_bytes = cpu_and_memory(pid).1;
+    println!("idle memory: {:.1} MB", idle_bytes as f64 / 1e6);
     let caller = cluster.new_caller("caller");
     let daemon = cluster.daemons["entry-1"].caller_address.clone();
     let engine = cluster.endpoints["engine-1"].address.clone();
@@ -76,8 +76,8 @@
         assert_eq!(got.outcome, "whole", "{got:?}");
         let _ = through.record(got.first_micros);
     }
-    print_quantiles("first token, direct", &direct);
-    print_quantiles("first token, through the daemon", &through);
+    print_percentiles("first token, direct", &direct);
+    print_percentiles("first token, through the daemon", &through);
 
     throughput(&cluster, &daemon, pid).await;
     streams(&cluster, &daemon, pid).await;
@@ -86,7 +86,7 @@
 /// Measures short plain calls from many callers, also per second of the daemon's processor time.
 async fn throughput(cluster: &Cluster, daemon: &str, pid: u32) {
     let deadline = Instant::now() + THROUGHPUT_TIME;
-    let before = usage(pid).0;
+    let cpu_before = cpu_and_memory(pid).0;
     let tasks: Vec<_> = (0..CALLERS)
         .map(|n| {
             let (caller, daemon) = (cluster.new_caller("throughput"), daemon.to_owned());
@@ -107,15 +107,15 @@
         whole += count;
         let _ = all.add(h);
     }
-    let cpu_seconds = usage(pid).0 - before;
+    let cpu_seconds = cpu_and_memory(pid).0 - cpu_before;
     let rate = whole as f64 / THROUGHPUT_TIME.as_secs_f64();
     println!("short plain calls: {rate:.0}/s, {:.0} for each second of a core", whole as f64 / cpu_seconds);
-    print_quantiles("their time", &all);
+    print_percentiles("their time", &all);
 }
 
 /// Measures many long streams that are open at the same time.
 async fn streams(cluster: &Cluster, daemon: &str, pid: u32) {
-    let (before, idle) = usage(pid);
+    let (cpu_before, idle_bytes) = cpu_and_memory(pid);
     let tasks: Vec<_> = (0..STREAMS)
         .map(|n| {
             let (caller, daemon) = (cluster.new_caller("streams"), daemon.to_owned());
@@ -124,16 +124,16 @@
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(900)).await;
-    let busy = usage(pid).1;
+    let busy_bytes = cpu_and_memory(pid).1;
     let mut whole = 0;
     for task in tasks {
         whole += u64::from(task.await.expect("callers do not panic").outcome == "whole");
     }
-    let cpu_seconds = usage(pid).0 - before;
+    let cpu_seconds = cpu_and_memory(pid).0 - cpu_before;
     println!("tokens for each second of a core: {:.0}", (whole * 400) as f64 / cpu_seconds);
-    let each = busy.saturating_sub(idle) as f64 / STREAMS as f64 / 1_024.0;
+    let kb_per_stream = busy_bytes.saturating_sub(idle_bytes) as f64 / STREAMS as f64 / 1_024.0;
     println!(
-        "{STREAMS} streams at once: {whole} whole, {each:.1} KB each above what it had before ({:.1} MB)",
-        busy as f64 / 1e6
+        "{STREAMS} streams at once: {whole} whole, {kb_per_stream:.1} KB each above what it had before ({:.1} MB)",
+        busy_bytes as f64 / 1e6
     );
 }
--- a/proofs/src/check.rs
+++ b/proofs/src/check.rs
@@ -13,15 +13,15 @@
 /// accepted order is newer than the one before, orders of two processes are never interleaved, and
 /// no order is accepted while another is being carried out.
 #[must_use]
-pub fn orders(history: &[Entry]) -> Violations {
+pub fn conflicting_orders(history: &[Entry]) -> Violations {
     let mut by_engine: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in history {
         by_engine.entry(&entry.who).or_default().push(entry);
     }
-    by_engine.into_iter().flat_map(|(who, entries)| order_violations(who, &entries)).collect()
+    by_engine.into_iter().flat_map(|(who, entries)| engine_order_violations(who, &entries)).collect()
 }
 
-fn order_violations(who: &str, entries: &[&Entry]) -> Violations {
+fn engine_order_violations(who: &str, entries: &[&Entry]) -> Violations {
     let mut violations = Vec::new();
     let mut last = (0, 0);
     let mut senders: Vec<(&str, u64)> = Vec::new();
@@ -56,21 +56,21 @@
     violations
 }
 
-/// Like [`orders`], but permits further orders after one that was never completed, because the
+/// Like [`conflicting_orders`], but permits further orders after one that was never completed, because the
 /// engine may have crashed and restarted.
 #[must_use]
-pub fn orders_with_crashes(history: &[Entry]) -> Violations {
-    orders(history).into_iter().filter(|violation| !violation.contains("was carried out")).collect()
+pub fn conflicting_orders_with_crashes(history: &[Entry]) -> Violations {
+    conflicting_orders(history).into_iter().filter(|violation| !violation.contains("was carried out")).collect()
 }
 
 /// Checks that no request was aborted because of an order.
 #[must_use]
-pub fn cut_requests(history: &[Entry]) -> Violations {
-    let cut = history.iter().filter_map(|entry| match &entry.event {
+pub fn aborted_requests(history: &[Entry]) -> Violations {
+    let aborted = history.iter().filter_map(|entry| match &entry.event {
         Event::Cut { request } => Some(format!("{} aborted {request}", entry.who)),
         _ => None,
     });
-    cut.collect()
+    aborted.collect()
 }
 
 /// Checks that each answer reported as whole is exactly the expected one.
@@ -87,7 +87,7 @@
 
 /// Checks that no endpoint ran a request that was refused as not run.
 #[must_use]
-pub fn not_run(history: &[Entry]) -> Violations {
+pub fn false_not_run(history: &[Entry]) -> Violations {
     let ran: HashSet<&str> = history
         .iter()
         .filter_map(|entry| match &entry.event {
@@ -108,7 +108,7 @@
 
 /// Checks that no idempotency key ran more than once.
 #[must_use]
-pub fn at_most_once(history: &[Entry]) -> Violations {
+pub fn repeated_keys(history: &[Entry]) -> Violations {
     let mut runs: HashMap<&str, usize> = HashMap::new();
     for entry in history {
         if let Event::Ran { key: Some(key), .. } = &entry.event {
--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -36,9 +36,9 @@
 use crate::process::{Process, program};
 
 /// Operator token used by all tests.
-pub const TOKEN: &str = "operators-token-of-tests";
+pub const OPERATOR_TOKEN: &str = "operators-token-of-tests";
 /// Secret shared by the daemons in all tests.
-pub const SECRET: &str = "daemons-secret-of-tests";
+pub const PEER_SECRET: &str = "daemons-secret-of-tests";
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time that a test waits for a condition.
@@ -50,7 +50,7 @@
 
 /// Configuration of a deployment.
 #[derive(Clone, Debug)]
-pub struct ClusterConfig {
+pub struct ClusterSetup {
     /// Number of entry VMs, each with a daemon.
     pub daemons: usize,
     /// Role and fencing of each engine.
@@ -67,7 +67,7 @@
     pub links: bool,
 }
 
-impl Default for ClusterConfig {
+impl Default for ClusterSetup {
     fn default() -> Self {
         Self {
             daemons: 2,
@@ -115,8 +115,8 @@
 #[derive(Debug)]
 struct Links {
     kv: Relay,
-    list: Relay,
-    list_server: VmList,
+    vm_list: Relay,
+    vm_list_server: VmList,
     peers: BTreeMap<String, Relay>,
 }
 
@@ -132,7 +132,7 @@
     /// Endpoints by name.
     pub endpoints: BTreeMap<String, EndpointProcess>,
     /// Configuration from which it was started.
-    pub config: ClusterConfig,
+    pub setup: ClusterSetup,
     links: BTreeMap<String, Links>,
     client: HttpClient,
     dir: PathBuf,
@@ -153,12 +153,12 @@
     ///
     /// # Panics
     /// If a daemon is not ready in time.
-    pub async fn start(config: ClusterConfig) -> Self {
-        let mut cluster = Self::start_platform(config);
-        if cluster.config.links {
+    pub async fn start(setup: ClusterSetup) -> Self {
+        let mut cluster = Self::start_platform(setup);
+        if cluster.setup.links {
             cluster.start_relays().await;
         }
-        cluster.set_vms(&[]).await;
+        cluster.set_vm_list(&[]).await;
         for vm in cluster.daemons.keys().cloned().collect::<Vec<_>>() {
             cluster.start_daemon(&vm);
         }
@@ -173,7 +173,7 @@
     /// # Panics
     /// If a stand-in does not start.
     #[must_use]
-    pub fn start_platform(config: ClusterConfig) -> Self {
+    pub fn start_platform(setup: ClusterSetup) -> Self {
         let dir = create_dir();
         let (kv_process, kv_address) = Process::start_stand_in(&mut Command::new(program("examples/kv")));
         let (vms_process, vm_list_address) = Process::start_stand_in(&mut Command::new(program("examples/vms")));
@@ -186,10 +186,10 @@
             client: HttpClient::new(Reuse::Fresh),
             dir,
             _platform: vec![kv_process, vms_process],
-            config,
+            setup,
         };
         cluster.start_endpoints();
-        for n in 1..=cluster.config.daemons {
+        for n in 1..=cluster.setup.daemons {
             cluster.add_daemon(&format!("entry-{n}"), &format!("hall-{}", n % 3));
         }
         cluster
@@ -197,9 +197,9 @@
 
     fn start_endpoints(&mut self) {
         let params = self.dir.join("params.json");
-        let text = serde_json::to_string(&self.config.params).expect("parameters can be serialized");
+        let text = serde_json::to_string(&self.setup.params).expect("parameters can be serialized");
         std::fs::write(&params, text).expect("the directory is writable");
-        for (n, (role, fencing)) in self.config.engines.clone().into_iter().enumerate() {
+        for (n, (role, fencing)) in self.setup.engines.clone().into_iter().enumerate() {
             let role = serde_json::to_value(role).expect("a role can be serialized");
             let mut args = vec!["--role".to_owned(), role.as_str().unwrap_or_default().to_owned()];
             args.extend(["--params".to_owned(), params.display().to_string()]);
@@ -208,8 +208,8 @@
             }
             self.start_endpoint("engine", &format!("engine-{}", n + 1), args);
         }
-        for n in 1..=self.config.plain_services {
-            let args = vec!["--work-ms".to_owned(), self.config.work_ms.to_string()];
+        for n in 1..=self.setup.plain_services {
+            let args = vec!["--work-ms".to_owned(), self.setup.work_ms.to_string()];
             self.start_endpoint("plain", &format!("plain-{n}"), args);
         }
     }
@@ -242,7 +242,7 @@
             "vm": vm, "hall": hall, "keyspace": "/proof/",
             "caller_address": caller_address, "operator_address": operator_address, "peer_address": peer_address,
             "kv_address": self.kv_address, "vm_list_address": self.vm_list_address,
-            "peer_secret": SECRET, "operator_token": TOKEN,
+            "peer_secret": PEER_SECRET, "operator_token": OPERATOR_TOKEN,
             "timing": {
                 "probe_ms": 60, "peer_call_ms": 400, "suspicion_ms": 600, "list_ms": 100, "list_lag_ms": 1500,
                 "observe_ms": 100, "confirm_ms": 1500, "lease_ms": 2000, "control_ms": 50, "stop_grace_ms": 300,
@@ -250,7 +250,7 @@
             "policy": { "stall_ms": 1500 },
             "log": { "format": "text", "filter": "info" },
         });
-        merge(&mut settings, &self.config.settings);
+        merge(&mut settings, &self.setup.settings);
         let daemon = DaemonProcess { process: None, caller_address, operator_address, peer_address, settings };
         self.daemons.insert(vm.to_owned(), daemon);
     }
@@ -345,18 +345,18 @@
     async fn start_relays(&mut self) {
         let vms: Vec<_> = self.daemons.keys().cloned().collect();
         for vm in &vms {
-            let list_server = VmList::start("127.0.0.1:0").await.expect("a free port is available");
-            let list = start_relay(&list_server.server().address().to_string()).await;
+            let vm_list_server = VmList::start("127.0.0.1:0").await.expect("a free port is available");
+            let vm_list = start_relay(&vm_list_server.server().address().to_string()).await;
             let kv = start_relay(&self.kv_address).await;
             let mut peers = BTreeMap::new();
             for other in vms.iter().filter(|other| *other != vm) {
                 peers.insert(other.clone(), start_relay(&self.daemons[other].peer_address).await);
             }
             let addresses = json!({
-                "kv_address": kv.address().to_string(), "vm_list_address": list.address().to_string(),
+                "kv_address": kv.address().to_string(), "vm_list_address": vm_list.address().to_string(),
             });
             self.merge_settings(vm, &addresses);
-            self.links.insert(vm.clone(), Links { kv, list, list_server, peers });
+            self.links.insert(vm.clone(), Links { kv, vm_list, vm_list_server, peers });
         }
     }
 
@@ -365,7 +365,7 @@
         for (from, links) in &self.links {
             if from == vm {
                 links.kv.set(link);
-                links.list.set(link);
+                links.vm_list.set(link);
             }
             for (to, relay) in &links.peers {
                 if from == vm || to == vm {
@@ -377,11 +377,11 @@
 
     /// Sets only a daemon's link to the platform's list of VMs.
     pub fn set_vm_list_link(&self, vm: &str, link: Link) {
-        self.links[vm].list.set(link);
+        self.links[vm].vm_list.set(link);
     }
 
     /// Sets the platform's list to all VMs, with those in `leaving` marked as leaving.
-    pub async fn set_vms(&self, leaving: &[&str]) {
+    pub async fn set_vm_list(&self, leaving: &[&str]) {
         let list = self.vm_list(leaving, |vm| self.daemons[vm].peer_address.clone());
         self.put_json(&format!("http://{}/vms", self.vm_list_address), &list).await;
         for links in self.links.values() {
@@ -389,7 +389,7 @@
                 Some(relay) => relay.address().to_string(),
                 None => self.daemons[vm].peer_address.clone(),
             };
-            let url = format!("http://{}/vms", links.list_server.server().address());
+            let url = format!("http://{}/vms", links.vm_list_server.server().address());
             self.put_json(&url, &self.vm_list(leaving, address)).await;
         }
     }
@@ -447,7 +447,7 @@
         for (name, endpoint) in &self.endpoints {
             let mut spec = json!({ "address": endpoint.address, "vm": format!("vm-{name}"), "hall": "hall-0" });
             if name.starts_with("engine") {
-                let (role, fencing) = self.config.engines[engine_index(name)];
+                let (role, fencing) = self.setup.engines[engine_index(name)];
                 merge(&mut spec, &json!({ "pool": "catalogue", "role": role, "fencing": fencing }));
             } else {
                 merge(&mut spec, &json!({ "pool": "till", "role": "plain" }));
@@ -484,7 +484,7 @@
         let req = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.daemons[vm].operator_address))
-            .header(AUTHORIZATION, format!("Bearer {TOKEN}"))
+            .header(AUTHORIZATION, format!("Bearer {OPERATOR_TOKEN}"))
             .body(Full::from(Bytes::from(body.map(Value::to_string).unwrap_or_default())))
             .expect("the request is valid");
         let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await?;
@@ -501,8 +501,8 @@
         let body = json!({ "resources": resources });
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let answer = self.operator_call(&vm, "POST", "/v1/apply", Some(&body)).await;
-            if let Ok((status, value)) = &answer {
+            let response = self.operator_call(&vm, "POST", "/v1/apply", Some(&body)).await;
+            if let Ok((status, value)) = &response {
                 if status.is_success() {
                     let accepted: Accepted =
                         serde_json::from_value(value.clone()).expect("the response is an accepted change");
@@ -510,7 +510,7 @@
                 }
                 assert!(status.is_server_error(), "resources rejected: {value}");
             }
-            assert!(Instant::now() < deadline, "resources not accepted in time: {answer:?}\n{}", self.log(&vm));
+            assert!(Instant::now() < deadline, "resources not accepted in time: {response:?}\n{}", self.log(&vm));
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -535,12 +535,12 @@
 
     /// Returns a resource as `vm` shows it.
     pub async fn resource(&self, vm: &str, kind: &str, name: &str) -> Value {
-        let answer = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
-        answer.map(|(_, value)| value).unwrap_or_default()
+        let response = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
+        response.map(|(_, value)| value).unwrap_or_default()
     }
 
     /// Returns all resources of a kind as `vm` shows them.
-    pub async fn list(&self, vm: &str, kind: &str) -> Option<ResourceList> {
+    pub async fn resources_of_kind(&self, vm: &str, kind: &str) -> Option<ResourceList> {
         let (_, value) = self.operator_call(vm, "GET", &format!("/v1/{kind}"), None).await.ok()?;
         serde_json::from_value(value).ok()
     }
@@ -553,8 +553,8 @@
 
     /// Returns whether a daemon is ready.
     pub async fn is_ready(&self, vm: &str) -> bool {
-        let answer = self.operator_call(vm, "GET", "/readyz", None).await;
-        answer.is_ok_and(|(status, _)| status.is_success())
+        let response = self.operator_call(vm, "GET", "/readyz", None).await;
+        response.is_ok_and(|(status, _)| status.is_success())
     }
 
     /// Waits until all running daemons are ready, know each other and have the same configuration.
@@ -637,13 +637,13 @@
         self.client.get(&format!("http://{}/calls", self.kv_address), CALL_TIMEOUT).await.unwrap_or_default()
     }
 
-    /// Waits until `holds` returns true.
+    /// Waits until `condition` returns true.
     ///
     /// # Panics
     /// If it does not in time; prints the logs of the daemons.
-    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) {
+    pub async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
-        while !holds().await {
+        while !condition().await {
             if Instant::now() > deadline {
                 for vm in self.daemons.keys() {
                     eprintln!("--- {vm}\n{}", self.log(vm));
--- a/proofs/src/load.rs
+++ b/proofs/src/load.rs
@@ -136,8 +136,8 @@
 #[must_use]
 pub fn failed_protected(answers: &[(Call, Answer)]) -> Vec<String> {
     let protected = |call: &Call| matches!(call.kind.as_str(), "stock-ping" | "order-confirm" | "counter-answer");
-    let bad = answers.iter().filter(|(call, got)| protected(call) && !(got.outcome == "whole" && got.exact));
-    bad.map(|(call, got)| format!("{} {}: {got:?}", call.kind, call.prompt)).collect()
+    let failed = answers.iter().filter(|(call, got)| protected(call) && !(got.outcome == "whole" && got.exact));
+    failed.map(|(call, got)| format!("{} {}: {got:?}", call.kind, call.prompt)).collect()
 }
 
 struct Worker {
--- a/proofs/src/process.rs
+++ b/proofs/src/process.rs
@@ -48,7 +48,7 @@
 
 /// Returns the processor time of a process in seconds and its resident memory in bytes. Linux only.
 #[must_use]
-pub fn usage(pid: u32) -> (f64, u64) {
+pub fn cpu_and_memory(pid: u32) -> (f64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<_> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
@@ -109,12 +109,12 @@
     }
 
     /// Suspends the process.
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
     /// Resumes a suspended process.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
--- a/proofs/tests/answers.rs
+++ b/proofs/tests/answers.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use proofs::{
-    check::{expect_none, not_run, wrong_answers},
-    cluster::{Cluster, ClusterConfig},
+    check::{expect_none, false_not_run, wrong_answers},
+    cluster::{Cluster, ClusterSetup},
     load::{Load, Mix, call, failed_protected},
 };
 use serde_json::{Value, json};
 use stand_ins::caller::Call;
 
 async fn serve_with_fault(fault: &Value) -> (Cluster, String) {
-    let cluster = Cluster::start(ClusterConfig::default()).await;
+    let cluster = Cluster::start(ClusterSetup::default()).await;
     for engine in ["engine-1", "engine-2"] {
         cluster.inject_endpoint_fault(engine, fault).await;
     }
@@ -26,7 +26,7 @@
     }
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("not run is true", &not_run(&history));
+    expect_none("not run is true", &false_not_run(&history));
     let metrics = cluster.metrics(&vm).await;
     (cluster, metrics)
 }
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn crossed_frames_are_dropped() {
+async fn frames_of_other_requests_are_dropped() {
     let (_cluster, metrics) = serve_with_fault(&json!({ "requests": 100, "cross": true })).await;
     assert!(metrics.contains("why=\"foreign\""), "{metrics}");
 }
@@ -63,7 +63,7 @@
 
 #[tokio::test]
 async fn engines_are_killed_in_turn_during_streams() {
-    let mut cluster = Cluster::start(ClusterConfig::default()).await;
+    let mut cluster = Cluster::start(ClusterSetup::default()).await;
     let caller = cluster.new_caller("caller");
     let mix = Mix { chat_tokens: 120, ..Mix::default() };
     let load = Load::start(&caller, &cluster.caller_addresses(), 6, 41, mix);
@@ -77,7 +77,7 @@
     let answers = load.finish().await;
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("not run is true", &not_run(&history));
+    expect_none("not run is true", &false_not_run(&history));
     expect_none("protected kinds", &failed_protected(&answers));
     let chats: Vec<_> = answers.iter().filter(|(call, _)| call.tokens > 0).collect();
     let whole = chats.iter().filter(|(_, got)| got.outcome == "whole").count();
--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -16,19 +16,19 @@
 use porcupine_rs::{Model, Operation, check_operations};
 use proofs::{
     check::expect_none,
-    cluster::{Cluster, ClusterConfig, SECRET},
+    cluster::{Cluster, ClusterSetup, PEER_SECRET},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 use stand_ins::{history::monotonic_micros, relay::Link};
 
 async fn start(links: bool) -> Cluster {
-    Cluster::start(ClusterConfig {
+    Cluster::start(ClusterSetup {
         daemons: 3,
         engines: Vec::new(),
         plain_services: 1,
         links,
-        ..ClusterConfig::default()
+        ..ClusterSetup::default()
     })
     .await
 }
@@ -153,9 +153,9 @@
     for _ in 0..rounds {
         let body = json!({ "resource_version": based_on, "spec": { "rate": rng.random_range(1..1000) } });
         let call_time = monotonic_micros().cast_signed();
-        let answer = cluster.operator_call(vm, "PUT", "/v1/teams/raced", Some(&body)).await;
+        let response = cluster.operator_call(vm, "PUT", "/v1/teams/raced", Some(&body)).await;
         let return_time = monotonic_micros().cast_signed();
-        let op = match answer {
+        let op = match response {
             Ok((status, value)) if status.is_success() => {
                 let version = value["generation"].as_u64().expect("the response has a generation");
                 accepted.push((return_time.cast_unsigned(), version));
@@ -278,7 +278,7 @@
 }
 
 #[tokio::test]
-async fn the_service_shows_a_stale_copy_after_an_outage() {
+async fn the_key_value_service_returns_stale_values_after_an_outage() {
     let cluster = start(false).await;
     let stop = Arc::new(AtomicBool::new(false));
     let watching = watch_generations(&cluster, &stop);
@@ -347,7 +347,7 @@
 #[tokio::test]
 async fn marks_of_a_holder_without_authority_have_no_effect() {
     let cluster = start(false).await;
-    let client = peer_client(&cluster, "entry-1", SECRET);
+    let client = peer_client(&cluster, "entry-1", PEER_SECRET);
     assert!(client.marks(marks(5, 1, &["plain-1"])).await.expect("the daemon responds").taken);
     assert!(!client.marks(marks(4, 9, &[])).await.expect("the daemon responds").taken, "an older holder");
     assert!(
@@ -392,11 +392,11 @@
     ];
     for body in bodies {
         let req = http::Request::post(format!("http://{}", cluster.daemons["entry-1"].peer_address))
-            .header("authorization", format!("Bearer {SECRET}"))
+            .header("authorization", format!("Bearer {PEER_SECRET}"))
             .header("content-type", "application/json")
             .body(http_body_util::Full::from(bytes::Bytes::from(body)));
-        let (_, answer) = client.fetch(req.expect("the request is valid"), limit).await.expect("the daemon responds");
-        assert!(!String::from_utf8_lossy(&answer).contains("\"result\""), "{body}: {answer:?}");
+        let (_, response) = client.fetch(req.expect("the request is valid"), limit).await.expect("the daemon responds");
+        assert!(!String::from_utf8_lossy(&response).contains("\"result\""), "{body}: {response:?}");
     }
     let metrics = cluster.metrics("entry-1").await;
     assert!(metrics.contains("dahliaseam_refused_calls_total{from=\"peer\""), "{metrics}");
--- a/proofs/tests/once.rs
+++ b/proofs/tests/once.rs
@@ -9,8 +9,8 @@
 };
 
 use proofs::{
-    check::{at_most_once, expect_none, not_run},
-    cluster::{Cluster, ClusterConfig},
+    check::{expect_none, false_not_run, repeated_keys},
+    cluster::{Cluster, ClusterSetup},
     load::{Load, Mix, call},
 };
 use serde_json::json;
@@ -21,17 +21,17 @@
 };
 
 async fn start(work_ms: u64) -> Cluster {
-    Cluster::start(ClusterConfig { engines: Vec::new(), plain_services: 2, work_ms, ..ClusterConfig::default() }).await
+    Cluster::start(ClusterSetup { engines: Vec::new(), plain_services: 2, work_ms, ..ClusterSetup::default() }).await
 }
 
-fn order(n: u64) -> Call {
+fn order_confirm(n: u64) -> Call {
     call("order-confirm", n, &Mix::default())
 }
 
 fn check_history(cluster: &Cluster) {
     let history = cluster.history();
-    expect_none("at most once", &at_most_once(&history));
-    expect_none("not run is true", &not_run(&history));
+    expect_none("at most once", &repeated_keys(&history));
+    expect_none("not run is true", &false_not_run(&history));
 }
 
 #[tokio::test]
@@ -40,14 +40,14 @@
     let caller = cluster.new_caller("caller");
     let addresses = cluster.caller_addresses();
     for n in 0..20 {
-        let order = order(n);
-        let (first, second) = tokio::join!(caller.send(&addresses[0], &order), caller.send(&addresses[1], &order));
+        let call = order_confirm(n);
+        let (first, second) = tokio::join!(caller.send(&addresses[0], &call), caller.send(&addresses[1], &call));
         let whole = |got: &Answer| got.outcome == "whole" && got.exact;
         assert!(whole(&first) || whole(&second), "{first:?} {second:?}");
         for got in [first, second] {
             assert!(whole(&got) || got.outcome == "unknown", "{got:?}");
         }
-        let later = caller.send(&addresses[(n % 2) as usize], &order).await;
+        let later = caller.send(&addresses[(n % 2) as usize], &call).await;
         assert!(whole(&later), "the recorded answer must be returned again: {later:?}");
     }
     check_history(&cluster);
@@ -58,8 +58,8 @@
     let cluster = start(1).await;
     let caller = cluster.new_caller("caller");
     let address = &cluster.caller_addresses()[0];
-    assert_eq!(caller.send(address, &order(1)).await.outcome, "whole");
-    let other = Call { prompt: "another order".into(), ..order(1) };
+    assert_eq!(caller.send(address, &order_confirm(1)).await.outcome, "whole");
+    let other = Call { prompt: "another order".into(), ..order_confirm(1) };
     let got = caller.send(address, &other).await;
     assert_eq!((got.status, got.reason.as_str()), (422, "key_reused"), "{got:?}");
     check_history(&cluster);
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn a_request_without_a_required_key_is_refused() {
     let cluster = start(1).await;
-    let keyless = Call { key: None, ..order(1) };
+    let keyless = Call { key: None, ..order_confirm(1) };
     let got = cluster.new_caller("caller").send(&cluster.caller_addresses()[0], &keyless).await;
     assert_eq!((got.status, got.reason.as_str(), got.outcome.as_str()), (400, "key_missing", "not_run"));
     check_history(&cluster);
@@ -82,10 +82,10 @@
         cluster.inject_endpoint_fault(name, &json!({ "lose_answers": 4 })).await;
     }
     for n in 0..4 {
-        let got = caller.send(&cluster.caller_addresses()[0], &order(n)).await;
+        let got = caller.send(&cluster.caller_addresses()[0], &order_confirm(n)).await;
         // The outcome depends on whether the head of the answer arrived before the connection broke.
         assert!(matches!(got.outcome.as_str(), "ran" | "unknown"), "{got:?}");
-        let again = caller.send(&cluster.caller_addresses()[1], &order(n)).await;
+        let again = caller.send(&cluster.caller_addresses()[1], &order_confirm(n)).await;
         assert_eq!((again.status, &again.outcome), (409, &got.outcome), "{again:?}");
     }
     check_history(&cluster);
@@ -100,7 +100,7 @@
     let tasks: Vec<_> = (0..8)
         .map(|n| {
             let (caller, address) = (caller.clone(), addresses[0].clone());
-            tokio::spawn(async move { caller.send(&address, &order(n)).await })
+            tokio::spawn(async move { caller.send(&address, &order_confirm(n)).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(150)).await;
@@ -111,7 +111,7 @@
     // A retry through another daemon never runs the request again: its outcome is in progress, later
     // unknown.
     for n in 0..8 {
-        let got = caller.send(&addresses[1], &order(n)).await;
+        let got = caller.send(&addresses[1], &order_confirm(n)).await;
         assert!(got.outcome == "unknown" || got.outcome == "whole", "{got:?}");
     }
     cluster.start_daemon(&vms[0]);
@@ -119,7 +119,7 @@
     for n in 0..8 {
         cluster
             .wait_until("the outcome is final after the claim's owner is known to have terminated", async || {
-                let got = caller.send(&addresses[1], &order(n)).await;
+                let got = caller.send(&addresses[1], &order_confirm(n)).await;
                 got.reason == "key_used" || got.outcome == "whole"
             })
             .await;
@@ -134,7 +134,7 @@
     let addresses = cluster.caller_addresses();
     cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     for n in 0..6 {
-        let got = caller.send(&addresses[(n % 2) as usize], &order(n)).await;
+        let got = caller.send(&addresses[(n % 2) as usize], &order_confirm(n)).await;
         assert_eq!((got.outcome.as_str(), got.reason.as_str()), ("not_run", "claims_unavailable"), "{got:?}");
         assert!(got.retry_after_ms.is_some());
         // Requests that need no claim are still served.
@@ -144,14 +144,14 @@
     cluster.inject_fault(&cluster.kv_address, &json!({ "lose_answers": 5, "slow_ms": 10 })).await;
     cluster
         .wait_until("orders are accepted again", async || {
-            let got = caller.send(&addresses[0], &order(100)).await;
+            let got = caller.send(&addresses[0], &order_confirm(100)).await;
             got.outcome == "whole"
         })
         .await;
     for n in 0..6 {
         cluster
             .wait_until("the refused order runs", async || {
-                caller.send(&addresses[(n % 2) as usize], &order(n)).await.outcome == "whole"
+                caller.send(&addresses[(n % 2) as usize], &order_confirm(n)).await.outcome == "whole"
             })
             .await;
     }
@@ -203,8 +203,8 @@
             }
             count.fetch_add(1, Ordering::SeqCst);
             if matches!(close_time, CloseTime::AfterResponse) {
-                let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nyes\n";
-                let _ = stream.write_all(answer).await;
+                let response = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nyes\n";
+                let _ = stream.write_all(response).await;
             }
         }
     });
@@ -215,11 +215,11 @@
 async fn connections_close_before_during_and_after_the_write() {
     for close_time in [CloseTime::OnAccept, CloseTime::DuringRequest, CloseTime::AfterRequest, CloseTime::AfterResponse]
     {
-        let cluster = Cluster::start(ClusterConfig {
+        let cluster = Cluster::start(ClusterSetup {
             engines: Vec::new(),
             plain_services: 0,
             daemons: 1,
-            ..ClusterConfig::default()
+            ..ClusterSetup::default()
         })
         .await;
         let (address, received) = raw_endpoint(close_time).await;
@@ -228,7 +228,7 @@
         let caller = cluster.new_caller("caller");
         for n in 0..3 {
             let before = received.load(Ordering::SeqCst);
-            let got = caller.send(&cluster.caller_addresses()[0], &order(n)).await;
+            let got = caller.send(&cluster.caller_addresses()[0], &order_confirm(n)).await;
             let ran = received.load(Ordering::SeqCst) > before;
             assert!(!(ran && got.outcome == "not_run"), "{close_time:?}: {got:?}");
             if matches!(close_time, CloseTime::AfterResponse) && got.reason != "too_late" {
--- a/proofs/tests/orders.rs
+++ b/proofs/tests/orders.rs
@@ -4,8 +4,8 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{cut_requests, expect_none, orders, orders_with_crashes},
-    cluster::{Cluster, ClusterConfig, WAIT_TIMEOUT},
+    check::{aborted_requests, conflicting_orders, conflicting_orders_with_crashes, expect_none},
+    cluster::{Cluster, ClusterSetup, WAIT_TIMEOUT},
 };
 use serde_json::json;
 
@@ -13,8 +13,8 @@
     [(Role::Mixed, Fencing::Checks), (Role::Mixed, Fencing::Ignores), (Role::Mixed, Fencing::Checks)];
 
 async fn start() -> Cluster {
-    let config = ClusterConfig { daemons: 3, engines: ENGINES.to_vec(), plain_services: 1, ..ClusterConfig::default() };
-    Cluster::start(config).await
+    let setup = ClusterSetup { daemons: 3, engines: ENGINES.to_vec(), plain_services: 1, ..ClusterSetup::default() };
+    Cluster::start(setup).await
 }
 
 fn other_than(cluster: &Cluster, vm: &str) -> String {
@@ -44,8 +44,8 @@
         cluster.wait_until_ready().await;
     }
     let history = cluster.history();
-    expect_none("orders", &orders(&history));
-    expect_none("cuts", &cut_requests(&history));
+    expect_none("orders", &conflicting_orders(&history));
+    expect_none("cuts", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -59,7 +59,7 @@
     cluster.wait_for_role("engine-1", Role::Prefill).await;
     cluster.wait_for_role("engine-2", Role::Prefill).await;
 
-    cluster.daemon(&holder).freeze();
+    cluster.daemon(&holder).suspend();
     cluster
         .wait_until("another daemon holds the shard", async || {
             cluster.shard_holder(&other).await.is_some_and(|vm| vm != holder)
@@ -79,11 +79,11 @@
     let status = cluster.engine_status("engine-2").await.expect("the engine responds");
     assert_eq!(status.role, Role::Prefill);
 
-    cluster.daemon(&holder).thaw();
+    cluster.daemon(&holder).resume();
     cluster.wait_for_role("engine-2", Role::Decode).await;
     let history = cluster.history();
-    expect_none("orders", &orders(&history));
-    expect_none("cuts", &cut_requests(&history));
+    expect_none("orders", &conflicting_orders(&history));
+    expect_none("cuts", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -97,7 +97,7 @@
     cluster.fix_roles(&holder, &roles(Role::Decode)).await;
     cluster.wait_for_role("engine-1", Role::Decode).await;
     cluster.wait_for_role("engine-2", Role::Decode).await;
-    expect_none("orders", &orders_with_crashes(&cluster.history()));
+    expect_none("orders", &conflicting_orders_with_crashes(&cluster.history()));
 }
 
 #[tokio::test]
@@ -118,8 +118,8 @@
         cluster.inject_fault(&kv, &json!({})).await;
     }
     let history = cluster.history();
-    expect_none("orders", &orders(&history));
-    expect_none("cuts", &cut_requests(&history));
+    expect_none("orders", &conflicting_orders(&history));
+    expect_none("cuts", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -132,7 +132,7 @@
     }
     cluster.fix_roles(&holder, &roles(Role::Prefill)).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
-    cluster.daemon(&holder).freeze();
+    cluster.daemon(&holder).suspend();
     let other = other_than(&cluster, &holder);
     cluster
         .wait_until("another daemon holds the shard", async || {
@@ -141,13 +141,13 @@
         .await;
     cluster.wait_for_role("engine-1", Role::Prefill).await;
     cluster.daemon(&holder).terminate();
-    cluster.daemon(&holder).thaw();
+    cluster.daemon(&holder).resume();
     let status = cluster.daemon(&holder).wait(WAIT_TIMEOUT).await;
     assert!(status.success());
     cluster.wait_for_role("engine-2", Role::Prefill).await;
     let history = cluster.history();
-    expect_none("orders", &orders(&history));
-    expect_none("cuts", &cut_requests(&history));
+    expect_none("orders", &conflicting_orders(&history));
+    expect_none("cuts", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -165,7 +165,7 @@
     for n in 1..=3 {
         cluster.add_daemon(&format!("next-{n}"), "hall-1");
     }
-    cluster.set_vms(&[]).await;
+    cluster.set_vm_list(&[]).await;
     for n in 1..=3 {
         cluster.start_daemon(&format!("next-{n}"));
     }
@@ -174,5 +174,5 @@
     cluster.fix_roles(&holder, &roles(Role::Decode)).await;
     cluster.wait_for_role("engine-1", Role::Decode).await;
     cluster.wait_for_role("engine-2", Role::Decode).await;
-    expect_none("orders", &orders(&cluster.history()));
+    expect_none("orders", &conflicting_orders(&cluster.history()));
 }
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -7,8 +7,10 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{at_most_once, cut_requests, expect_none, late_starts, not_run, orders, wrong_answers},
-    cluster::{Cluster, ClusterConfig, WAIT_TIMEOUT},
+    check::{
+        aborted_requests, conflicting_orders, expect_none, false_not_run, late_starts, repeated_keys, wrong_answers,
+    },
+    cluster::{Cluster, ClusterSetup, WAIT_TIMEOUT},
     load::{Load, Mix, call, failed_protected},
 };
 use serde_json::json;
@@ -30,17 +32,17 @@
         (Role::Mixed, Fencing::Checks),
         (Role::Mixed, Fencing::Checks),
     ];
-    Cluster::start(ClusterConfig { daemons, engines, links, ..ClusterConfig::default() }).await
+    Cluster::start(ClusterSetup { daemons, engines, links, ..ClusterSetup::default() }).await
 }
 
 fn check_history(cluster: &Cluster, answers: &[(Call, Answer)]) {
     let history = cluster.history();
-    expect_none("cuts", &cut_requests(&history));
+    expect_none("cuts", &aborted_requests(&history));
     expect_none("protected kinds", &failed_protected(answers));
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("not run is true", &not_run(&history));
-    expect_none("at most once", &at_most_once(&history));
-    expect_none("orders", &orders(&history));
+    expect_none("not run is true", &false_not_run(&history));
+    expect_none("at most once", &repeated_keys(&history));
+    expect_none("orders", &conflicting_orders(&history));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
     assert!(lost.is_empty(), "cut by a planned change: {lost:?}");
 }
@@ -52,7 +54,7 @@
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 3, Mix::default());
     // Keeps requests of a protected kind running at every engine.
     let protected = Mix { chat_tokens: 120, only_kind: Some("counter-answer"), ..Mix::default() };
-    let busy = Load::start(&caller, &cluster.caller_addresses(), 2 * CALLERS, 30, protected);
+    let protected_load = Load::start(&caller, &cluster.caller_addresses(), 2 * CALLERS, 30, protected);
     let resources = [
         json!({ "kind": "version", "name": "catalogue-7b-r4",
             "spec": { "model": "catalogue-7b", "artifact": "catalogue-7b/r4" } }),
@@ -75,7 +77,7 @@
         })
         .await;
     let mut answers = load.finish().await;
-    answers.extend(busy.finish().await);
+    answers.extend(protected_load.finish().await);
     check_history(&cluster, &answers);
 }
 
@@ -107,7 +109,7 @@
     cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     cluster.set_vm_list_link("entry-2", Link::Cut);
     cluster.set_daemon_links("entry-3", Link::Cut);
-    cluster.set_vms(&["vm-plain-1", "vm-engine-1"]).await;
+    cluster.set_vm_list(&["vm-plain-1", "vm-engine-1"]).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
     let since = monotonic_micros();
     load.wait_for_requests(100).await;
@@ -120,9 +122,9 @@
     let answers = load.finish().await;
     expect_none("leaving", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
     // Orders need the key-value service, which is down, so they are refused as not run.
-    expect_none("not run is true", &not_run(&cluster.history()));
-    let cut: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
-    assert!(cut.is_empty(), "{cut:?}");
+    expect_none("not run is true", &false_not_run(&cluster.history()));
+    let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
+    assert!(lost.is_empty(), "{lost:?}");
 }
 
 #[tokio::test]
@@ -177,7 +179,7 @@
     let caller = cluster.new_caller("caller");
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 8, Mix::default());
     load.wait_for_requests(30).await;
-    cluster.set_vms(&["entry-2"]).await;
+    cluster.set_vm_list(&["entry-2"]).await;
     let status = cluster.daemon("entry-2").wait(WAIT_TIMEOUT).await;
     assert!(status.success(), "{status}\n{}", cluster.log("entry-2"));
     load.wait_for_requests(30).await;
--- a/proofs/tests/whole_path.rs
+++ b/proofs/tests/whole_path.rs
@@ -2,14 +2,14 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{at_most_once, expect_none, not_run, wrong_answers},
-    cluster::{Cluster, ClusterConfig},
+    check::{expect_none, false_not_run, repeated_keys, wrong_answers},
+    cluster::{Cluster, ClusterSetup},
     load::{KINDS, Mix, call},
 };
 
 #[tokio::test]
 async fn every_kind_is_answered_whole_through_every_daemon() {
-    let cluster = Cluster::start(ClusterConfig::default()).await;
+    let cluster = Cluster::start(ClusterSetup::default()).await;
     let caller = cluster.new_caller("caller");
     let mut n = 0;
     for address in cluster.caller_addresses() {
@@ -23,17 +23,17 @@
     }
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("at most once", &at_most_once(&history));
-    expect_none("not run is true", &not_run(&history));
+    expect_none("at most once", &repeated_keys(&history));
+    expect_none("not run is true", &false_not_run(&history));
 }
 
 #[tokio::test]
 async fn a_prefill_engine_processes_the_prompt_and_its_cache_is_transferred() {
-    let config = ClusterConfig {
+    let setup = ClusterSetup {
         engines: vec![(Role::Prefill, Fencing::Checks), (Role::Decode, Fencing::Checks)],
-        ..ClusterConfig::default()
+        ..ClusterSetup::default()
     };
-    let cluster = Cluster::start(config).await;
+    let cluster = Cluster::start(setup).await;
     let caller = cluster.new_caller("caller");
     let vm = cluster.daemons.keys().next().expect("the cluster has a daemon").clone();
     let mix = Mix { prompt_bytes: 4_000, ..Mix::default() };
@@ -48,7 +48,7 @@
 
 #[tokio::test]
 async fn any_daemon_returns_the_record_of_a_request_that_another_accepted() {
-    let cluster = Cluster::start(ClusterConfig::default()).await;
+    let cluster = Cluster::start(ClusterSetup::default()).await;
     let caller = cluster.new_caller("caller");
     let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
     let got = caller.send(&cluster.daemons[&vms[0]].caller_address, &call("chat-reply", 1, &Mix::default())).await;
