--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -137,7 +137,7 @@
     let tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
     let quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 1e9, burst: 1e9 };
     let mut client = QuotaClient::default();
-    let mut shard_state = Shard::taken_over(Time(0));
+    let mut owned_shard = Shard::taken_over(Time(0));
     let mut n = 0;
     c.bench_function("quota of a request", |b| {
         b.iter(|| {
@@ -146,7 +146,7 @@
             let terms = ShardTerms::split(&quota, &tolerance);
             let need = CreditNeed { team: "team", terms: &terms, cost: 12_024, tie_breaker: n };
             let Next::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
-            if let Answer::Granted { left } = shard_state.take("team", &terms, need.cost, now) {
+            if let Answer::Granted { left } = owned_shard.take("team", &terms, need.cost, now) {
                 client.record_level("team", shard, left, &terms, now);
             }
         });
--- a/experiments/examples/footprint.rs
+++ b/experiments/examples/footprint.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn probe(news: usize, loads: usize) -> Probe {
+fn probe(updates: usize, loads: usize) -> Probe {
     let update = |n| Update { contact: contact(n), start: 1_796_000_000_000, refutation: 0, health: Health::Alive };
     let load = |n: usize| EndpointLoad {
         endpoint: dahliaseam_core::hash::bytes(format!("engine-{n}").as_bytes()),
@@ -37,7 +37,7 @@
     };
     Probe {
         from: contact(0),
-        updates: (0..news).map(update).collect(),
+        updates: (0..updates).map(update).collect(),
         digest: Digest::default(),
         closed_vms: Vec::new(),
         loads: (0..loads).map(load).collect(),
@@ -50,9 +50,9 @@
 
 /// Returns the resident memory of this process, in bytes. Linux only.
 fn resident_bytes() -> usize {
-    const PAGE: usize = 4_096;
+    const PAGE_BYTES: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE
+    text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
 fn document(endpoints: usize) -> Document {
--- a/experiments/examples/policy.rs
+++ b/experiments/examples/policy.rs
@@ -54,13 +54,13 @@
     setup: Setup,
 }
 
-struct Bench {
+struct Experiment {
     seeds: u64,
     seconds: f64,
     params: ModelParams,
 }
 
-impl Bench {
+impl Experiment {
     fn setup(&self, user: User, load: f64, policy: PolicyKind) -> Setup {
         Setup {
             workload: Workload { user, load, engines: ENGINES, seconds: self.seconds, mix_period: MIX_PERIOD },
@@ -98,12 +98,12 @@
             ("reports 0.5 s late", lag(0.5), Fault::None),
             ("reports 2 s late", lag(2.0), Fault::None),
             ("reports 10 s late", lag(10.0), Fault::None),
-            ("a third withdrawn", self.params, Fault::Withdrawn),
+            ("a third withdrawn", self.params, Fault::EnginesDrained),
             ("a hall lost for 30 s", self.params, Fault::EnginesCrashed),
             ("a daemon deaf for 20 s", self.params, Fault::ReportsLost),
         ];
         for (name, params, fault) in cases {
-            for policy in [PolicyKind::LeastReported, PolicyKind::TwoChoices, PolicyKind::Product] {
+            for policy in [PolicyKind::LeastReported, PolicyKind::TwoChoices, PolicyKind::Dahliaseam] {
                 let setup = Setup { params, fault, ..self.setup(User::Fjordkjede, 0.9, policy) };
                 tasks.push(Task { scenario: name.to_owned(), policy: policy.name().to_owned(), x: 0.0, setup });
             }
@@ -135,7 +135,8 @@
         for user in User::ALL {
             for load in [0.8, 1.2] {
                 for (name, roles, planner) in modes {
-                    let setup = Setup { roles: roles.clone(), planner, ..self.setup(user, load, PolicyKind::Product) };
+                    let setup =
+                        Setup { roles: roles.clone(), planner, ..self.setup(user, load, PolicyKind::Dahliaseam) };
                     let scenario = format!("{} at {load}", user.name());
                     tasks.push(Task { scenario, policy: name.to_owned(), x: load, setup });
                 }
@@ -181,13 +182,14 @@
         Some(path) => serde_json::from_slice(&std::fs::read(path)?)?,
         None => ModelParams::default(),
     };
-    let bench = Bench { seeds: args.seeds, seconds: args.seconds, params };
+    let experiment = Experiment { seeds: args.seeds, seconds: args.seconds, params };
     let is_selected = |part: &str| args.parts.is_empty() || args.parts.iter().any(|p| p == part);
-    for (part, tasks) in [("loads", bench.loads()), ("faults", bench.faults()), ("roles", bench.roles())] {
+    for (part, tasks) in [("loads", experiment.loads()), ("faults", experiment.faults()), ("roles", experiment.roles())]
+    {
         if !is_selected(part) {
             continue;
         }
-        let cells = bench.run(tasks);
+        let cells = experiment.run(tasks);
         println!("## {part}: {} seeds of {} s, {ENGINES} engines, {DAEMONS} daemons\n", args.seeds, args.seconds);
         println!("{}", table(&cells));
         let Some(dir) = &args.out else { continue };
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -96,10 +96,10 @@
             };
             tried.push(shard);
             self.messages += 2;
-            let Some((_, owned)) = self.shards.iter_mut().find(|(of, _)| *of == shard) else {
+            let Some((_, owned_shard)) = self.shards.iter_mut().find(|(number, _)| *number == shard) else {
                 return false;
             };
-            let (granted, left) = match owned.take(TEAM, &self.terms, cost, now) {
+            let (granted, left) = match owned_shard.take(TEAM, &self.terms, cost, now) {
                 Answer::Granted { left } => (true, left),
                 Answer::Denied { left } => (false, left),
             };
--- a/experiments/src/bound.rs
+++ b/experiments/src/bound.rs
@@ -15,7 +15,7 @@
 #[must_use]
 pub fn max_goodput(arrivals: &[Arrival], user: User, engines: usize, seconds: f64, params: &ModelParams) -> f64 {
     let kinds = user.kinds();
-    let slack = kinds.iter().map(|k| k.deadline).fold(0.0, f64::max);
+    let longest_deadline = kinds.iter().map(|k| k.deadline).fold(0.0, f64::max);
     let mut seen = HashSet::new();
     let mut jobs: Vec<(f64, f64)> = arrivals
         .iter()
@@ -26,7 +26,7 @@
         })
         .collect();
     jobs.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
-    let mut remaining = engines as f64 * (seconds + slack);
+    let mut remaining = engines as f64 * (seconds + longest_deadline);
     let mut total = 0.0;
     for (weight, cost) in jobs {
         let fraction = (remaining / cost).min(1.0);
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -44,7 +44,7 @@
         now: Time,
     ) -> Option<(usize, Role)> {
         let sum = |part: fn(&AverageDemand) -> Demand| demands.iter().map(part).fold(Demand::default(), Demand::plus);
-        let demand = AverageDemand { short: sum(|o| o.short), long: sum(|o| o.long) };
+        let demand = AverageDemand { short: sum(|d| d.short), long: sum(|d| d.long) };
         let mut counts = RoleCounts::default();
         for (engine, role) in roles.iter().enumerate() {
             let role = match self.in_progress[engine] {
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -28,7 +28,7 @@
     /// Refuse a request.
     Refuse(usize),
     /// Cancel a request at its engine.
-    Stop(usize),
+    Cancel(usize),
 }
 
 /// Policy under test. Each call concerns one daemon.
@@ -68,13 +68,13 @@
     /// The policy of dahliaseam, without early refusal.
     NoAdmission,
     /// The policy of dahliaseam.
-    Product,
+    Dahliaseam,
 }
 
 impl PolicyKind {
     /// All kinds.
     pub const ALL: [Self; 5] =
-        [Self::RoundRobin, Self::LeastReported, Self::TwoChoices, Self::NoAdmission, Self::Product];
+        [Self::RoundRobin, Self::LeastReported, Self::TwoChoices, Self::NoAdmission, Self::Dahliaseam];
 
     /// Name in reports.
     #[must_use]
@@ -84,7 +84,7 @@
             Self::LeastReported => "least by report",
             Self::TwoChoices => "two choices",
             Self::NoAdmission => "no admission",
-            Self::Product => "dahliaseam",
+            Self::Dahliaseam => "dahliaseam",
         }
     }
 
@@ -92,10 +92,10 @@
     #[must_use]
     pub fn build(self, daemons: usize, roles: &[Role], params: &ModelParams, seed: u64) -> Box<dyn RoutingPolicy> {
         match self {
-            Self::Product => Box::new(Product::new(daemons, roles, params, seed, Policy::default())),
+            Self::Dahliaseam => Box::new(DahliaseamPolicy::new(daemons, roles, params, seed, Policy::default())),
             Self::NoAdmission => {
                 let policy = Policy { admission: false, queue_limit: usize::MAX, ..Policy::default() };
-                Box::new(Product::new(daemons, roles, params, seed, policy))
+                Box::new(DahliaseamPolicy::new(daemons, roles, params, seed, policy))
             }
             _ => Box::new(Baseline::new(self, daemons, roles, seed)),
         }
@@ -114,12 +114,12 @@
 
 /// The policy of dahliaseam, with a dispatcher for each daemon.
 #[derive(Debug)]
-pub struct Product {
+pub struct DahliaseamPolicy {
     daemons: Vec<Daemon>,
     keys: Vec<Option<RequestKey>>,
 }
 
-impl Product {
+impl DahliaseamPolicy {
     /// Creates dispatchers for the given number of daemons.
     #[must_use]
     pub fn new(daemons: usize, roles: &[Role], params: &ModelParams, seed: u64, policy: Policy) -> Self {
@@ -154,7 +154,7 @@
                 Action::Refuse { request, .. } => {
                     commands.extend(daemon.requests.remove(request).map(Command::Refuse));
                 }
-                Action::Stop { request, .. } => commands.push(Command::Stop(daemon.requests[request])),
+                Action::Stop { request, .. } => commands.push(Command::Cancel(daemon.requests[request])),
             }
         }
         commands
@@ -165,7 +165,7 @@
     }
 }
 
-impl RoutingPolicy for Product {
+impl RoutingPolicy for DahliaseamPolicy {
     fn request_arrived(
         &mut self,
         daemon: usize,
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -37,7 +37,7 @@
     /// No fault.
     None,
     /// A third of the engines is withdrawn as planned, after a third of the run.
-    Withdrawn,
+    EnginesDrained,
     /// A third of the engines crashes after a third of the run, and is unavailable for 30 s.
     EnginesCrashed,
     /// One daemon receives no reports for 20 s.
@@ -92,7 +92,7 @@
     Step(usize, u64),
     Report(usize),
     ReportReceived { daemon: usize, engine: usize, load: LoadReport, at: f64 },
-    Import { request: usize, engine: usize, generation: u32 },
+    Import { request: usize, engine: usize, attempt: u32 },
     Tick(usize),
     Plan,
     RoleChangeDone(usize),
@@ -125,7 +125,7 @@
 struct RequestState {
     daemon: usize,
     /// Number of the current attempt, by which events of earlier ones are recognized.
-    generation: u32,
+    attempt: u32,
     engine: Option<usize>,
     prefill: Option<usize>,
     tokens: u32,
@@ -139,13 +139,13 @@
     is_unavailable: bool,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     setup: &'a Setup,
     arrivals: Vec<Arrival>,
     routing: Box<dyn RoutingPolicy>,
     engines: Vec<Engine>,
     requests: Vec<RequestState>,
-    roles: Option<RolePlanner>,
+    role_planner: Option<RolePlanner>,
     events: BinaryHeap<Reverse<Event>>,
     /// Sequence number of the last scheduled event, which orders events at the same time.
     sequence: u64,
@@ -169,11 +169,11 @@
         step: 0,
         is_unavailable: false,
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         routing: setup.policy.build(setup.daemons, &setup.roles, &setup.params, setup.seed),
         engines: setup.roles.iter().map(engine).collect(),
         requests: vec![RequestState::default(); arrivals.len()],
-        roles: setup.planner.map(|(settings, rates)| RolePlanner::new(settings, rates, setup.roles.len())),
+        role_planner: setup.planner.map(|(settings, rates)| RolePlanner::new(settings, rates, setup.roles.len())),
         events: BinaryHeap::new(),
         sequence: 0,
         now: 0.0,
@@ -185,11 +185,11 @@
         arrivals,
         setup,
     };
-    world.run_events();
-    world.finish()
+    simulation.run_events();
+    simulation.finish()
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn run_events(&mut self) {
         let end = self.setup.workload.seconds + DRAIN_TIME;
         for daemon in 0..self.setup.daemons {
@@ -206,12 +206,12 @@
         if self.setup.fault != Fault::None {
             self.schedule(self.setup.workload.seconds / 3.0, EventKind::Fault);
         }
-        while let Some(Reverse(due)) = self.events.pop() {
-            if due.at > end {
+        while let Some(Reverse(event)) = self.events.pop() {
+            if event.at > end {
                 break;
             }
-            self.now = due.at;
-            self.handle(due.kind);
+            self.now = event.at;
+            self.handle(event.kind);
         }
     }
 
@@ -235,7 +235,7 @@
                     self.routing.report(daemon, engine, load, Time::default() + Span::seconds(at + 1.0));
                 }
             }
-            EventKind::Import { request, engine, generation } => self.import(request, engine, generation),
+            EventKind::Import { request, engine, attempt } => self.import(request, engine, attempt),
             EventKind::Tick(daemon) => {
                 let commands = self.routing.tick(daemon, self.time());
                 self.execute(commands);
@@ -271,7 +271,7 @@
                     self.requests[request].is_finished = true;
                     self.outcome.refused += 1;
                 }
-                Command::Stop(request) => {
+                Command::Cancel(request) => {
                     self.cancel_jobs(request);
                     commands.extend(self.attempt_ended(request, AttemptEnd::Cancelled));
                 }
@@ -280,16 +280,16 @@
     }
 
     fn send(&mut self, request: usize, engine: usize, prefill: Option<usize>) -> Vec<Command> {
-        let at = prefill.unwrap_or(engine);
-        if self.engines[engine].is_unavailable || self.engines[at].is_unavailable {
+        let first_engine = prefill.unwrap_or(engine);
+        if self.engines[engine].is_unavailable || self.engines[first_engine].is_unavailable {
             return self.attempt_ended(request, AttemptEnd::NotSent);
         }
         let state = &mut self.requests[request];
-        state.generation += 1;
+        state.attempt += 1;
         state.engine = Some(engine);
         state.prefill = prefill;
         let job = self.job(request, prefill.is_some(), false);
-        self.submit_job(at, job);
+        self.submit_job(first_engine, job);
         Vec::new()
     }
 
@@ -341,7 +341,7 @@
                     self.routing.token(daemon, request, now);
                 }
                 StepEvent::Done(id) if id & PREFILL_BIT != 0 => self.prompt_done((id ^ PREFILL_BIT) as usize),
-                StepEvent::Done(id) => self.done(id as usize),
+                StepEvent::Done(id) => self.request_done(id as usize),
             }
         }
         self.start_step(engine);
@@ -351,12 +351,12 @@
         let state = self.requests[request];
         let Some(engine) = state.engine else { return };
         let seconds = TRANSFER_BASE + TRANSFER_PER_KTOKEN * f64::from(self.arrivals[request].prompt) / 1_000.0;
-        self.schedule(seconds, EventKind::Import { request, engine, generation: state.generation });
+        self.schedule(seconds, EventKind::Import { request, engine, attempt: state.attempt });
     }
 
-    fn import(&mut self, request: usize, engine: usize, generation: u32) {
+    fn import(&mut self, request: usize, engine: usize, attempt: u32) {
         let state = self.requests[request];
-        if state.generation != generation || state.is_finished || state.engine != Some(engine) {
+        if state.attempt != attempt || state.is_finished || state.engine != Some(engine) {
             return;
         }
         if self.engines[engine].is_unavailable {
@@ -369,7 +369,7 @@
         self.submit_job(engine, job);
     }
 
-    fn done(&mut self, request: usize) {
+    fn request_done(&mut self, request: usize) {
         let arrival = self.arrivals[request];
         let kind = self.setup.workload.user.kinds()[arrival.kind];
         self.requests[request].is_finished = true;
@@ -392,7 +392,7 @@
 
     fn cancel_jobs(&mut self, request: usize) {
         let state = &mut self.requests[request];
-        state.generation += 1;
+        state.attempt += 1;
         let (engine, prefill) = (state.engine.take(), state.prefill.take());
         for engine in engine.into_iter().chain(prefill) {
             self.engines[engine].model.cancel(request as u64);
@@ -415,29 +415,29 @@
 
     fn plan(&mut self) {
         let now = self.time();
-        let Some(mut roles) = self.roles.take() else { return };
+        let Some(mut planner) = self.role_planner.take() else { return };
         let demands: Vec<_> = (0..self.setup.daemons).filter_map(|d| self.routing.demand(d, now)).collect();
-        let present: Vec<_> = self.engines.iter().map(|e| e.model.role()).collect();
+        let current_roles: Vec<_> = self.engines.iter().map(|e| e.model.role()).collect();
         let running: Vec<_> = self.engines.iter().map(|e| e.model.load().running).collect();
-        if let Some((engine, _)) = roles.decide(&present, &running, &demands, now) {
-            self.set_state_at_daemons(engine, false, present[engine]);
+        if let Some((engine, _)) = planner.decide(&current_roles, &running, &demands, now) {
+            self.set_state_at_daemons(engine, false, current_roles[engine]);
         }
         for engine in 0..self.engines.len() {
             let load = self.engines[engine].model.load();
-            if let Some(Stage::Draining(role)) = roles.in_progress[engine]
+            if let Some(Stage::Draining(role)) = planner.in_progress[engine]
                 && load.running + load.waiting == 0
             {
                 self.engines[engine].is_unavailable = true;
                 let change_seconds = self.setup.params.change_seconds;
-                roles.in_progress[engine] = Some(Stage::Changing(role, self.now + change_seconds));
+                planner.in_progress[engine] = Some(Stage::Changing(role, self.now + change_seconds));
                 self.schedule(change_seconds, EventKind::RoleChangeDone(engine));
             }
         }
-        self.roles = Some(roles);
+        self.role_planner = Some(planner);
     }
 
     fn finish_role_change(&mut self, engine: usize) {
-        let stage = self.roles.as_mut().and_then(|r| r.in_progress[engine].take());
+        let stage = self.role_planner.as_mut().and_then(|r| r.in_progress[engine].take());
         if let Some(Stage::Changing(role, _)) = stage {
             self.engines[engine].is_unavailable = false;
             self.engines[engine].model.change_role(role);
@@ -452,21 +452,21 @@
         }
     }
 
-    fn affected_engines(&self) -> usize {
+    fn affected_engine_count(&self) -> usize {
         self.engines.len() / 3
     }
 
     fn fault(&mut self) {
         match self.setup.fault {
             Fault::None => {}
-            Fault::Withdrawn => {
-                for engine in 0..self.affected_engines() {
+            Fault::EnginesDrained => {
+                for engine in 0..self.affected_engine_count() {
                     let role = self.engines[engine].model.role();
                     self.set_state_at_daemons(engine, false, role);
                 }
             }
             Fault::EnginesCrashed => {
-                for engine in 0..self.affected_engines() {
+                for engine in 0..self.affected_engine_count() {
                     self.crash(engine);
                 }
                 self.schedule(30.0, EventKind::FaultEnd);
@@ -492,7 +492,7 @@
     fn end_fault(&mut self) {
         self.daemon_without_reports = None;
         if self.setup.fault == Fault::EnginesCrashed {
-            for engine in 0..self.affected_engines() {
+            for engine in 0..self.affected_engine_count() {
                 self.engines[engine].is_unavailable = false;
             }
         }
@@ -510,7 +510,7 @@
             &self.setup.params,
         );
         self.outcome.wasted = self.token_counts.1 as f64 / self.token_counts.0.max(1) as f64;
-        self.outcome.changes = self.roles.as_ref().map_or(0, |r| r.changes);
+        self.outcome.changes = self.role_planner.as_ref().map_or(0, |r| r.changes);
         self.outcome
     }
 }
