--- a/proofs/src/check.rs
+++ b/proofs/src/check.rs
@@ -56,8 +56,8 @@
     violations
 }
 
-/// Like [`conflicting_orders`], but permits further orders after one that was never completed, because the
-/// engine may have crashed and restarted.
+/// Like [`conflicting_orders`], but permits further orders after one that was never completed,
+/// because the engine may have crashed and restarted.
 #[must_use]
 pub fn conflicting_orders_with_crashes(history: &[Entry]) -> Violations {
     conflicting_orders(history).into_iter().filter(|violation| !violation.contains("was carried out")).collect()
@@ -85,7 +85,7 @@
     wrong.collect()
 }
 
-/// Checks that no endpoint ran a request that was refused as not run.
+/// Checks that no endpoint ran a request whose caller was told that it was not run.
 #[must_use]
 pub fn false_not_run(history: &[Entry]) -> Violations {
     let ran: HashSet<&str> = history
@@ -106,7 +106,7 @@
     contradicted.collect()
 }
 
-/// Checks that no idempotency key ran more than once.
+/// Checks that no request with an idempotency key ran more than once.
 #[must_use]
 pub fn repeated_keys(history: &[Entry]) -> Violations {
     let mut runs: HashMap<&str, usize> = HashMap::new();
--- a/proofs/src/lib.rs
+++ b/proofs/src/lib.rs
@@ -1,7 +1,8 @@
-//! Process tests and history checks.
+//! Tests and measurements of the daemons as real processes.
 //!
-//! [`cluster`] starts the daemons and the stand-ins as processes on loopback and brings failures
-//! about; [`load`] sends requests meanwhile; [`check`] reads the histories afterwards.
+//! [`cluster`] starts the daemons and the stand-ins as processes on loopback and injects faults;
+//! [`load`] sends requests meanwhile. Callers and endpoints record what they see in histories,
+//! which [`check`] examines afterwards.
 
 pub mod check;
 pub mod cluster;
--- a/proofs/src/load.rs
+++ b/proofs/src/load.rs
@@ -15,16 +15,16 @@
 /// Maximum number of requests of one caller, so that the load always ends.
 const MAX_CALLS_PER_CALLER: u64 = 5_000;
 
-/// Requests that callers send.
+/// Parameters of the requests that callers send.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
     /// Pause between two requests of a caller, in milliseconds.
     pub pause_ms: u64,
     /// Size of a catalogue query's prompt, in bytes.
     pub prompt_bytes: usize,
-    /// Number of tokens of a chat reply.
+    /// Number of output tokens of a chat reply or counter answer.
     pub chat_tokens: u32,
-    /// Whether callers try the other daemons after a refusal.
+    /// Whether callers try another daemon if one accepts no connection or is not ready.
     pub try_other_daemons: bool,
     /// Single kind to send, instead of all kinds.
     pub only_kind: Option<&'static str>,
@@ -103,13 +103,14 @@
         Self { stop, sent, tasks }
     }
 
-    /// Returns the number of requests sent so far.
+    /// Returns the number of requests sent so far; one sent to several daemons counts each time.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Waits until `count` more requests have been sent, for at most [`WAIT_TIMEOUT`](crate::cluster::WAIT_TIMEOUT).
+    /// Waits until `count` more requests have been sent, for at most
+    /// [`WAIT_TIMEOUT`](crate::cluster::WAIT_TIMEOUT).
     pub async fn wait_for_requests(&self, count: u64) {
         let deadline = std::time::Instant::now() + crate::cluster::WAIT_TIMEOUT;
         let target = self.sent() + count;
--- a/proofs/src/process.rs
+++ b/proofs/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of a test, killed by its id when the test ends.
+//! Processes that a test starts. Each is killed when its handle is dropped.
 
 use std::{
     io::{BufRead, BufReader},
@@ -50,6 +50,7 @@
 #[must_use]
 pub fn cpu_and_memory(pid: u32) -> (f64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
+    // The command name may contain spaces, so fields are counted from the parenthesis after it.
     let fields: Vec<_> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     let pages = fields.get(21).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
@@ -87,7 +88,7 @@
     /// Returns the exit status, if the process has exited.
     ///
     /// # Panics
-    /// If the system cannot tell.
+    /// If the system cannot report the status.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("the process can be waited for")
     }
@@ -97,7 +98,7 @@
         self.signal(Signal::HUP);
     }
 
-    /// Requests a planned stop.
+    /// Signals the process to stop as planned.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
