--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback, with a separate process for each daemon and stand-in.
+//! A cluster on loopback, with a separate process for each daemon, endpoint and platform service.
 
 use std::{
     collections::BTreeMap,
@@ -39,7 +39,7 @@
 pub const OPERATOR_TOKEN: &str = "operators-token-of-tests";
 /// Secret shared by the daemons in all tests.
 pub const PEER_SECRET: &str = "daemons-secret-of-tests";
-/// Timeout of one call.
+/// Timeout of a call to a daemon or a stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time that a test waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -48,7 +48,7 @@
 /// Maximum time that a caller waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Configuration of a deployment.
+/// Processes of a cluster and their settings.
 #[derive(Clone, Debug)]
 pub struct ClusterSetup {
     /// Number of entry VMs, each with a daemon.
@@ -57,13 +57,13 @@
     pub engines: Vec<(Role, Fencing)>,
     /// Number of plain services.
     pub plain_services: usize,
-    /// Parameters of the engine model.
+    /// Parameters of the model of each engine.
     pub params: ModelParams,
-    /// Duration of a plain call, in milliseconds.
+    /// Time that a plain service takes for a request, in milliseconds.
     pub work_ms: u64,
-    /// Settings that override the defaults of the tests.
+    /// Daemon settings that override those of [`Cluster::add_daemon`].
     pub settings: Value,
-    /// Whether each daemon's links to the platform and to its peers can be cut.
+    /// Whether each daemon reaches the platform and its peers through relays, which tests can cut.
     pub links: bool,
 }
 
@@ -111,27 +111,28 @@
     command: Vec<String>,
 }
 
-/// Links of one daemon, each a relay.
+/// Relays through which one daemon reaches the platform and its peers.
 #[derive(Debug)]
 struct Links {
     kv: Relay,
     vm_list: Relay,
+    /// VM list of this daemon alone, in which the address of each peer is that of its relay.
     vm_list_server: VmList,
     peers: BTreeMap<String, Relay>,
 }
 
-/// Running deployment.
+/// Running cluster.
 #[derive(Debug)]
 pub struct Cluster {
     /// Address of the key-value service itself, without a relay.
     pub kv_address: String,
-    /// Address of the platform's list of VMs.
+    /// Address of the platform's VM list.
     pub vm_list_address: String,
     /// Daemons by VM.
     pub daemons: BTreeMap<String, DaemonProcess>,
     /// Endpoints by name.
     pub endpoints: BTreeMap<String, EndpointProcess>,
-    /// Configuration from which it was started.
+    /// Setup from which it was started.
     pub setup: ClusterSetup,
     links: BTreeMap<String, Links>,
     client: HttpClient,
@@ -168,7 +169,7 @@
         cluster
     }
 
-    /// Starts all processes except the daemons.
+    /// Starts the platform services and the endpoints, but no daemon.
     ///
     /// # Panics
     /// If a stand-in does not start.
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Returns the address of each daemon for callers.
+    /// Returns the addresses of the daemons for callers.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<String> {
         self.daemons.values().map(|d| d.caller_address.clone()).collect()
@@ -335,13 +336,13 @@
         self.dir.join(format!("{name}.history"))
     }
 
-    /// Directory of this cluster's files.
+    /// Returns the directory of this cluster's files.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Starts separate relays for each daemon to the platform and to every other daemon.
+    /// Starts separate relays from each daemon to the platform and to each of its peers.
     async fn start_relays(&mut self) {
         let vms: Vec<_> = self.daemons.keys().cloned().collect();
         for vm in &vms {
@@ -360,7 +361,7 @@
         }
     }
 
-    /// Sets all links of a daemon, to the platform and to and from its peers.
+    /// Sets the state of all links of a daemon: to the platform, and to and from its peers.
     pub fn set_daemon_links(&self, vm: &str, link: Link) {
         for (from, links) in &self.links {
             if from == vm {
@@ -375,12 +376,12 @@
         }
     }
 
-    /// Sets only a daemon's link to the platform's list of VMs.
+    /// Sets the state of a daemon's link to the VM list only.
     pub fn set_vm_list_link(&self, vm: &str, link: Link) {
         self.links[vm].vm_list.set(link);
     }
 
-    /// Sets the platform's list to all VMs, with those in `leaving` marked as leaving.
+    /// Puts the VMs of all daemons and endpoints on the VM list, those in `leaving` marked as leaving.
     pub async fn set_vm_list(&self, leaving: &[&str]) {
         let list = self.vm_list(leaving, |vm| self.daemons[vm].peer_address.clone());
         self.put_json(&format!("http://{}/vms", self.vm_list_address), &list).await;
@@ -433,8 +434,8 @@
         self.inject_fault(&self.endpoints[name].address, fault).await;
     }
 
-    /// Returns the resources of this deployment: those of Fjordkjede, with these endpoints and with a
-    /// protected kind that engines serve.
+    /// Returns the resources of this cluster: those of the example deployment `fjordkjede`, its
+    /// endpoints, and a protected kind that engines serve.
     ///
     /// # Panics
     /// If the committed file is invalid.
@@ -533,19 +534,19 @@
         value["generation"].as_u64().expect("the response has a generation")
     }
 
-    /// Returns a resource as `vm` shows it.
+    /// Returns a resource as the daemon on `vm` reports it.
     pub async fn resource(&self, vm: &str, kind: &str, name: &str) -> Value {
         let response = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
         response.map(|(_, value)| value).unwrap_or_default()
     }
 
-    /// Returns all resources of a kind as `vm` shows them.
+    /// Returns all resources of a kind as the daemon on `vm` reports them.
     pub async fn resources_of_kind(&self, vm: &str, kind: &str) -> Option<ResourceList> {
         let (_, value) = self.operator_call(vm, "GET", &format!("/v1/{kind}"), None).await.ok()?;
         serde_json::from_value(value).ok()
     }
 
-    /// Returns the status of the deployment as `vm` shows it.
+    /// Returns the status report of the daemon on `vm`.
     pub async fn status(&self, vm: &str) -> Option<StatusReport> {
         let (_, value) = self.operator_call(vm, "GET", "/v1/status", None).await.ok()?;
         serde_json::from_value(value).ok()
@@ -574,13 +575,14 @@
         }
     }
 
-    /// Returns the VM whose daemon holds the shard of the engines, as `vm` shows it.
+    /// Returns the VM whose daemon holds the shard of the engines, according to the daemon on `vm`.
     pub async fn shard_holder(&self, vm: &str) -> Option<String> {
         let report = self.status(vm).await?;
         report.vms.into_iter().find(|vm| !vm.shards.is_empty()).map(|vm| vm.vm)
     }
 
-    /// Waits until a daemon holds the shard of the engines, as `vm` shows it.
+    /// Waits until a daemon holds the shard of the engines, according to the daemon on `vm`, and
+    /// returns its VM.
     ///
     /// # Panics
     /// If none does in time.
@@ -628,7 +630,7 @@
     pub async fn metrics(&self, vm: &str) -> String {
         let req = Request::get(format!("http://{}/metrics", self.daemons[vm].operator_address)).body(Full::default());
         let (_, body) =
-            self.client.fetch(req.expect("the parts are valid"), CALL_TIMEOUT).await.expect("the daemon responds");
+            self.client.fetch(req.expect("the request is valid"), CALL_TIMEOUT).await.expect("the daemon responds");
         String::from_utf8_lossy(&body).into_owned()
     }
 
