--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -61,8 +61,8 @@
         match op {
             Op::Accepted { based_on, version } => (state == based_on && version > state, *version),
             Op::Conflict { based_on, present } => (state == present && based_on != present, *state),
-            // It may have taken effect as any later version, or not at all. Operations that saw its
-            // version come later, so only the histories in which it had no effect are checked here.
+            // The change may have taken effect as any later version, or not at all. Only the second
+            // case is modelled; in the first, operations that saw its version fail the check.
             Op::Unknown => (true, *state),
         }
     }
@@ -88,7 +88,8 @@
     assert!(!check_operations(&reverted));
 }
 
-/// Generations that each daemon showed, with the time. A restarted daemon is a separate entry.
+/// Times and generations that each daemon reported while ready, by its VM and start number. A
+/// restarted daemon is a separate entry.
 type Observed = BTreeMap<(String, u64), Vec<(u64, u64)>>;
 
 async fn watch_generations(cluster: &Cluster, stop: &AtomicBool) -> Observed {
@@ -114,8 +115,7 @@
     drops.collect()
 }
 
-/// Returns ready daemons that show an older generation more than `within` after a newer one was
-/// accepted.
+/// Returns the reports of an older generation more than `within` after a newer one was accepted.
 fn stale_views(observed: &Observed, accepted: &[(u64, u64)], within: Duration) -> Vec<String> {
     let mut violations = Vec::new();
     for (who, views) in observed {
@@ -138,8 +138,8 @@
     assert!(stale_views(&observed, &[(5, 5)], Duration::from_micros(40)).is_empty());
 }
 
-/// Changes the rate of one team repeatedly through one daemon, each time based on the version it
-/// last read.
+/// Changes the rate of one team repeatedly through one daemon, each time based on the version that
+/// it last received. Returns the operations, and the accepted versions with their times.
 async fn update_repeatedly(
     cluster: &Cluster,
     vm: &str,
--- a/proofs/tests/once.rs
+++ b/proofs/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated run at most once, and "not run" is true.
+//! Requests that must not be repeated run at most once, and none that ran is reported as not run.
 
 use std::{
     sync::{
@@ -31,7 +31,7 @@
 fn check_history(cluster: &Cluster) {
     let history = cluster.history();
     expect_none("at most once", &repeated_keys(&history));
-    expect_none("not run is true", &false_not_run(&history));
+    expect_none("reported as not run", &false_not_run(&history));
 }
 
 #[tokio::test]
@@ -108,8 +108,8 @@
     for task in tasks {
         assert_eq!(task.await.expect("callers do not panic").outcome, "none");
     }
-    // A retry through another daemon never runs the request again: its outcome is in progress, later
-    // unknown.
+    // A retry through another daemon never runs the request again. It is refused as in progress
+    // while the claim's owner may still be running, and with a final outcome afterwards.
     for n in 0..8 {
         let got = caller.send(&addresses[1], &order_confirm(n)).await;
         assert!(got.outcome == "unknown" || got.outcome == "whole", "{got:?}");
@@ -143,14 +143,14 @@
     }
     cluster.inject_fault(&cluster.kv_address, &json!({ "lose_answers": 5, "slow_ms": 10 })).await;
     cluster
-        .wait_until("orders are accepted again", async || {
+        .wait_until("requests with a key are accepted again", async || {
             let got = caller.send(&addresses[0], &order_confirm(100)).await;
             got.outcome == "whole"
         })
         .await;
     for n in 0..6 {
         cluster
-            .wait_until("the refused order runs", async || {
+            .wait_until("the refused request runs", async || {
                 caller.send(&addresses[(n % 2) as usize], &order_confirm(n)).await.outcome == "whole"
             })
             .await;
@@ -184,8 +184,8 @@
     AfterResponse,
 }
 
-/// Starts an endpoint that closes connections at a chosen time and counts the complete requests that
-/// it received.
+/// Starts an endpoint that closes connections at the given time. Also returns its count of the
+/// requests that it received completely.
 async fn raw_endpoint(close_time: CloseTime) -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
     let address = listener.local_addr().expect("the listener is bound").to_string();
@@ -235,6 +235,6 @@
                 assert_eq!(got.outcome, "whole", "{close_time:?}: {got:?}");
             }
         }
-        assert!(received.load(Ordering::SeqCst) <= 3, "{close_time:?}: each runs once at most");
+        assert!(received.load(Ordering::SeqCst) <= 3, "{close_time:?}: each request runs at most once");
     }
 }
--- a/proofs/tests/orders.rs
+++ b/proofs/tests/orders.rs
@@ -45,7 +45,7 @@
     }
     let history = cluster.history();
     expect_none("orders", &conflicting_orders(&history));
-    expect_none("cuts", &aborted_requests(&history));
+    expect_none("aborted requests", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -83,7 +83,7 @@
     cluster.wait_for_role("engine-2", Role::Decode).await;
     let history = cluster.history();
     expect_none("orders", &conflicting_orders(&history));
-    expect_none("cuts", &aborted_requests(&history));
+    expect_none("aborted requests", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -119,7 +119,7 @@
     }
     let history = cluster.history();
     expect_none("orders", &conflicting_orders(&history));
-    expect_none("cuts", &aborted_requests(&history));
+    expect_none("aborted requests", &aborted_requests(&history));
 }
 
 #[tokio::test]
@@ -147,7 +147,7 @@
     cluster.wait_for_role("engine-2", Role::Prefill).await;
     let history = cluster.history();
     expect_none("orders", &conflicting_orders(&history));
-    expect_none("cuts", &aborted_requests(&history));
+    expect_none("aborted requests", &aborted_requests(&history));
 }
 
 #[tokio::test]
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -1,4 +1,5 @@
-//! Planned changes cut no requests: role changes, loads, drains and stops, all under load.
+//! Planned changes abort no requests, even under load: role changes, loads of adapters and versions,
+//! drains and stops.
 
 use std::{
     process::ExitStatus,
@@ -21,8 +22,8 @@
 };
 
 const CALLERS: usize = 6;
-/// Time after its mark within which a leaving endpoint may still start requests. In these tests the
-/// list is read every 100 ms, and gossip is sent with probes every 60 ms.
+/// Time after which an endpoint that was drained or marked as leaving must start no more requests.
+/// In these tests the VM list is read every 100 ms, and gossip is sent with probes every 60 ms.
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
 async fn start(daemons: usize, links: bool) -> Cluster {
@@ -37,14 +38,14 @@
 
 fn check_history(cluster: &Cluster, answers: &[(Call, Answer)]) {
     let history = cluster.history();
-    expect_none("cuts", &aborted_requests(&history));
+    expect_none("aborted requests", &aborted_requests(&history));
     expect_none("protected kinds", &failed_protected(answers));
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("not run is true", &false_not_run(&history));
+    expect_none("reported as not run", &false_not_run(&history));
     expect_none("at most once", &repeated_keys(&history));
     expect_none("orders", &conflicting_orders(&history));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
-    assert!(lost.is_empty(), "cut by a planned change: {lost:?}");
+    assert!(lost.is_empty(), "not answered because of a planned change: {lost:?}");
 }
 
 #[tokio::test]
@@ -94,7 +95,7 @@
     let since = monotonic_micros();
     load.wait_for_requests(100).await;
     let answers = load.finish().await;
-    expect_none("drained", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
+    expect_none("requests at drained endpoints", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
     check_history(&cluster, &answers);
 }
 
@@ -104,8 +105,8 @@
     let caller = cluster.new_caller("caller");
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 5, Mix::default());
     load.wait_for_requests(50).await;
-    // The key-value service is down for all daemons. One daemon loses only its own access to the list
-    // of VMs, another loses all its links.
+    // The key-value service is down for all daemons. One daemon also loses its access to the VM list,
+    // another loses all its links.
     cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     cluster.set_vm_list_link("entry-2", Link::Cut);
     cluster.set_daemon_links("entry-3", Link::Cut);
@@ -114,15 +115,16 @@
     let since = monotonic_micros();
     load.wait_for_requests(100).await;
     assert!(!cluster.is_ready("entry-3").await, "a daemon that is cut off is not ready");
-    assert!(cluster.is_ready("entry-2").await, "a daemon that gets the list from its peers is ready");
+    assert!(cluster.is_ready("entry-2").await, "a daemon that gets the VM list from its peers is ready");
     cluster.set_daemon_links("entry-3", Link::Pass);
     cluster.set_vm_list_link("entry-2", Link::Pass);
     cluster.wait_until("the daemon is ready again", async || cluster.is_ready("entry-3").await).await;
     load.wait_for_requests(50).await;
     let answers = load.finish().await;
-    expect_none("leaving", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
-    // Orders need the key-value service, which is down, so they are refused as not run.
-    expect_none("not run is true", &false_not_run(&cluster.history()));
+    expect_none("requests at leaving endpoints", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
+    // Requests with an idempotency key need the key-value service, which is down, so they are
+    // refused as not run.
+    expect_none("reported as not run", &false_not_run(&cluster.history()));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
     assert!(lost.is_empty(), "{lost:?}");
 }
--- a/proofs/tests/whole_path.rs
+++ b/proofs/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Requests from end to end, with a separate process for each daemon and stand-in.
+//! Requests from the caller to the endpoint and back, without faults.
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
@@ -24,7 +24,7 @@
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
     expect_none("at most once", &repeated_keys(&history));
-    expect_none("not run is true", &false_not_run(&history));
+    expect_none("reported as not run", &false_not_run(&history));
 }
 
 #[tokio::test]
