--- a/proofs/examples/cost.rs
+++ b/proofs/examples/cost.rs
@@ -1,5 +1,5 @@
-//! Measures the cost of idle daemons at several cluster sizes: calls to the key-value service, bytes
-//! sent between daemons, processor time and memory.
+//! Measures the cost of idle daemons at several cluster sizes: calls to the key-value service, traffic
+//! on the loopback device, CPU time and memory.
 //!
 //! Run in a release build after `cargo build --release --workspace --bins --examples`.
 
@@ -26,7 +26,7 @@
 async fn main() {
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![2, 8, 32] } else { sizes };
-    println!("| daemons | kv calls/s | by path | bytes/s a daemon | processor a daemon | memory a daemon |");
+    println!("| daemons | kv calls/s | by path | bytes/s per daemon | CPU per daemon | largest memory of a daemon |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for daemons in sizes {
         let timing = json!({ "timing": {
@@ -41,7 +41,8 @@
             ..ClusterSetup::default()
         };
         let mut cluster = Cluster::start(setup).await;
-        // The first loads of the engines are rate-limited; only the steady state is measured.
+        // At the start, the shard's holder orders each engine to load its model, at a limited rate. Only
+        // the steady state after that is measured.
         tokio::time::sleep(Duration::from_secs(30)).await;
         let vms: Vec<_> = cluster.daemons.keys().cloned().collect();
         let pids: Vec<_> = vms.iter().map(|vm| cluster.daemon(vm).id()).collect();
--- a/proofs/examples/latency.rs
+++ b/proofs/examples/latency.rs
@@ -1,5 +1,6 @@
-//! Measures the latency that a daemon adds, compared with callers that talk to the stand-in directly
-//! in the same run, the throughput, and the memory of an idle daemon and of one with open streams.
+//! Measures the time to the first token through a daemon and, in the same run, directly at the
+//! stand-in. Also measures the throughput, and the memory of the daemon when idle and with open
+//! streams.
 //!
 //! Run in a release build after `cargo build --release --workspace --bins --examples`.
 
@@ -15,7 +16,7 @@
 use serde_json::json;
 use stand_ins::{caller::Call, model::ModelParams};
 
-/// Number of requests sent directly and through the daemon.
+/// Number of requests sent each way, directly and through the daemon.
 const REQUESTS: u64 = 2_000;
 /// Number of concurrent callers in the throughput measurement.
 const CALLERS: u64 = 64;
@@ -83,7 +84,8 @@
     streams(&cluster, &daemon, pid).await;
 }
 
-/// Measures short plain calls from many callers, also per second of the daemon's processor time.
+/// Measures the throughput of short plain calls from many callers, in total and per second of the
+/// daemon's CPU time.
 async fn throughput(cluster: &Cluster, daemon: &str, pid: u32) {
     let deadline = Instant::now() + THROUGHPUT_TIME;
     let cpu_before = cpu_and_memory(pid).0;
@@ -109,8 +111,8 @@
     }
     let cpu_seconds = cpu_and_memory(pid).0 - cpu_before;
     let rate = whole as f64 / THROUGHPUT_TIME.as_secs_f64();
-    println!("short plain calls: {rate:.0}/s, {:.0} for each second of a core", whole as f64 / cpu_seconds);
-    print_percentiles("their time", &all);
+    println!("short plain calls: {rate:.0}/s, {:.0} per second of CPU time", whole as f64 / cpu_seconds);
+    print_percentiles("short plain calls", &all);
 }
 
 /// Measures many long streams that are open at the same time.
@@ -130,10 +132,10 @@
         whole += u64::from(task.await.expect("callers do not panic").outcome == "whole");
     }
     let cpu_seconds = cpu_and_memory(pid).0 - cpu_before;
-    println!("tokens for each second of a core: {:.0}", (whole * 400) as f64 / cpu_seconds);
+    println!("tokens per second of CPU time: {:.0}", (whole * 400) as f64 / cpu_seconds);
     let kb_per_stream = busy_bytes.saturating_sub(idle_bytes) as f64 / STREAMS as f64 / 1_024.0;
     println!(
-        "{STREAMS} streams at once: {whole} whole, {kb_per_stream:.1} KB each above what it had before ({:.1} MB)",
+        "{STREAMS} streams at once: {whole} whole, {kb_per_stream:.1} KB of additional memory per stream ({:.1} MB in total)",
         busy_bytes as f64 / 1e6
     );
 }
