--- a/experiments/src/bound.rs
+++ b/experiments/src/bound.rs
@@ -2,8 +2,8 @@
 //!
 //! The bound relaxes the problem: engines always run full batches, never wait for prompts, keep each
 //! prefix cached after its first use, and may serve fractions of requests. The optimum is then to
-//! serve requests by weight per cost until the engines' time is used up: that of the run, plus the
-//! longest deadline.
+//! serve requests in descending order of weight per cost until the engines' time is used up. Each
+//! engine has the time of the run plus the longest deadline.
 
 use std::collections::HashSet;
 
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -51,7 +51,7 @@
 #[must_use]
 pub fn table(cells: &[Cell]) -> String {
     let mut out = String::from(
-        "| scenario | policy | goodput of bound | spread | long kind in time | short kind in time | refused | late | \
+        "| scenario | policy | goodput/bound | range | long prompts in time | short prompts in time | refused | late | \
          wasted | changes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for cell in cells {
@@ -120,7 +120,7 @@
         .x_label_area_size(36)
         .y_label_area_size(48)
         .build_cartesian_2d(low..high, 0.0..1.05)?;
-    chart.configure_mesh().x_desc("load, of capacity").y_desc("goodput, of the bound").draw()?;
+    chart.configure_mesh().x_desc("load/capacity").y_desc("goodput/bound").draw()?;
     let mut policies: Vec<_> = cells.iter().map(|c| c.policy.clone()).collect();
     policies.dedup();
     policies.sort();
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -10,7 +10,7 @@
 /// Stage of a role change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// The engine is to get this role, and waits until no request runs.
+    /// The engine gets no new requests and changes to this role when no request runs.
     Draining(Role),
     /// The engine changes to this role until the given time, in seconds.
     Changing(Role, f64),
@@ -35,7 +35,9 @@
         Self { settings, rates, planner: Planner::default(), in_progress: vec![None; engines], changes: 0 }
     }
 
-    /// Returns the change to start now: an engine and its new role.
+    /// Returns the change to start now, if any: an engine and its new role. `roles` and `running` are
+    /// the role and the number of running requests of each engine, `demands` the demand that each
+    /// daemon sees.
     pub fn decide(
         &mut self,
         roles: &[Role],
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -1,4 +1,4 @@
-//! Compared policies: that of dahliaseam, and baselines.
+//! Routing policies to compare: that of dahliaseam, and baselines.
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Next, Policy, Site},
@@ -13,10 +13,10 @@
 
 use crate::workload::{Arrival, Kind};
 
-/// Command of a policy to the simulation.
+/// Command that a policy gives to the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Command {
-    /// Send a request to an engine, possibly with its prompt to another first.
+    /// Send a request to an engine, possibly after another has processed its prompt.
     Send {
         /// Index of the request.
         request: usize,
@@ -48,7 +48,7 @@
     fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Command>;
     /// A load report arrived.
     fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time);
-    /// An engine was opened to or closed for new work, or has another role.
+    /// An engine was opened or closed to new work, or its role changed.
     fn set_endpoint_state(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Command>;
     /// Called at regular intervals.
     fn tick(&mut self, daemon: usize, now: Time) -> Vec<Command>;
@@ -65,7 +65,7 @@
     LeastReported,
     /// The better of two engines drawn at random, by report and own requests in flight.
     TwoChoices,
-    /// The policy of dahliaseam, without early refusal.
+    /// The policy of dahliaseam, without early refusal and without a limit on its queue.
     NoAdmission,
     /// The policy of dahliaseam.
     Dahliaseam,
@@ -279,6 +279,8 @@
         }
     }
 
+    /// Returns the load of an engine as a number of requests; a thousand queued prompt tokens count as
+    /// one.
     fn load(&self, daemon: usize, engine: usize) -> f64 {
         let report = self.loads[daemon][engine];
         let own = if self.policy == PolicyKind::TwoChoices { self.in_flight[daemon][engine] } else { 0 };
--- a/experiments/src/workload.rs
+++ b/experiments/src/workload.rs
@@ -1,15 +1,15 @@
-//! Requests of the two users, while the mix of kinds changes periodically.
+//! Generated requests of two users, with a mix of kinds that changes periodically.
 
 use dahliaseam_core::request::KindTraits;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use stand_ins::model::ModelParams;
 
-/// User of dahliaseam.
+/// User of dahliaseam whose requests are generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum User {
     /// Catalogue queries with long prompts, and chat replies.
     Fjordkjede,
-    /// Eligibility answers over long contracts, for which a person waits, and chat.
+    /// Eligibility questions about long contracts, whose answers a person waits for, and chat.
     Portalinea,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the engine time of a request at a full batch, in seconds, which is the least possible.
+/// Returns the least engine time that a request takes, which is that at a full batch, in seconds.
 #[must_use]
 pub fn cost(prompt: f64, output: f64, params: &ModelParams) -> f64 {
     prompt / params.prefill_rate + output * (params.step / f64::from(params.slots) + params.step_per_seq)
@@ -94,7 +94,7 @@
     pub prompt: u32,
     /// Number of tokens to generate.
     pub output: u32,
-    /// Hash of the prompt's prefix.
+    /// Identifier of the prompt's prefix.
     pub prefix: u64,
 }
 
@@ -113,7 +113,7 @@
     pub mix_period: f64,
 }
 
-/// Fractions of long-prompt requests, between which the mix alternates.
+/// Fractions of requests with long prompts, between which the mix alternates.
 const LONG_SHARES: [f64; 2] = [0.7, 0.1];
 /// Number of distinct prefixes; a few of them are popular.
 const PREFIXES: f64 = 400.0;
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -28,7 +28,7 @@
 const PLAN_INTERVAL: f64 = 1.0;
 /// Time that the run continues after the last arrival, in seconds.
 const DRAIN_TIME: f64 = 20.0;
-/// Bit that marks the id of a job that only processes a prompt.
+/// Bit in the id of a job that only processes the prompt of a request.
 const PREFILL_BIT: u64 = 1 << 40;
 
 /// Fault in a run.
@@ -36,9 +36,10 @@
 pub enum Fault {
     /// No fault.
     None,
-    /// A third of the engines is withdrawn as planned, after a third of the run.
+    /// A third of the engines is closed to new work, as planned, after a third of the run.
     EnginesDrained,
-    /// A third of the engines crashes after a third of the run, and is unavailable for 30 s.
+    /// A third of the engines crashes after a third of the run, as when a hall is lost, and is unavailable
+    /// for 30 s.
     EnginesCrashed,
     /// One daemon receives no reports for 20 s.
     ReportsLost,
@@ -124,7 +125,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestState {
     daemon: usize,
-    /// Number of the current attempt, by which events of earlier ones are recognized.
+    /// Number of the current attempt, also raised when its jobs are cancelled. Events with a lower
+    /// number are ignored.
     attempt: u32,
     engine: Option<usize>,
     prefill: Option<usize>,
