--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -1,4 +1,4 @@
-//! Benchmarks of the decisions, at the sizes of current deployments and of the target.
+//! Benchmarks of the decisions, at the current and the target sizes of deployments.
 
 use std::{hint::black_box, net::SocketAddr, sync::Arc};
 
@@ -75,7 +75,7 @@
     group.finish();
 }
 
-/// Creates engines in five halls, two thirds of which are prefill engines.
+/// Creates engines in five halls; two thirds of the engines are prefill engines.
 fn engines(replicas: usize) -> Fleet {
     let mut fleet = Fleet::new("hall-0", FleetPolicy::default(), Time(0));
     for n in 0..replicas {
@@ -222,8 +222,9 @@
     c.bench_function("custody step", |b| b.iter(|| black_box(next_step(&record, &view))));
 }
 
-/// Measures the cost per request of crash tracking: hashing its content, checking whether it is suspected, and
-/// recording its answer, while the given number of other requests are suspected.
+/// Measures crash tracking while the given number of other requests are suspected. First the cost per request:
+/// hashing its content, checking whether it is suspected, and recording its answer. Then the cost of collecting the
+/// notes about suspicions that are due to the daemons of the hall.
 fn crash_tracking(c: &mut Criterion) {
     let body = vec![7; 18_000];
     let mut group = c.benchmark_group("endings of a request");
--- a/experiments/examples/footprint.rs
+++ b/experiments/examples/footprint.rs
@@ -1,5 +1,5 @@
-//! Prints the sizes of messages between daemons and of the rows that daemons keep in memory, at several
-//! cluster sizes.
+//! Prints the sizes of messages between daemons and of the tables that daemons keep in memory, at
+//! several cluster sizes.
 
 use dahliaseam_core::{
     dispatch::{Dispatcher, Policy},
@@ -75,10 +75,10 @@
 }
 
 fn main() {
-    println!("probe, quiet: {} bytes", encoded_bytes(&probe(1, 0)));
-    println!("probe, {MAX_UPDATES} news: {} bytes", encoded_bytes(&probe(MAX_UPDATES, 0)));
+    println!("probe with 1 update: {} bytes", encoded_bytes(&probe(1, 0)));
+    println!("probe with {MAX_UPDATES} updates: {} bytes", encoded_bytes(&probe(MAX_UPDATES, 0)));
     println!(
-        "probe, {MAX_UPDATES} news and {MAX_LOADS} loads: {} bytes",
+        "probe with {MAX_UPDATES} updates and {MAX_LOADS} load reports: {} bytes",
         encoded_bytes(&probe(MAX_UPDATES, MAX_LOADS))
     );
     for endpoints in [12, 120, 2_000] {
--- a/experiments/examples/policy.rs
+++ b/experiments/examples/policy.rs
@@ -46,7 +46,7 @@
 const MIX_PERIOD: f64 = 60.0;
 const LOADS: [f64; 5] = [0.5, 0.8, 1.0, 1.2, 1.5];
 
-/// One setting, which is run with several seeds.
+/// Setup that is run with several seeds.
 struct Task {
     scenario: String,
     policy: String,
@@ -98,9 +98,9 @@
             ("reports 0.5 s late", lag(0.5), Fault::None),
             ("reports 2 s late", lag(2.0), Fault::None),
             ("reports 10 s late", lag(10.0), Fault::None),
-            ("a third withdrawn", self.params, Fault::EnginesDrained),
+            ("a third drained", self.params, Fault::EnginesDrained),
             ("a hall lost for 30 s", self.params, Fault::EnginesCrashed),
-            ("a daemon deaf for 20 s", self.params, Fault::ReportsLost),
+            ("no reports at a daemon for 20 s", self.params, Fault::ReportsLost),
         ];
         for (name, params, fault) in cases {
             for policy in [PolicyKind::LeastReported, PolicyKind::TwoChoices, PolicyKind::Dahliaseam] {
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -179,7 +179,7 @@
 }
 
 fn main() {
-    println!("way             daemons  load  refused  fullest window  messages/s");
+    println!("scheme          daemons  load  refused  fullest window  messages/s");
     for scheme in ["even shares", "leader's grants", "sharded credit"] {
         for daemons in [7, 84, 295, 985] {
             for load in [0.55, 0.9, 4.0] {
