--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -1,4 +1,4 @@
-//! Compared policies: that of dahliaseam, and baselines.
+//! Routing policies to compare: that of dahliaseam, and baselines.
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Next, Policy, Site},
@@ -13,10 +13,10 @@
 
 use crate::workload::{Arrival, Kind};
 
-/// Command of a policy to the simulation.
+/// Command that a policy gives to the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Command {
-    /// Send a request to an engine, possibly with its prompt to another first.
+    /// Send a request to an engine, possibly after another has processed its prompt.
     Send {
         /// Index of the request.
         request: usize,
@@ -28,7 +28,7 @@
     /// Refuse a request.
     Refuse(usize),
     /// Cancel a request at its engine.
-    Stop(usize),
+    Cancel(usize),
 }
 
 /// Policy under test. Each call concerns one daemon.
@@ -48,7 +48,7 @@
     fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Command>;
     /// A load report arrived.
     fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time);
-    /// An engine was opened to or closed for new work, or has another role.
+    /// An engine was opened or closed to new work, or its role changed.
     fn set_endpoint_state(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Command>;
     /// Called at regular intervals.
     fn tick(&mut self, daemon: usize, now: Time) -> Vec<Command>;
@@ -65,16 +65,16 @@
     LeastReported,
     /// The better of two engines drawn at random, by report and own requests in flight.
     TwoChoices,
-    /// The policy of dahliaseam, without early refusal.
+    /// The policy of dahliaseam, without early refusal and without a limit on its queue.
     NoAdmission,
     /// The policy of dahliaseam.
-    Product,
+    Dahliaseam,
 }
 
 impl PolicyKind {
     /// All kinds.
     pub const ALL: [Self; 5] =
-        [Self::RoundRobin, Self::LeastReported, Self::TwoChoices, Self::NoAdmission, Self::Product];
+        [Self::RoundRobin, Self::LeastReported, Self::TwoChoices, Self::NoAdmission, Self::Dahliaseam];
 
     /// Name in reports.
     #[must_use]
@@ -84,7 +84,7 @@
             Self::LeastReported => "least by report",
             Self::TwoChoices => "two choices",
             Self::NoAdmission => "no admission",
-            Self::Product => "dahliaseam",
+            Self::Dahliaseam => "dahliaseam",
         }
     }
 
@@ -92,10 +92,10 @@
     #[must_use]
     pub fn build(self, daemons: usize, roles: &[Role], params: &ModelParams, seed: u64) -> Box<dyn RoutingPolicy> {
         match self {
-            Self::Product => Box::new(Product::new(daemons, roles, params, seed, Policy::default())),
+            Self::Dahliaseam => Box::new(DahliaseamPolicy::new(daemons, roles, params, seed, Policy::default())),
             Self::NoAdmission => {
                 let policy = Policy { admission: false, queue_limit: usize::MAX, ..Policy::default() };
-                Box::new(Product::new(daemons, roles, params, seed, policy))
+                Box::new(DahliaseamPolicy::new(daemons, roles, params, seed, policy))
             }
             _ => Box::new(Baseline::new(self, daemons, roles, seed)),
         }
@@ -114,12 +114,12 @@
 
 /// The policy of dahliaseam, with a dispatcher for each daemon.
 #[derive(Debug)]
-pub struct Product {
+pub struct DahliaseamPolicy {
     daemons: Vec<Daemon>,
     keys: Vec<Option<RequestKey>>,
 }
 
-impl Product {
+impl DahliaseamPolicy {
     /// Creates dispatchers for the given number of daemons.
     #[must_use]
     pub fn new(daemons: usize, roles: &[Role], params: &ModelParams, seed: u64, policy: Policy) -> Self {
@@ -154,7 +154,7 @@
                 Action::Refuse { request, .. } => {
                     commands.extend(daemon.requests.remove(request).map(Command::Refuse));
                 }
-                Action::Stop { request, .. } => commands.push(Command::Stop(daemon.requests[request])),
+                Action::Stop { request, .. } => commands.push(Command::Cancel(daemon.requests[request])),
             }
         }
         commands
@@ -165,7 +165,7 @@
     }
 }
 
-impl RoutingPolicy for Product {
+impl RoutingPolicy for DahliaseamPolicy {
     fn request_arrived(
         &mut self,
         daemon: usize,
@@ -279,6 +279,8 @@
         }
     }
 
+    /// Returns the load of an engine as a number of requests; a thousand queued prompt tokens count as
+    /// one.
     fn load(&self, daemon: usize, engine: usize) -> f64 {
         let report = self.loads[daemon][engine];
         let own = if self.policy == PolicyKind::TwoChoices { self.in_flight[daemon][engine] } else { 0 };
--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback, with a separate process for each daemon and stand-in.
+//! A cluster on loopback, with a separate process for each daemon, endpoint and platform service.
 
 use std::{
     collections::BTreeMap,
@@ -36,10 +36,10 @@
 use crate::process::{Process, program};
 
 /// Operator token used by all tests.
-pub const TOKEN: &str = "operators-token-of-tests";
+pub const OPERATOR_TOKEN: &str = "operators-token-of-tests";
 /// Secret shared by the daemons in all tests.
-pub const SECRET: &str = "daemons-secret-of-tests";
-/// Timeout of one call.
+pub const PEER_SECRET: &str = "daemons-secret-of-tests";
+/// Timeout of a call to a daemon or a stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time that a test waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -48,26 +48,26 @@
 /// Maximum time that a caller waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Configuration of a deployment.
+/// Processes of a cluster and their settings.
 #[derive(Clone, Debug)]
-pub struct ClusterConfig {
+pub struct ClusterSetup {
     /// Number of entry VMs, each with a daemon.
     pub daemons: usize,
     /// Role and fencing of each engine.
     pub engines: Vec<(Role, Fencing)>,
     /// Number of plain services.
     pub plain_services: usize,
-    /// Parameters of the engine model.
+    /// Parameters of the model of each engine.
     pub params: ModelParams,
-    /// Duration of a plain call, in milliseconds.
+    /// Time that a plain service takes for a request, in milliseconds.
     pub work_ms: u64,
-    /// Settings that override the defaults of the tests.
+    /// Daemon settings that override those of [`Cluster::add_daemon`].
     pub settings: Value,
-    /// Whether each daemon's links to the platform and to its peers can be cut.
+    /// Whether each daemon reaches the platform and its peers through relays, which tests can cut.
     pub links: bool,
 }
 
-impl Default for ClusterConfig {
+impl Default for ClusterSetup {
     fn default() -> Self {
         Self {
             daemons: 2,
@@ -111,28 +111,29 @@
     command: Vec<String>,
 }
 
-/// Links of one daemon, each a relay.
+/// Relays through which one daemon reaches the platform and its peers.
 #[derive(Debug)]
 struct Links {
     kv: Relay,
-    list: Relay,
-    list_server: VmList,
+    vm_list: Relay,
+    /// VM list of this daemon alone, in which the address of each peer is that of its relay.
+    vm_list_server: VmList,
     peers: BTreeMap<String, Relay>,
 }
 
-/// Running deployment.
+/// Running cluster.
 #[derive(Debug)]
 pub struct Cluster {
     /// Address of the key-value service itself, without a relay.
     pub kv_address: String,
-    /// Address of the platform's list of VMs.
+    /// Address of the platform's VM list.
     pub vm_list_address: String,
     /// Daemons by VM.
     pub daemons: BTreeMap<String, DaemonProcess>,
     /// Endpoints by name.
     pub endpoints: BTreeMap<String, EndpointProcess>,
-    /// Configuration from which it was started.
-    pub config: ClusterConfig,
+    /// Setup from which it was started.
+    pub setup: ClusterSetup,
     links: BTreeMap<String, Links>,
     client: HttpClient,
     dir: PathBuf,
@@ -153,12 +154,12 @@
     ///
     /// # Panics
     /// If a daemon is not ready in time.
-    pub async fn start(config: ClusterConfig) -> Self {
-        let mut cluster = Self::start_platform(config);
-        if cluster.config.links {
+    pub async fn start(setup: ClusterSetup) -> Self {
+        let mut cluster = Self::start_platform(setup);
+        if cluster.setup.links {
             cluster.start_relays().await;
         }
-        cluster.set_vms(&[]).await;
+        cluster.set_vm_list(&[]).await;
         for vm in cluster.daemons.keys().cloned().collect::<Vec<_>>() {
             cluster.start_daemon(&vm);
         }
@@ -168,12 +169,12 @@
         cluster
     }
 
-    /// Starts all processes except the daemons.
+    /// Starts the platform services and the endpoints, but no daemon.
     ///
     /// # Panics
     /// If a stand-in does not start.
     #[must_use]
-    pub fn start_platform(config: ClusterConfig) -> Self {
+    pub fn start_platform(setup: ClusterSetup) -> Self {
         let dir = create_dir();
         let (kv_process, kv_address) = Process::start_stand_in(&mut Command::new(program("examples/kv")));
         let (vms_process, vm_list_address) = Process::start_stand_in(&mut Command::new(program("examples/vms")));
@@ -186,10 +187,10 @@
             client: HttpClient::new(Reuse::Fresh),
             dir,
             _platform: vec![kv_process, vms_process],
-            config,
+            setup,
         };
         cluster.start_endpoints();
-        for n in 1..=cluster.config.daemons {
+        for n in 1..=cluster.setup.daemons {
             cluster.add_daemon(&format!("entry-{n}"), &format!("hall-{}", n % 3));
         }
         cluster
@@ -197,9 +198,9 @@
 
     fn start_endpoints(&mut self) {
         let params = self.dir.join("params.json");
-        let text = serde_json::to_string(&self.config.params).expect("parameters can be serialized");
+        let text = serde_json::to_string(&self.setup.params).expect("parameters can be serialized");
         std::fs::write(&params, text).expect("the directory is writable");
-        for (n, (role, fencing)) in self.config.engines.clone().into_iter().enumerate() {
+        for (n, (role, fencing)) in self.setup.engines.clone().into_iter().enumerate() {
             let role = serde_json::to_value(role).expect("a role can be serialized");
             let mut args = vec!["--role".to_owned(), role.as_str().unwrap_or_default().to_owned()];
             args.extend(["--params".to_owned(), params.display().to_string()]);
@@ -208,8 +209,8 @@
             }
             self.start_endpoint("engine", &format!("engine-{}", n + 1), args);
         }
-        for n in 1..=self.config.plain_services {
-            let args = vec!["--work-ms".to_owned(), self.config.work_ms.to_string()];
+        for n in 1..=self.setup.plain_services {
+            let args = vec!["--work-ms".to_owned(), self.setup.work_ms.to_string()];
             self.start_endpoint("plain", &format!("plain-{n}"), args);
         }
     }
@@ -242,7 +243,7 @@
             "vm": vm, "hall": hall, "keyspace": "/proof/",
             "caller_address": caller_address, "operator_address": operator_address, "peer_address": peer_address,
             "kv_address": self.kv_address, "vm_list_address": self.vm_list_address,
-            "peer_secret": SECRET, "operator_token": TOKEN,
+            "peer_secret": PEER_SECRET, "operator_token": OPERATOR_TOKEN,
             "timing": {
                 "probe_ms": 60, "peer_call_ms": 400, "suspicion_ms": 600, "list_ms": 100, "list_lag_ms": 1500,
                 "observe_ms": 100, "confirm_ms": 1500, "lease_ms": 2000, "control_ms": 50, "stop_grace_ms": 300,
@@ -250,7 +251,7 @@
             "policy": { "stall_ms": 1500 },
             "log": { "format": "text", "filter": "info" },
         });
-        merge(&mut settings, &self.config.settings);
+        merge(&mut settings, &self.setup.settings);
         let daemon = DaemonProcess { process: None, caller_address, operator_address, peer_address, settings };
         self.daemons.insert(vm.to_owned(), daemon);
     }
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Returns the address of each daemon for callers.
+    /// Returns the addresses of the daemons for callers.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<String> {
         self.daemons.values().map(|d| d.caller_address.clone()).collect()
@@ -335,37 +336,37 @@
         self.dir.join(format!("{name}.history"))
     }
 
-    /// Directory of this cluster's files.
+    /// Returns the directory of this cluster's files.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Starts separate relays for each daemon to the platform and to every other daemon.
+    /// Starts separate relays from each daemon to the platform and to each of its peers.
     async fn start_relays(&mut self) {
         let vms: Vec<_> = self.daemons.keys().cloned().collect();
         for vm in &vms {
-            let list_server = VmList::start("127.0.0.1:0").await.expect("a free port is available");
-            let list = start_relay(&list_server.server().address().to_string()).await;
+            let vm_list_server = VmList::start("127.0.0.1:0").await.expect("a free port is available");
+            let vm_list = start_relay(&vm_list_server.server().address().to_string()).await;
             let kv = start_relay(&self.kv_address).await;
             let mut peers = BTreeMap::new();
             for other in vms.iter().filter(|other| *other != vm) {
                 peers.insert(other.clone(), start_relay(&self.daemons[other].peer_address).await);
             }
             let addresses = json!({
-                "kv_address": kv.address().to_string(), "vm_list_address": list.address().to_string(),
+                "kv_address": kv.address().to_string(), "vm_list_address": vm_list.address().to_string(),
             });
             self.merge_settings(vm, &addresses);
-            self.links.insert(vm.clone(), Links { kv, list, list_server, peers });
+            self.links.insert(vm.clone(), Links { kv, vm_list, vm_list_server, peers });
         }
     }
 
-    /// Sets all links of a daemon, to the platform and to and from its peers.
+    /// Sets the state of all links of a daemon: to the platform, and to and from its peers.
     pub fn set_daemon_links(&self, vm: &str, link: Link) {
         for (from, links) in &self.links {
             if from == vm {
                 links.kv.set(link);
-                links.list.set(link);
+                links.vm_list.set(link);
             }
             for (to, relay) in &links.peers {
                 if from == vm || to == vm {
@@ -375,13 +376,13 @@
         }
     }
 
-    /// Sets only a daemon's link to the platform's list of VMs.
+    /// Sets the state of a daemon's link to the VM list only.
     pub fn set_vm_list_link(&self, vm: &str, link: Link) {
-        self.links[vm].list.set(link);
+        self.links[vm].vm_list.set(link);
     }
 
-    /// Sets the platform's list to all VMs, with those in `leaving` marked as leaving.
-    pub async fn set_vms(&self, leaving: &[&str]) {
+    /// Puts the VMs of all daemons and endpoints on the VM list, those in `leaving` marked as leaving.
+    pub async fn set_vm_list(&self, leaving: &[&str]) {
         let list = self.vm_list(leaving, |vm| self.daemons[vm].peer_address.clone());
         self.put_json(&format!("http://{}/vms", self.vm_list_address), &list).await;
         for links in self.links.values() {
@@ -389,7 +390,7 @@
                 Some(relay) => relay.address().to_string(),
                 None => self.daemons[vm].peer_address.clone(),
             };
-            let url = format!("http://{}/vms", links.list_server.server().address());
+            let url = format!("http://{}/vms", links.vm_list_server.server().address());
             self.put_json(&url, &self.vm_list(leaving, address)).await;
         }
     }
@@ -433,8 +434,8 @@
         self.inject_fault(&self.endpoints[name].address, fault).await;
     }
 
-    /// Returns the resources of this deployment: those of Fjordkjede, with these endpoints and with a
-    /// protected kind that engines serve.
+    /// Returns the resources of this cluster: those of the example deployment `fjordkjede`, its
+    /// endpoints, and a protected kind that engines serve.
     ///
     /// # Panics
     /// If the committed file is invalid.
@@ -447,7 +448,7 @@
         for (name, endpoint) in &self.endpoints {
             let mut spec = json!({ "address": endpoint.address, "vm": format!("vm-{name}"), "hall": "hall-0" });
             if name.starts_with("engine") {
-                let (role, fencing) = self.config.engines[engine_index(name)];
+                let (role, fencing) = self.setup.engines[engine_index(name)];
                 merge(&mut spec, &json!({ "pool": "catalogue", "role": role, "fencing": fencing }));
             } else {
                 merge(&mut spec, &json!({ "pool": "till", "role": "plain" }));
@@ -484,7 +485,7 @@
         let req = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.daemons[vm].operator_address))
-            .header(AUTHORIZATION, format!("Bearer {TOKEN}"))
+            .header(AUTHORIZATION, format!("Bearer {OPERATOR_TOKEN}"))
             .body(Full::from(Bytes::from(body.map(Value::to_string).unwrap_or_default())))
             .expect("the request is valid");
         let (status, body) = self.client.fetch(req, CALL_TIMEOUT).await?;
@@ -501,8 +502,8 @@
         let body = json!({ "resources": resources });
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let answer = self.operator_call(&vm, "POST", "/v1/apply", Some(&body)).await;
-            if let Ok((status, value)) = &answer {
+            let response = self.operator_call(&vm, "POST", "/v1/apply", Some(&body)).await;
+            if let Ok((status, value)) = &response {
                 if status.is_success() {
                     let accepted: Accepted =
                         serde_json::from_value(value.clone()).expect("the response is an accepted change");
@@ -510,7 +511,7 @@
                 }
                 assert!(status.is_server_error(), "resources rejected: {value}");
             }
-            assert!(Instant::now() < deadline, "resources not accepted in time: {answer:?}\n{}", self.log(&vm));
+            assert!(Instant::now() < deadline, "resources not accepted in time: {response:?}\n{}", self.log(&vm));
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -533,19 +534,19 @@
         value["generation"].as_u64().expect("the response has a generation")
     }
 
-    /// Returns a resource as `vm` shows it.
+    /// Returns a resource as the daemon on `vm` reports it.
     pub async fn resource(&self, vm: &str, kind: &str, name: &str) -> Value {
-        let answer = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
-        answer.map(|(_, value)| value).unwrap_or_default()
+        let response = self.operator_call(vm, "GET", &format!("/v1/{kind}/{name}"), None).await;
+        response.map(|(_, value)| value).unwrap_or_default()
     }
 
-    /// Returns all resources of a kind as `vm` shows them.
-    pub async fn list(&self, vm: &str, kind: &str) -> Option<ResourceList> {
+    /// Returns all resources of a kind as the daemon on `vm` reports them.
+    pub async fn resources_of_kind(&self, vm: &str, kind: &str) -> Option<ResourceList> {
         let (_, value) = self.operator_call(vm, "GET", &format!("/v1/{kind}"), None).await.ok()?;
         serde_json::from_value(value).ok()
     }
 
-    /// Returns the status of the deployment as `vm` shows it.
+    /// Returns the status of the deployment, as reported by the daemon on `vm`.
     pub async fn status(&self, vm: &str) -> Option<DeploymentStatus> {
         let (_, value) = self.operator_call(vm, "GET", "/v1/status", None).await.ok()?;
         serde_json::from_value(value).ok()
@@ -553,8 +554,8 @@
 
     /// Returns whether a daemon is ready.
     pub async fn is_ready(&self, vm: &str) -> bool {
-        let answer = self.operator_call(vm, "GET", "/readyz", None).await;
-        answer.is_ok_and(|(status, _)| status.is_success())
+        let response = self.operator_call(vm, "GET", "/readyz", None).await;
+        response.is_ok_and(|(status, _)| status.is_success())
     }
 
     /// Waits until all running daemons are ready, know each other and have the same configuration.
@@ -574,13 +575,14 @@
         }
     }
 
-    /// Returns the VM whose daemon holds the shard of the engines, as `vm` shows it.
+    /// Returns the VM whose daemon holds the shard of the engines, according to the daemon on `vm`.
     pub async fn shard_holder(&self, vm: &str) -> Option<String> {
         let report = self.status(vm).await?;
         report.vms.into_iter().find(|vm| !vm.shards.is_empty()).map(|vm| vm.vm)
     }
 
-    /// Waits until a daemon holds the shard of the engines, as `vm` shows it.
+    /// Waits until a daemon holds the shard of the engines, according to the daemon on `vm`, and
+    /// returns its VM.
     ///
     /// # Panics
     /// If none does in time.
@@ -628,7 +630,7 @@
     pub async fn metrics(&self, vm: &str) -> String {
         let req = Request::get(format!("http://{}/metrics", self.daemons[vm].operator_address)).body(Full::default());
         let (_, body) =
-            self.client.fetch(req.expect("the parts are valid"), CALL_TIMEOUT).await.expect("the daemon responds");
+            self.client.fetch(req.expect("the request is valid"), CALL_TIMEOUT).await.expect("the daemon responds");
         String::from_utf8_lossy(&body).into_owned()
     }
 
@@ -637,13 +639,13 @@
         self.client.get(&format!("http://{}/calls", self.kv_address), CALL_TIMEOUT).await.unwrap_or_default()
     }
 
-    /// Waits until `holds` returns true.
+    /// Waits until `condition` returns true.
     ///
     /// # Panics
     /// If it does not in time; prints the logs of the daemons.
-    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) {
+    pub async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
-        while !holds().await {
+        while !condition().await {
             if Instant::now() > deadline {
                 for vm in self.daemons.keys() {
                     eprintln!("--- {vm}\n{}", self.log(vm));
--- a/proofs/tests/config.rs
+++ b/proofs/tests/config.rs
@@ -16,19 +16,19 @@
 use porcupine_rs::{Model, Operation, check_operations};
 use proofs::{
     check::expect_none,
-    cluster::{Cluster, ClusterConfig, SECRET},
+    cluster::{Cluster, ClusterSetup, PEER_SECRET},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 use stand_ins::{history::monotonic_micros, relay::Link};
 
 async fn start(links: bool) -> Cluster {
-    Cluster::start(ClusterConfig {
+    Cluster::start(ClusterSetup {
         daemons: 3,
         engines: Vec::new(),
         plain_services: 1,
         links,
-        ..ClusterConfig::default()
+        ..ClusterSetup::default()
     })
     .await
 }
@@ -61,8 +61,8 @@
         match op {
             Op::Accepted { based_on, version } => (state == based_on && version > state, *version),
             Op::Conflict { based_on, present } => (state == present && based_on != present, *state),
-            // It may have taken effect as any later version, or not at all. Operations that saw its
-            // version come later, so only the histories in which it had no effect are checked here.
+            // The change may have taken effect as any later version, or not at all. Only the second
+            // case is modelled; in the first, operations that saw its version fail the check.
             Op::Unknown => (true, *state),
         }
     }
@@ -88,7 +88,8 @@
     assert!(!check_operations(&reverted));
 }
 
-/// Generations that each daemon showed, with the time. A restarted daemon is a separate entry.
+/// Times and generations that each daemon reported while ready, by its VM and start number. A
+/// restarted daemon is a separate entry.
 type Observed = BTreeMap<(String, u64), Vec<(u64, u64)>>;
 
 async fn watch_generations(cluster: &Cluster, stop: &AtomicBool) -> Observed {
@@ -114,8 +115,7 @@
     drops.collect()
 }
 
-/// Returns ready daemons that show an older generation more than `within` after a newer one was
-/// accepted.
+/// Returns the reports of an older generation more than `within` after a newer one was accepted.
 fn stale_views(observed: &Observed, accepted: &[(u64, u64)], within: Duration) -> Vec<String> {
     let mut violations = Vec::new();
     for (who, views) in observed {
@@ -138,8 +138,8 @@
     assert!(stale_views(&observed, &[(5, 5)], Duration::from_micros(40)).is_empty());
 }
 
-/// Changes the rate of one team repeatedly through one daemon, each time based on the version it
-/// last read.
+/// Changes the rate of one team repeatedly through one daemon, each time based on the version that
+/// it last received. Returns the operations, and the accepted versions with their times.
 async fn update_repeatedly(
     cluster: &Cluster,
     vm: &str,
@@ -153,9 +153,9 @@
     for _ in 0..rounds {
         let body = json!({ "resource_version": based_on, "spec": { "rate": rng.random_range(1..1000) } });
         let call_time = monotonic_micros().cast_signed();
-        let answer = cluster.operator_call(vm, "PUT", "/v1/teams/raced", Some(&body)).await;
+        let response = cluster.operator_call(vm, "PUT", "/v1/teams/raced", Some(&body)).await;
         let return_time = monotonic_micros().cast_signed();
-        let op = match answer {
+        let op = match response {
             Ok((status, value)) if status.is_success() => {
                 let version = value["generation"].as_u64().expect("the response has a generation");
                 accepted.push((return_time.cast_unsigned(), version));
@@ -278,7 +278,7 @@
 }
 
 #[tokio::test]
-async fn the_service_shows_a_stale_copy_after_an_outage() {
+async fn the_key_value_service_returns_stale_values_after_an_outage() {
     let cluster = start(false).await;
     let stop = Arc::new(AtomicBool::new(false));
     let watching = watch_generations(&cluster, &stop);
@@ -347,7 +347,7 @@
 #[tokio::test]
 async fn marks_of_a_holder_without_authority_have_no_effect() {
     let cluster = start(false).await;
-    let client = peer_client(&cluster, "entry-1", SECRET);
+    let client = peer_client(&cluster, "entry-1", PEER_SECRET);
     assert!(client.marks(marks(5, 1, &["plain-1"])).await.expect("the daemon responds").taken);
     assert!(!client.marks(marks(4, 9, &[])).await.expect("the daemon responds").taken, "an older holder");
     assert!(
@@ -392,11 +392,11 @@
     ];
     for body in bodies {
         let req = http::Request::post(format!("http://{}", cluster.daemons["entry-1"].peer_address))
-            .header("authorization", format!("Bearer {SECRET}"))
+            .header("authorization", format!("Bearer {PEER_SECRET}"))
             .header("content-type", "application/json")
             .body(http_body_util::Full::from(bytes::Bytes::from(body)));
-        let (_, answer) = client.fetch(req.expect("the request is valid"), limit).await.expect("the daemon responds");
-        assert!(!String::from_utf8_lossy(&answer).contains("\"result\""), "{body}: {answer:?}");
+        let (_, response) = client.fetch(req.expect("the request is valid"), limit).await.expect("the daemon responds");
+        assert!(!String::from_utf8_lossy(&response).contains("\"result\""), "{body}: {response:?}");
     }
     let metrics = cluster.metrics("entry-1").await;
     assert!(metrics.contains("dahliaseam_refused_calls_total{from=\"peer\""), "{metrics}");
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -1,4 +1,5 @@
-//! Planned changes cut no requests: role changes, loads, drains and stops, all under load.
+//! Planned changes abort no requests, even under load: role changes, loads of adapters and versions,
+//! drains and stops.
 
 use std::{
     process::ExitStatus,
@@ -7,8 +8,10 @@
 
 use dahliaseam_core::{custody::Fencing, endpoint::Role};
 use proofs::{
-    check::{at_most_once, cut_requests, expect_none, late_starts, not_run, orders, wrong_answers},
-    cluster::{Cluster, ClusterConfig, WAIT_TIMEOUT},
+    check::{
+        aborted_requests, conflicting_orders, expect_none, false_not_run, late_starts, repeated_keys, wrong_answers,
+    },
+    cluster::{Cluster, ClusterSetup, WAIT_TIMEOUT},
     load::{Load, Mix, call, failed_protected},
 };
 use serde_json::json;
@@ -19,8 +22,8 @@
 };
 
 const CALLERS: usize = 6;
-/// Time after its mark within which a leaving endpoint may still start requests. In these tests the
-/// list is read every 100 ms, and gossip is sent with probes every 60 ms.
+/// Time after which an endpoint that was drained or marked as leaving must start no more requests.
+/// In these tests the VM list is read every 100 ms, and gossip is sent with probes every 60 ms.
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
 async fn start(daemons: usize, links: bool) -> Cluster {
@@ -30,19 +33,19 @@
         (Role::Mixed, Fencing::Checks),
         (Role::Mixed, Fencing::Checks),
     ];
-    Cluster::start(ClusterConfig { daemons, engines, links, ..ClusterConfig::default() }).await
+    Cluster::start(ClusterSetup { daemons, engines, links, ..ClusterSetup::default() }).await
 }
 
 fn check_history(cluster: &Cluster, answers: &[(Call, Answer)]) {
     let history = cluster.history();
-    expect_none("cuts", &cut_requests(&history));
+    expect_none("aborted requests", &aborted_requests(&history));
     expect_none("protected kinds", &failed_protected(answers));
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("not run is true", &not_run(&history));
-    expect_none("at most once", &at_most_once(&history));
-    expect_none("orders", &orders(&history));
+    expect_none("reported as not run", &false_not_run(&history));
+    expect_none("at most once", &repeated_keys(&history));
+    expect_none("orders", &conflicting_orders(&history));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
-    assert!(lost.is_empty(), "cut by a planned change: {lost:?}");
+    assert!(lost.is_empty(), "not answered because of a planned change: {lost:?}");
 }
 
 #[tokio::test]
@@ -52,7 +55,7 @@
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 3, Mix::default());
     // Keeps requests of a protected kind running at every engine.
     let protected = Mix { chat_tokens: 120, only_kind: Some("counter-answer"), ..Mix::default() };
-    let busy = Load::start(&caller, &cluster.caller_addresses(), 2 * CALLERS, 30, protected);
+    let protected_load = Load::start(&caller, &cluster.caller_addresses(), 2 * CALLERS, 30, protected);
     let resources = [
         json!({ "kind": "version", "name": "catalogue-7b-r4",
             "spec": { "model": "catalogue-7b", "artifact": "catalogue-7b/r4" } }),
@@ -75,7 +78,7 @@
         })
         .await;
     let mut answers = load.finish().await;
-    answers.extend(busy.finish().await);
+    answers.extend(protected_load.finish().await);
     check_history(&cluster, &answers);
 }
 
@@ -92,7 +95,7 @@
     let since = monotonic_micros();
     load.wait_for_requests(100).await;
     let answers = load.finish().await;
-    expect_none("drained", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
+    expect_none("requests at drained endpoints", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
     check_history(&cluster, &answers);
 }
 
@@ -102,27 +105,28 @@
     let caller = cluster.new_caller("caller");
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 5, Mix::default());
     load.wait_for_requests(50).await;
-    // The key-value service is down for all daemons. One daemon loses only its own access to the list
-    // of VMs, another loses all its links.
+    // The key-value service is down for all daemons. One daemon also loses its access to the VM list,
+    // another loses all its links.
     cluster.inject_fault(&cluster.kv_address, &json!({ "down": true })).await;
     cluster.set_vm_list_link("entry-2", Link::Cut);
     cluster.set_daemon_links("entry-3", Link::Cut);
-    cluster.set_vms(&["vm-plain-1", "vm-engine-1"]).await;
+    cluster.set_vm_list(&["vm-plain-1", "vm-engine-1"]).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
     let since = monotonic_micros();
     load.wait_for_requests(100).await;
     assert!(!cluster.is_ready("entry-3").await, "a daemon that is cut off is not ready");
-    assert!(cluster.is_ready("entry-2").await, "a daemon that gets the list from its peers is ready");
+    assert!(cluster.is_ready("entry-2").await, "a daemon that gets the VM list from its peers is ready");
     cluster.set_daemon_links("entry-3", Link::Pass);
     cluster.set_vm_list_link("entry-2", Link::Pass);
     cluster.wait_until("the daemon is ready again", async || cluster.is_ready("entry-3").await).await;
     load.wait_for_requests(50).await;
     let answers = load.finish().await;
-    expect_none("leaving", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
-    // Orders need the key-value service, which is down, so they are refused as not run.
-    expect_none("not run is true", &not_run(&cluster.history()));
-    let cut: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
-    assert!(cut.is_empty(), "{cut:?}");
+    expect_none("requests at leaving endpoints", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
+    // Requests with an idempotency key need the key-value service, which is down, so they are
+    // refused as not run.
+    expect_none("reported as not run", &false_not_run(&cluster.history()));
+    let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
+    assert!(lost.is_empty(), "{lost:?}");
 }
 
 #[tokio::test]
@@ -177,7 +181,7 @@
     let caller = cluster.new_caller("caller");
     let load = Load::start(&caller, &cluster.caller_addresses(), CALLERS, 8, Mix::default());
     load.wait_for_requests(30).await;
-    cluster.set_vms(&["entry-2"]).await;
+    cluster.set_vm_list(&["entry-2"]).await;
     let status = cluster.daemon("entry-2").wait(WAIT_TIMEOUT).await;
     assert!(status.success(), "{status}\n{}", cluster.log("entry-2"));
     load.wait_for_requests(30).await;
