--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -83,7 +83,7 @@
 
 /// How to treat a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Treatment {
     /// Like any other request.
     Clear,
     /// Replicas crashed during it: it is isolated from other suspects.
@@ -218,39 +218,39 @@
 
     /// Decides how to treat a request, in a deployment of `daemons` daemons; `cut_off` tells whether this one receives
     /// no reports from its peers.
-    pub fn verdict(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Verdict {
+    pub fn treatment(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Treatment {
         let Some(record) = self.records.get(&content) else {
-            return Verdict::Clear;
+            return Treatment::Clear;
         };
         if record.refused.is_none() && self.evidence(record) >= CRASHES_TO_REFUSE {
             let settled_at = record.last_crash() + REPORT_DELAY + Span(REPORT_DELAY_PER_DAEMON.0 * daemons as u64);
             if !settled_at.is_past(now) {
-                return Verdict::Pending(settled_at);
+                return Treatment::Pending(settled_at);
             }
             self.refuse_culprits(now);
         }
         let Some(record) = self.records.get(&content) else {
-            return Verdict::Clear;
+            return Treatment::Clear;
         };
         if let Some(refused) = record.refused {
-            return Verdict::Refused(refused);
+            return Treatment::Refused(refused);
         }
         let evidence = self.evidence(record);
         let temporary =
             Refused { crashes: evidence as u32, since: now, until: now, unambiguous: false, known_by: KnownBy::Own };
         if cut_off && evidence >= CRASHES_TO_REFUSE_CUT_OFF {
-            return Verdict::Refused(temporary);
+            return Treatment::Refused(temporary);
         }
         if evidence >= CRASHES_TO_REFUSE && !record.trial_until.is_past(now) {
-            return Verdict::Refused(temporary);
+            return Treatment::Refused(temporary);
         }
         if evidence < CRASHES_TO_ISOLATE {
-            return Verdict::Clear;
+            return Treatment::Clear;
         }
         // Each replica that the request reaches may crash. From the third crash on, or after an expired refusal, it
         // therefore reaches only one.
         let single_replica = evidence >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
-        Verdict::Isolated(Isolation { content, single_replica })
+        Treatment::Isolated(Isolation { content, single_replica })
     }
 
     /// Records the start of a trial: a run that shows whether a request is at fault.
@@ -331,7 +331,7 @@
     fn refuse_culprits(&mut self, now: Time) {
         while let Some((evidence, content, grounds)) = self.next_to_refuse() {
             if let Some(record) = self.records.get_mut(&content) {
-                let known_by = if record.observed_here { KnownBy::Own } else { KnownBy::Told };
+                let known_by = if record.observed_here { KnownBy::Own } else { KnownBy::PeerReports };
                 let until = now + grounds.refusal_period(record.expired_refusals);
                 let unambiguous = grounds != Grounds::Ambiguous;
                 record.refused = Some(Refused { crashes: evidence as u32, since: now, until, unambiguous, known_by });
--- a/crates/core/src/fleet/endings/record.rs
+++ b/crates/core/src/fleet/endings/record.rs
@@ -95,7 +95,7 @@
     /// This daemon decided it, and itself lost the request in a crash.
     Own,
     /// This daemon decided it from the reports of others.
-    Told,
+    PeerReports,
     /// Another daemon decided it.
     Peer,
     /// It is in the store.
@@ -108,7 +108,7 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::Own => "own",
-            Self::Told => "told",
+            Self::PeerReports => "told",
             Self::Peer => "peer",
             Self::Store => "store",
         }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -22,7 +22,7 @@
         budget::{RetryBudget, RetryBudgetTerms},
         candidates::Candidates,
         distance::HallLatencies,
-        endings::{CrashTracker, Verdict},
+        endings::{CrashTracker, Treatment},
         engine::{EngineModel, hand_over::KvTransfer, read_time::PrefillWork},
         peers::{PeerState, Source},
         plan::{Plan, RouteRequest},
@@ -472,10 +472,10 @@
     }
 
     /// Decides how to treat a request, given the replicas that crashed during it.
-    pub fn verdict(&mut self, content: ContentHash, now: Time) -> Verdict {
+    pub fn treatment(&mut self, content: ContentHash, now: Time) -> Treatment {
         let daemons = self.daemons();
         let is_cut_off = daemons == 1 && self.registered_daemons > 1;
-        self.crashes.verdict(content, daemons, is_cut_off, now)
+        self.crashes.treatment(content, daemons, is_cut_off, now)
     }
 
     /// Adds a new request to the retry budget of a service.
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -10,7 +10,7 @@
 use dahliaseam_core::{
     content::ContentHash,
     fleet::{
-        endings::{CrashTracker, Recipients, RequestNote, Verdict},
+        endings::{CrashTracker, Recipients, RequestNote, Treatment},
         short_id,
     },
     hash::{self, rendezvous},
@@ -216,12 +216,12 @@
     fn handle_request(&mut self, mut request: CallerRequest, daemon: usize) {
         let cut_off = self.scenario.cut_off && daemon == 0 && self.scenario.daemons > 1;
         let daemons = if cut_off { 1 } else { self.scenario.daemons };
-        match self.daemons[daemon].verdict(request.content, daemons, cut_off, self.now) {
-            Verdict::Pending(until) => self.arrivals.push((until, request)),
-            Verdict::Refused(refused) => self.handle_refusal(request, refused.until),
+        match self.daemons[daemon].treatment(request.content, daemons, cut_off, self.now) {
+            Treatment::Pending(until) => self.arrivals.push((until, request)),
+            Treatment::Refused(refused) => self.handle_refusal(request, refused.until),
             verdict => {
-                let is_isolated = matches!(verdict, Verdict::Isolated(_));
-                let is_whole = matches!(verdict, Verdict::Isolated(apart) if apart.single_replica);
+                let is_isolated = matches!(verdict, Treatment::Isolated(_));
+                let is_whole = matches!(verdict, Treatment::Isolated(apart) if apart.single_replica);
                 let by_content = is_isolated && self.scenario.isolate_suspects;
                 let Some(engine) = self.choose_engine(&request, by_content) else {
                     return self.schedule_retry(request);
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -5,7 +5,7 @@
 use dahliaseam_core::{
     content::ContentHash,
     fleet::{
-        endings::{Refused, Verdict},
+        endings::{Refused, Treatment},
         replica::ReplicaFacts,
     },
 };
@@ -72,16 +72,16 @@
         self.trial = None;
         loop {
             let now = self.gw.now();
-            let verdict = self.gw.fleet().verdict(self.content, now);
+            let verdict = self.gw.fleet().treatment(self.content, now);
             match verdict {
-                Verdict::Clear => self.isolation = None,
-                Verdict::Isolated(isolation) => self.isolation = Some(isolation),
-                Verdict::Pending(until) if !self.deadline.is_past(now) => {
+                Treatment::Clear => self.isolation = None,
+                Treatment::Isolated(isolation) => self.isolation = Some(isolation),
+                Treatment::Pending(until) if !self.deadline.is_past(now) => {
                     self.gw.sleep(duration(until.min(self.deadline).since(now))).await;
                     continue;
                 }
-                Verdict::Pending(_) => return Err(self.final_refusal()),
-                Verdict::Refused(refused) => return Err(self.refuse_for_crashes(&refused)),
+                Treatment::Pending(_) => return Err(self.final_refusal()),
+                Treatment::Refused(refused) => return Err(self.refuse_for_crashes(&refused)),
             }
             return Ok(());
         }
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -238,7 +238,7 @@
                 n += 1;
                 let now = NOW + Span::millis(n);
                 let content = ContentHash::of("POST", "shop.example", &n.to_string(), &body);
-                black_box(tracker.verdict(content, 8, false, now));
+                black_box(tracker.treatment(content, 8, false, now));
                 tracker.record_answer(content, now);
             });
         });
