--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -93,14 +93,14 @@
     /// The replicas among the candidates of a request that accept requests from this daemon now.
     fn eligible(&self, req: &RouteRequest<'_>, now: Time) -> Vec<(ReplicaKey, &Replica)> {
         let mut eligible = self.available(req, now);
-        eligible.retain(|(_, replica)| replica.accepts(self.slot_share, now));
+        eligible.retain(|(_, replica)| replica.accepts(self.rate_limit_share, now));
         eligible
     }
 
     /// Shortest time until an available replica accepts a request from this daemon; `None` if none is available.
     fn time_until_accepted(&self, req: &RouteRequest<'_>, now: Time) -> Option<Span> {
         let available = self.available(req, now).into_iter();
-        available.map(|(_, replica)| replica.time_until_accepted(self.slot_share, now)).min()
+        available.map(|(_, replica)| replica.time_until_accepted(self.rate_limit_share, now)).min()
     }
 
     /// The candidates of a request that are available, regardless of their rate limits and retry times.
--- a/crates/core/src/fleet/discovery.rs
+++ b/crates/core/src/fleet/discovery.rs
@@ -45,7 +45,7 @@
         let new_key = self.add(facts, revision);
         if let (Some(previous), Some(new)) = (previous, self.replicas.get_mut(new_key)) {
             self.by_start_id.remove(&previous.start_id);
-            new.inherit_speed(&previous);
+            new.inherit_slowness(&previous);
         }
         true
     }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -27,7 +27,7 @@
         peers::{PeerState, Source},
         plan::{Plan, RouteRequest},
         policy::FleetPolicy,
-        rate_limit::SlotShare,
+        rate_limit::RateLimitShare,
         replica::{Load, Replica, ReplicaFacts, ReplicaKey},
         sizes::LargePromptFairness,
         split::{DemandMeter, RequestDemand},
@@ -194,7 +194,7 @@
     /// Number of daemons that are registered, whether or not their reports arrive.
     registered_daemons: usize,
     /// Determines which rate-limit slots belong to this daemon.
-    slot_share: SlotShare,
+    rate_limit_share: RateLimitShare,
     /// Requests during which replicas crashed.
     pub crashes: CrashTracker,
 }
@@ -230,11 +230,11 @@
 
     /// Sets the zero-based rank of this daemon among the registered ones, and the offset from its clock to the time
     /// of day.
-    pub fn set_slot_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
+    pub fn set_rate_limit_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
         let (daemons, rank) = (self.daemons().max(self.registered_daemons) as u64, rank as u64);
-        let changed = (daemons, rank) != (self.slot_share.daemons, self.slot_share.rank);
-        let changed_at = if changed { now + clock_offset } else { self.slot_share.changed_at };
-        self.slot_share = SlotShare { daemons, rank, clock_offset, changed_at };
+        let changed = (daemons, rank) != (self.rate_limit_share.daemons, self.rate_limit_share.rank);
+        let changed_at = if changed { now + clock_offset } else { self.rate_limit_share.changed_at };
+        self.rate_limit_share = RateLimitShare { daemons, rank, clock_offset, changed_at };
     }
 
     /// Sets the configured KV cache capacity of a service's engines, in tokens.
@@ -310,7 +310,7 @@
 
     /// Records that a step starts on a replica; `prompt` is the prompt to prefill. Returns `None` if the replica is
     /// gone or its rate limit or retry time does not let this daemon send now.
-    pub fn begin(
+    pub fn begin_step(
         &mut self,
         key: ReplicaKey,
         step: &plan::Step,
@@ -318,7 +318,8 @@
         now: Time,
     ) -> Option<SentStep> {
         let replica = self.replicas.get_mut(key)?;
-        if !replica.retry_at.is_past(now) || !replica.rate_limit.take_slot(replica.start_id, self.slot_share, now) {
+        if !replica.retry_at.is_past(now) || !replica.rate_limit.take_slot(replica.start_id, self.rate_limit_share, now)
+        {
             return None;
         }
         let had_no_prefill = replica.own_load.prefill_ms + replica.peer_load.prefill_ms <= 0.0;
@@ -370,7 +371,7 @@
     }
 
     /// Records that a step on a replica has ended; returns whether this ejects the replica.
-    pub fn end(&mut self, sent: &SentStep, end: StepEnd, now: Time) -> bool {
+    pub fn end_step(&mut self, sent: &SentStep, end: StepEnd, now: Time) -> bool {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return false;
         };
@@ -414,12 +415,12 @@
         let Some(key) = self.key(&facts.id) else {
             return false;
         };
-        let share = self.slot_share;
+        let share = self.rate_limit_share;
         let replica = self.replicas.get_mut(key).filter(|replica| replica.facts.is_same_start(facts));
         let Some(replica) = replica else {
             return false;
         };
-        let changed = replica.rate_limit.update_from_answer(limit, sent_at, share, now);
+        let changed = replica.rate_limit.update_from_response(limit, sent_at, share, now);
         if changed || limit.is_some() {
             self.reportable.insert(key);
         }
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -291,7 +291,7 @@
         if notes.is_empty() {
             return Vec::new();
         }
-        let share = self.slot_share;
+        let share = self.rate_limit_share;
         let mut changed = Vec::new();
         for note in notes {
             let Some(key) = self.by_start_id.get(&note.replica).copied() else { continue };
--- a/crates/core/src/fleet/rate_limit.rs
+++ b/crates/core/src/fleet/rate_limit.rs
@@ -25,7 +25,7 @@
 
 /// Determines which slots of a rate limit belong to this daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct SlotShare {
+pub(super) struct RateLimitShare {
     /// Number of daemons that share the limits, including this one.
     pub(super) daemons: u64,
     /// Zero-based rank of this daemon among them.
@@ -74,11 +74,11 @@
 
 impl RateLimit {
     /// Updates the limit from the answer to a request that was sent at `sent_at`; returns whether the limit changed.
-    pub(super) fn update_from_answer(
+    pub(super) fn update_from_response(
         &mut self,
         per_second: Option<f64>,
         sent_at: Time,
-        share: SlotShare,
+        share: RateLimitShare,
         now: Time,
     ) -> bool {
         match per_second {
@@ -96,7 +96,7 @@
         &mut self,
         note: &RateLimitNote,
         in_hall: bool,
-        share: SlotShare,
+        share: RateLimitShare,
         now: Time,
     ) -> bool {
         let known_at = now - Span::millis(u64::from(note.age_ms));
@@ -108,7 +108,14 @@
         self.set(per_second, known_at, origin, share, now)
     }
 
-    fn set(&mut self, per_second: Option<f64>, known_at: Time, origin: Origin, share: SlotShare, now: Time) -> bool {
+    fn set(
+        &mut self,
+        per_second: Option<f64>,
+        known_at: Time,
+        origin: Origin,
+        share: RateLimitShare,
+        now: Time,
+    ) -> bool {
         if self.per_second.is_none() {
             self.last_slot = now + share.clock_offset;
         }
@@ -142,7 +149,7 @@
     }
 
     /// Takes a slot for one request; returns whether the request may be sent.
-    pub(super) fn take_slot(&mut self, replica: u32, share: SlotShare, now: Time) -> bool {
+    pub(super) fn take_slot(&mut self, replica: u32, share: RateLimitShare, now: Time) -> bool {
         let Some(slot) = self.next_slot(replica, share, now) else {
             return true;
         };
@@ -154,13 +161,13 @@
     }
 
     /// Time until this daemon may send a request; zero if no limit is in force.
-    pub(super) fn time_until_slot(&self, replica: u32, share: SlotShare, now: Time) -> Span {
+    pub(super) fn time_until_slot(&self, replica: u32, share: RateLimitShare, now: Time) -> Span {
         self.next_slot(replica, share, now).map_or(Span(0), |slot| slot.since(now + share.clock_offset))
     }
 
     /// Start of the first slot of this daemon that is neither used nor expired, as time of day; `None` if no limit is
     /// in force.
-    fn next_slot(&self, replica: u32, share: SlotShare, now: Time) -> Option<Time> {
+    fn next_slot(&self, replica: u32, share: RateLimitShare, now: Time) -> Option<Time> {
         let interval = MICROS_PER_SECOND / self.per_second?.max(MIN_PER_SECOND);
         let daemons = share.daemons.max(1);
         // The rotation is offset per replica, so that a daemon's slots at several replicas do not coincide.
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -11,7 +11,7 @@
         cache::PrefixCache,
         distance::HallKey,
         engine::{answer_pace::AnswerPace, running_mean::RunningMean},
-        rate_limit::{RateLimit, SlotShare},
+        rate_limit::{RateLimit, RateLimitShare},
         short_id,
     },
     hash::rendezvous,
@@ -185,7 +185,7 @@
     }
 
     /// Copies the slowness, which is a property of the machine, from the replica's previous start.
-    pub(super) const fn inherit_speed(&mut self, previous: &Self) {
+    pub(super) const fn inherit_slowness(&mut self, previous: &Self) {
         self.answer_slowness = previous.answer_slowness;
         self.slowness = previous.slowness;
         self.slowness_at = previous.slowness_at;
@@ -204,12 +204,12 @@
     }
 
     /// Time until both its rate limit and its retry time let this daemon send; zero if they do now.
-    pub(super) fn time_until_accepted(&self, share: SlotShare, now: Time) -> Span {
+    pub(super) fn time_until_accepted(&self, share: RateLimitShare, now: Time) -> Span {
         self.rate_limit.time_until_slot(self.start_id, share, now).max(self.retry_at.since(now))
     }
 
     /// Whether its rate limit and its retry time let this daemon send now.
-    pub(super) fn accepts(&self, share: SlotShare, now: Time) -> bool {
+    pub(super) fn accepts(&self, share: RateLimitShare, now: Time) -> bool {
         self.time_until_accepted(share, now) == Span(0)
     }
 
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -23,7 +23,7 @@
 /// Estimated duration of a long answer before any was observed.
 const INITIAL_LONG_SECONDS: f64 = 3.0;
 /// Minimum weight of a new observation of an answer's duration.
-const ANSWER_TIME_WEIGHT: f64 = 0.05;
+const MIN_ANSWER_TIME_WEIGHT: f64 = 0.05;
 /// Minimum number of engines in a service for roles to be changed.
 const MIN_ENGINES: usize = 4;
 /// Minimum number of decode engines: one may be lost at any time.
@@ -116,7 +116,7 @@
         Self {
             started: DecayingSum::default(),
             tokens: DecayingSum::default(),
-            seconds: RunningMean::new(seconds, ANSWER_TIME_WEIGHT),
+            seconds: RunningMean::new(seconds, MIN_ANSWER_TIME_WEIGHT),
         }
     }
 
--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -21,7 +21,7 @@
 fn prefill_goes_to_the_engine_with_the_shortest_queue() {
     let mut fleet = fleet_with(&[("r1", Role::Prefill), ("r2", Role::Prefill), ("w", Role::Decode)]);
     let busy = fleet.key("r1").expect("the replica is known");
-    fleet.begin(busy, &step(busy, 80.0, false), None, now());
+    fleet.begin_step(busy, &step(busy, 80.0, false), None, now());
     let prompt = prompt(10, 11, 1);
     let Ok(Plan::Disaggregated { prefill, decode }) = fleet.choose(&req(Some(&prompt), &[]), now()) else {
         panic!("one engine must prefill the prompt and another decode");
@@ -34,7 +34,7 @@
     let mut fleet = fleet_with(&[("r1", Role::Prefill), ("r2", Role::Prefill), ("w", Role::Decode)]);
     let holder = fleet.key("r1").expect("the replica is known");
     let earlier = prompt(10, 11, 1);
-    fleet.begin(holder, &step(holder, 150.0, false), Some(&earlier), now());
+    fleet.begin_step(holder, &step(holder, 150.0, false), Some(&earlier), now());
     let same_subject = prompt(10, 12, 1);
     let Ok(Plan::Disaggregated { prefill, .. }) = fleet.choose(&req(Some(&same_subject), &[]), now()) else {
         panic!("one engine must prefill the prompt and another decode");
@@ -48,7 +48,7 @@
     let mut fleet = fleet_with(&[("r1", Role::Prefill), ("r2", Role::Prefill), ("w", Role::Decode)]);
     let holder = fleet.key("r1").expect("the replica is known");
     let earlier = prompt(10, 11, 1);
-    fleet.begin(holder, &step(holder, 150.0, false), Some(&earlier), now());
+    fleet.begin_step(holder, &step(holder, 150.0, false), Some(&earlier), now());
     fleet.mark_removed("r1", 2, now() + Span::millis(2_000));
     let same_subject = prompt(10, 12, 1);
     let plan = fleet.choose(&req(Some(&same_subject), &[]), now()).expect("a plan exists");
@@ -60,7 +60,7 @@
     let mut fleet = fleet_with(&[("r", Role::Prefill), ("w", Role::Decode)]);
     for id in ["r", "w"] {
         let key = fleet.key(id).expect("the replica is known");
-        fleet.begin(key, &step(key, 500.0, false), None, now());
+        fleet.begin_step(key, &step(key, 500.0, false), None, now());
     }
     let prompt = prompt(10, 11, 1);
     let Err(PlanError::TooLate { predicted_ms, retry_after, .. }) = fleet.choose(&req(Some(&prompt), &[]), now())
@@ -81,7 +81,7 @@
     assert!(!plan(&fleet).expect("a plan exists").is_late());
     for id in ["r", "w"] {
         let key = fleet.key(id).expect("the replica is known");
-        fleet.begin(key, &step(key, 250.0, false), None, now());
+        fleet.begin_step(key, &step(key, 250.0, false), None, now());
     }
     let late = plan(&fleet).expect("the caller waits long enough");
     assert!(late.is_late());
@@ -89,7 +89,7 @@
     let mut fleet = fleet_with(&[("r", Role::Prefill), ("w", Role::Decode)]);
     for id in ["r", "w"] {
         let key = fleet.key(id).expect("the replica is known");
-        fleet.begin(key, &Step { late: true, ..step(key, 250.0, false) }, None, now());
+        fleet.begin_step(key, &Step { late: true, ..step(key, 250.0, false) }, None, now());
     }
     assert!(!plan(&fleet).expect("a plan exists").is_late());
 }
@@ -124,7 +124,7 @@
     let prompt = prompt(10, 11, 1);
     for id in ["r", "w"] {
         let key = fleet.key(id).expect("the replica is known");
-        fleet.begin(key, &step(key, 250.0, false), None, now());
+        fleet.begin_step(key, &step(key, 250.0, false), None, now());
     }
     let demand = ServiceDemand { service: short_id(SERVICE), urgent: 1.0, ..ServiceDemand::default() };
     fleet.apply_report(report_id(1, 1), &LoadReport { demands: vec![demand], ..LoadReport::default() }, now());
@@ -140,8 +140,8 @@
     let never_refused = RouteRequest { may_refuse: false, ..req(Some(&prompt), &[]) };
     let (prefill_engine, key) =
         (fleet.key("r").expect("the replica is known"), fleet.key("w").expect("the replica is known"));
-    fleet.begin(key, &step(key, 0.0, false), None, now());
-    fleet.begin(prefill_engine, &step(prefill_engine, 500.0, false), None, now());
+    fleet.begin_step(key, &step(key, 0.0, false), None, now());
+    fleet.begin_step(prefill_engine, &step(prefill_engine, 500.0, false), None, now());
     let is_single = |fleet: &Fleet| matches!(fleet.choose(&never_refused, now()), Ok(Plan::Single(_)));
     fleet.set_max_pause(&service, Some(Span::millis(200)));
     assert!(!is_single(&fleet), "the prompt must wait for the prefill engine");
@@ -162,7 +162,7 @@
         let Ok(Plan::Single(step)) = fleet.choose(&req(Some(&prompt), &[]), now()) else {
             panic!("one engine must serve the whole request");
         };
-        let mut sent = fleet.begin(step.key, &step, Some(&prompt), now()).expect("the replica is known");
+        let mut sent = fleet.begin_step(step.key, &step, Some(&prompt), now()).expect("the replica is known");
         fleet.prefill_ended(&mut sent, StepEnd::Done, now());
         used.insert(id(&fleet, step.key));
     }
@@ -173,7 +173,7 @@
 fn an_engine_with_long_answers_takes_no_large_prefill() {
     let mut fleet = fleet_with(&[("w", Role::Decode)]);
     let key = fleet.key("w").expect("the replica is known");
-    fleet.begin(key, &step(key, 0.0, true), None, now());
+    fleet.begin_step(key, &step(key, 0.0, true), None, now());
     let prompt = Prompt::new("m", [(10, 20_000)].into_iter(), 20_000, 1);
     assert_eq!(fleet.choose(&req(Some(&prompt), &[]), now()), Err(PlanError::NoReplica));
 }
@@ -194,7 +194,7 @@
         let step = Step { long: true, ..Step::at(key) };
         fleet.record_demand(&Arc::from(SERVICE), &caller, &Plan::Single(step), true, now());
         for _ in 0..8 {
-            let sent = fleet.begin(key, &step, Some(&long), now()).expect("the replica is known");
+            let sent = fleet.begin_step(key, &step, Some(&long), now()).expect("the replica is known");
             active_steps.push((sent, Span::millis(interval_ms * 10)));
         }
     }
@@ -239,6 +239,6 @@
         fleet.learn_connection(far, Span::millis(42));
     }
     assert!((0..50).all(|draw| chosen(&fleet, draw) == near));
-    fleet.begin(near, &step(near, 300.0, false), None, now());
+    fleet.begin_step(near, &step(near, 300.0, false), None, now());
     assert!((0..50).all(|draw| chosen(&fleet, draw) == far));
 }
--- a/crates/core/tests/fleet/discovery.rs
+++ b/crates/core/tests/fleet/discovery.rs
@@ -55,10 +55,10 @@
 fn a_gone_replica_is_kept_while_requests_are_in_flight() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
     let key = fleet.key("a").expect("the replica is known");
-    let sent = fleet.begin(key, &step(key, 0.0, false), None, now()).expect("the replica is known");
+    let sent = fleet.begin_step(key, &step(key, 0.0, false), None, now()).expect("the replica is known");
     fleet.mark_removed("a", 2, now());
     assert!(fleet.remove_gone(now()).is_empty());
-    fleet.end(&sent, StepEnd::Done, now());
+    fleet.end_step(&sent, StepEnd::Done, now());
     assert_eq!(fleet.remove_gone(now()).len(), 1);
 }
 
@@ -105,8 +105,8 @@
 fn concurrent_failures_eject_a_replica_once() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
     let key = fleet.key("a").expect("the replica is known");
-    let sent: Vec<_> = (0..20).filter_map(|_| fleet.begin(key, &step(key, 0.0, false), None, now())).collect();
-    let ejections = sent.iter().filter(|sent| fleet.end(sent, StepEnd::Silent, now())).count();
+    let sent: Vec<_> = (0..20).filter_map(|_| fleet.begin_step(key, &step(key, 0.0, false), None, now())).collect();
+    let ejections = sent.iter().filter(|sent| fleet.end_step(sent, StepEnd::Silent, now())).count();
     assert_eq!(ejections, 1);
     assert!(fleet.choose(&req(None, &[]), now()).is_err());
     // The first ejection is short, however many calls were active.
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -84,7 +84,7 @@
             let key = fleet.key(&format!("w{n}")).expect("the replica is known");
             for _ in 0..ANSWERS_PER_ENGINE {
                 // The long answers are active all the time.
-                fleet.begin(key, &Step { long: true, ..Step::at(key) }, None, now());
+                fleet.begin_step(key, &Step { long: true, ..Step::at(key) }, None, now());
             }
         }
         Self { queues, fleet, served: Vec::new(), rng: SmallRng::seed_from_u64(seed), arrivals: 0 }
@@ -139,7 +139,7 @@
                 return;
             }
         };
-        let sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("the replica is known");
+        let sent = self.fleet.begin_step(step.key, &step, Some(&prompt), now).expect("the replica is known");
         let queue = self.queues.iter_mut().find(|(key, ..)| *key == step.key).expect("the replica has a queue");
         queue.1.push(QueuedPrompt { sent, step, decode, prompt, tokens, counts });
     }
@@ -167,16 +167,16 @@
 
     fn finish(&mut self, mut finished: QueuedPrompt, now: Time) {
         self.fleet.prefill_ended(&mut finished.sent, StepEnd::Done, now);
-        self.fleet.end(&finished.sent, StepEnd::Done, now);
+        self.fleet.end_step(&finished.sent, StepEnd::Done, now);
         let in_time = now.since(finished.sent.sent_at) < CALLER_TIMEOUT;
         if finished.counts {
             self.served.push((finished.tokens, in_time));
         }
         if let Some(decode) = finished.decode
-            && let Some(mut sent) = self.fleet.begin(decode.key, &decode, Some(&finished.prompt), now)
+            && let Some(mut sent) = self.fleet.begin_step(decode.key, &decode, Some(&finished.prompt), now)
         {
             self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
-            self.fleet.end(&sent, StepEnd::Done, now);
+            self.fleet.end_step(&sent, StepEnd::Done, now);
         }
     }
 
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -133,7 +133,7 @@
             panic!("one engine must serve the whole request");
         };
         self.fleet.record_demand(&Arc::from(SERVICE), &req, &Plan::Single(step), true, now);
-        let mut sent = self.fleet.begin(step.key, &step, Some(&prompt), now).expect("the replica is known");
+        let mut sent = self.fleet.begin_step(step.key, &step, Some(&prompt), now).expect("the replica is known");
         self.fleet.prefill_ended(&mut sent, StepEnd::Done, now);
         let engine =
             self.fleet.get(step.key).expect("the replica is known").facts.id[1..].parse().expect("an engine number");
@@ -173,7 +173,7 @@
                     StreamPart { events, total: events, took: now.since(answer.sent.sent_at), ..StreamPart::default() };
                 self.fleet.learn_answer(&answer.sent, &stream, now);
             }
-            self.fleet.end(&answer.sent, StepEnd::Done, now);
+            self.fleet.end_step(&answer.sent, StepEnd::Done, now);
             self.finished.push(FinishedAnswer { events: answer.events, served: answer.events_done >= answer.events });
         }
     }
--- a/crates/core/tests/fleet/many_replicas.rs
+++ b/crates/core/tests/fleet/many_replicas.rs
@@ -30,8 +30,9 @@
     for subject in 10..60 {
         let earlier = prompt(subject, 1_000 + subject, 1);
         let holder = fleet.key(&format!("e{}", subject * 5)).expect("the replica is known");
-        let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("the replica is known");
-        fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
+        let sent =
+            fleet.begin_step(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("the replica is known");
+        fleet.end_step(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
         let next = prompt(subject, 2_000 + subject, 1);
         let plan = fleet
             .choose(&RouteRequest { draw: subject, ..req(Some(&next), &[]) }, now())
@@ -49,7 +50,7 @@
         let plan = fleet.choose(&RouteRequest { draw, ..req(None, &[]) }, now()).expect("a replica is available");
         let key = plan.prefill_step().key;
         assert_eq!(&*fleet.get(key).expect("the replica is known").facts.hall, "hall-1");
-        fleet.begin(key, &step(key, 1.0, false), None, now());
+        fleet.begin_step(key, &step(key, 1.0, false), None, now());
         *requests_by_replica.entry(id(&fleet, key)).or_default() += 1;
     }
     let busiest = requests_by_replica.values().max().copied().unwrap_or_default();
@@ -62,8 +63,9 @@
     let mut fleet = large_fleet(Role::Decode);
     let earlier = prompt(10, 11, 1);
     let holder = fleet.key("e10").expect("the replica is known");
-    let sent = fleet.begin(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("the replica is known");
-    fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
+    let sent =
+        fleet.begin_step(holder, &step(holder, 1.0, false), Some(&earlier), now()).expect("the replica is known");
+    fleet.end_step(&sent, dahliaseam_core::fleet::StepEnd::Done, now());
     fleet.mark_removed("e10", 2, now());
     assert_eq!(fleet.remove_gone(now()).len(), 1);
     let next = prompt(10, 12, 1);
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -24,7 +24,7 @@
     let mut other = fleet_with(&[("a", Role::Plain), ("b", Role::Plain)]);
     let key = other.key("a").expect("the replica is known");
     for _ in 0..9 {
-        other.begin(key, &step(key, 0.0, false), None, now());
+        other.begin_step(key, &step(key, 0.0, false), None, now());
     }
     let report = other.own_report(now());
     fleet.apply_report(report_id(1, 5), &report, now());
@@ -75,7 +75,7 @@
     relay.apply_report(report_id(1, 1), &load_at_a(2), now());
     relay.apply_report(report_id(2, 1), &load_at_a(60), now());
     let key = relay.key("a").expect("the replica is known");
-    relay.begin(key, &step(key, 0.0, false), None, now());
+    relay.begin_step(key, &step(key, 0.0, false), None, now());
     let (report, daemons) = relay.hall_summary(now());
     assert_eq!((report.loads[0].active, report.loads[0].unreachable, daemons), (63, true, 3));
 
@@ -117,7 +117,7 @@
     let key = fleet.key("a").expect("the replica is known");
     for n in 0..200 {
         let prompt = Prompt::new("m", (0..60).map(|part| (n * 100 + part, 100)), 6_000, 10);
-        fleet.begin(key, &step(key, 0.0, false), Some(&prompt), now());
+        fleet.begin_step(key, &step(key, 0.0, false), Some(&prompt), now());
     }
     let parts = |report: &LoadReport| report.prompts.iter().map(|note| note.parts.len()).sum::<usize>();
     let own = fleet.own_report(now());
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -37,7 +37,7 @@
         for rank in 0..count {
             let mut fleet = fleet_with(&[("a", Role::Plain)]);
             fleet.set_registered_daemons(count);
-            fleet.set_slot_share(rank, Span(0), now());
+            fleet.set_rate_limit_share(rank, Span(0), now());
             daemons.fleets.push(fleet);
         }
         daemons
@@ -53,14 +53,14 @@
         let time = Self::time(ms);
         let key = fleet.key("a").expect("the replica is known");
         let knew_limit = fleet.get(key).is_some_and(|replica| replica.rate_limit().is_some());
-        let Some(sent) = fleet.begin(key, &step(key, 0.0, false), None, time) else {
+        let Some(sent) = fleet.begin_step(key, &step(key, 0.0, false), None, time) else {
             return false;
         };
         if knew_limit || self.limit.is_none() {
             self.arrived.push(ms);
         }
         fleet.set_rate_limit(&facts("a", Role::Plain), self.limit, time, time);
-        fleet.end(&sent, dahliaseam_core::fleet::StepEnd::Done, time);
+        fleet.end_step(&sent, dahliaseam_core::fleet::StepEnd::Done, time);
         true
     }
 
@@ -130,7 +130,7 @@
                 for rank in 0..next.max(listed) {
                     let known = if ms >= learned[rank] { next } else { listed };
                     daemons.fleets[rank].set_registered_daemons(known);
-                    daemons.fleets[rank].set_slot_share(rank, clocks[rank], Daemons::time(ms));
+                    daemons.fleets[rank].set_rate_limit_share(rank, clocks[rank], Daemons::time(ms));
                     if rank < known {
                         daemons.send(rank, ms);
                     }
@@ -158,7 +158,7 @@
                 for rank in 0..count {
                     let is_stepped = is_ahead && rank % 3 == 0;
                     let offset = Span::millis(if is_stepped { 2_000 } else { 0 });
-                    daemons.fleets[rank].set_slot_share(rank, offset, Daemons::time(ms));
+                    daemons.fleets[rank].set_rate_limit_share(rank, offset, Daemons::time(ms));
                     daemons.send(rank, ms);
                 }
             }
@@ -176,16 +176,16 @@
 #[test]
 fn a_rate_limited_replica_gets_requests_after_the_clock_is_set_back() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
-    fleet.set_slot_share(0, Span::millis(3_600_000), now());
+    fleet.set_rate_limit_share(0, Span::millis(3_600_000), now());
     assert!(set_limit(&mut fleet, Some(2.0), 0, 0));
     assert!(accepts(&mut fleet, 1_000));
-    fleet.set_slot_share(0, Span(0), Daemons::time(1_100));
+    fleet.set_rate_limit_share(0, Span(0), Daemons::time(1_100));
     assert!(accepts(&mut fleet, 2_000) && !accepts(&mut fleet, 2_000));
 }
 
 fn accepts(fleet: &mut Fleet, ms: u64) -> bool {
     let key = fleet.key("a").expect("the replica is known");
-    fleet.begin(key, &step(key, 0.0, false), None, Daemons::time(ms)).is_some()
+    fleet.begin_step(key, &step(key, 0.0, false), None, Daemons::time(ms)).is_some()
 }
 
 fn set_limit(fleet: &mut Fleet, limit: Option<f64>, sent_ms: u64, ms: u64) -> bool {
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -91,7 +91,7 @@
         fleet_with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
     for id in ["d1", "d2", "d3"] {
         let key = fleet.key(id).expect("the replica is known");
-        fleet.begin(key, &step(key, 0.0, true), None, now());
+        fleet.begin_step(key, &step(key, 0.0, true), None, now());
     }
     assert_eq!(fleet.next_role_change(SERVICE, Demand { prefill: 9.0, slots: 2.0, ..Demand::default() }, now()), None);
 }
@@ -131,7 +131,7 @@
     fleet.record_demand(&Arc::from(SERVICE), &req, &Plan::Single(long), true, now());
     let mut running = Vec::new();
     for n in 0..40_u64 {
-        let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("the replica is known");
+        let sent = fleet.begin_step(key, &long, Some(&prompt), now()).expect("the replica is known");
         running.push(sent);
         let took = Span::seconds(70.0 * (41.0 + 0.9 * n as f64) / 1_000.0);
         fleet.learn_stream(&sent, &StreamPart { events: 70, total: 70, took, ..StreamPart::default() });
@@ -139,7 +139,7 @@
     for sent in running {
         let stream = StreamPart { events: 70, total: 70, took: Span::millis(4_000), ..StreamPart::default() };
         fleet.learn_answer(&sent, &stream, now() + Span::millis(9_000));
-        fleet.end(&sent, StepEnd::Done, now() + Span::millis(9_000));
+        fleet.end_step(&sent, StepEnd::Done, now() + Span::millis(9_000));
     }
 }
 
@@ -175,7 +175,7 @@
         let key = fleet.key("d31").expect("the replica is known");
         let long = step(key, 1.0, true);
         let prompt = Prompt::new("m", [(1, 600)].into_iter(), 600, 957);
-        let sent = fleet.begin(key, &long, Some(&prompt), now()).expect("the replica is known");
+        let sent = fleet.begin_step(key, &long, Some(&prompt), now()).expect("the replica is known");
         let longest_interval = Span::millis(60 * factor);
         let stream = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest_interval };
         for _ in 0..200 {
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -42,7 +42,7 @@
 fn report_with_load(start_time_ms: u64) -> LoadReport {
     let mut fleet = fleet_with(start(start_time_ms));
     let key = fleet.key(ID).expect("the replica is known");
-    fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now());
+    fleet.begin_step(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now());
     fleet.own_report(now())
 }
 
@@ -50,7 +50,8 @@
 fn the_state_of_a_replica_is_discarded_when_it_restarts() {
     let mut fleet = fleet_with(ReplicaFacts { draining: true, ..start(1_000) });
     let key = fleet.key(ID).expect("the replica is known");
-    let sent = fleet.begin(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("the replica is known");
+    let sent =
+        fleet.begin_step(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("the replica is known");
     fleet.mark_unreachable(&start(1_000), now());
     fleet.start_role_change(key, Role::Prefill, now() + Span::millis(9_000));
     fleet.hold_orders_until(key, now() + Span::millis(9_000));
@@ -64,7 +65,7 @@
     assert!(fleet.is_replaced(&start(1_000)) && !fleet.is_replaced(&start(5_000)));
     assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the previous start");
     // Requests that were active end without affecting the new start.
-    assert!(!fleet.end(&sent, StepEnd::Silent, now()));
+    assert!(!fleet.end_step(&sent, StepEnd::Silent, now()));
     let replica = fleet.get(new_key).expect("the replica is known");
     assert!(replica.health.is_available(now()));
 }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -137,7 +137,7 @@
     let time_of_day = Time(wall_millis() * MICROS_PER_MILLI);
     let mut fleet = gw.fleet();
     fleet.set_registered_daemons(gw.peers.count_registered());
-    fleet.set_slot_share(rank, time_of_day.since(now), now);
+    fleet.set_rate_limit_share(rank, time_of_day.since(now), now);
 }
 
 /// Publishes summaries of the hall to other halls whenever one of its daemons has reported a change.
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -27,7 +27,7 @@
     /// allow a request from this daemon now.
     pub(super) fn begin(gw: &Arc<Gateway>, step: &Step, prompt: Option<&Prompt>) -> Option<Self> {
         let now = gw.now();
-        let sent = gw.fleet().begin(step.key, step, prompt, now)?;
+        let sent = gw.fleet().begin_step(step.key, step, prompt, now)?;
         gw.load_changed.notify_one();
         Some(Self { gw: Arc::clone(gw), sent, end: StepEnd::Unknown, suspended_before: gw.suspended_time() })
     }
@@ -97,7 +97,7 @@
         let end = if self.was_suspended() { StepEnd::Unknown } else { self.end };
         let (ejected, id) = {
             let mut fleet = self.gw.fleet();
-            let ejected = fleet.end(&self.sent, end, now);
+            let ejected = fleet.end_step(&self.sent, end, now);
             (ejected, fleet.get(self.sent.key).map(|replica| Arc::clone(&replica.facts.id)))
         };
         if let (true, Some(id)) = (ejected, id) {
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -122,8 +122,8 @@
                 };
                 let Ok(plan) = fleet.choose(&req, now) else { return };
                 let (Plan::Single(step) | Plan::Disaggregated { prefill: step, .. }) = plan;
-                if let Some(sent) = fleet.begin(step.key, &step, Some(&prompt), now) {
-                    fleet.end(&sent, StepEnd::Done, now);
+                if let Some(sent) = fleet.begin_step(step.key, &step, Some(&prompt), now) {
+                    fleet.end_step(&sent, StepEnd::Done, now);
                 }
                 black_box(fleet.own_report(now));
             });
