--- a/crates/core/src/quota/client.rs
+++ b/crates/core/src/quota/client.rs
@@ -21,7 +21,7 @@
 
 /// Next step towards credit for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum CreditStep {
     /// Ask the owner of this shard.
     Ask(u8),
     /// The quota is used up; contains the time until enough is refilled, or `None` if that never happens.
@@ -71,11 +71,17 @@
 impl QuotaClient {
     /// Returns the next step. `asked` contains the shards already asked for this request; `is_owned` tells
     /// whether a shard has an owner.
-    pub fn next_step(&self, req: &CreditNeed<'_>, asked: &[u8], is_owned: impl Fn(u8) -> bool, now: Time) -> Next {
+    pub fn next_step(
+        &self,
+        req: &CreditNeed<'_>,
+        asked: &[u8],
+        is_owned: impl Fn(u8) -> bool,
+        now: Time,
+    ) -> CreditStep {
         let CreditNeed { team, terms, cost, tie_breaker } = *req;
         let cost = cost as f64;
         if cost > terms.depth {
-            return Next::Denied(None);
+            return CreditStep::Denied(None);
         }
         let shards = terms.shards_of(team);
         let known = self.levels.get(team);
@@ -93,12 +99,12 @@
             levels.then_with(|| rank(*a).cmp(&rank(*b)))
         });
         match (best, insufficient.is_empty()) {
-            (Some(shard), _) => Next::Ask(shard),
-            (None, true) => Next::Unavailable,
+            (Some(shard), _) => CreditStep::Ask(shard),
+            (None, true) => CreditStep::Unavailable,
             (None, false) => {
                 let lack =
                     insufficient.into_iter().map(|shard| (cost - upper_bound(shard)).max(0.0)).min_by(f64::total_cmp);
-                Next::Denied(refill_time(lack.unwrap_or(cost), terms))
+                CreditStep::Denied(refill_time(lack.unwrap_or(cost), terms))
             }
         }
     }
--- a/crates/core/src/quota/shard.rs
+++ b/crates/core/src/quota/shard.rs
@@ -13,7 +13,7 @@
 
 /// Result of a request for credit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum CreditDecision {
     /// The units were taken.
     Granted {
         /// Remaining units.
@@ -42,7 +42,7 @@
     }
 
     /// Takes `cost` units of a team's quota.
-    pub fn take(&mut self, team: &str, terms: &ShardTerms, cost: u64, now: Time) -> Answer {
+    pub fn take(&mut self, team: &str, terms: &ShardTerms, cost: u64, now: Time) -> CreditDecision {
         if let Some(bucket) = self.buckets.get_mut(team) {
             bucket.resize(terms.rate, terms.depth, now);
         } else {
@@ -51,11 +51,11 @@
             self.buckets.insert(Arc::from(team), bucket);
         }
         let Some(bucket) = self.buckets.get_mut(team) else {
-            return Answer::Denied { left: 0.0 };
+            return CreditDecision::Denied { left: 0.0 };
         };
         let granted = bucket.take(cost as f64, now);
         let left = bucket.tokens_at(now);
-        if granted { Answer::Granted { left } } else { Answer::Denied { left } }
+        if granted { CreditDecision::Granted { left } } else { CreditDecision::Denied { left } }
     }
 
     /// Drops full buckets. A bucket that is created again holds no more, since it fills from the time the shard
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -6,8 +6,8 @@
     lease::Authority,
     quota::{
         Credit, Quota, Unit,
-        client::{CreditNeed, Next, QuotaClient},
-        shard::{Answer, Shard},
+        client::{CreditNeed, CreditStep, QuotaClient},
+        shard::{CreditDecision, Shard},
         terms::{ShardTerms, Tolerance},
     },
     time::{Span, Time},
@@ -161,7 +161,7 @@
         let tie_breaker = self.rng.random();
         let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker };
         match self.clients[daemon].next_step(&need, &tried, |_| true, self.now) {
-            Next::Ask(shard) => {
+            CreditStep::Ask(shard) => {
                 // The question may go to the present owner or to a former one.
                 let owners: Vec<usize> =
                     self.owners.iter().filter(|(of, _)| *of == shard).map(|(_, owner)| owner.daemon).collect();
@@ -174,7 +174,7 @@
                 self.push(TIMEOUT, Event::AskTimeout { shard, number });
                 self.send(daemon, to, |asked| Event::Ask { shard, from: daemon, to, asked, cost, number });
             }
-            Next::Denied(_) | Next::Unavailable => self.refused += 1,
+            CreditStep::Denied(_) | CreditStep::Unavailable => self.refused += 1,
         }
     }
 
@@ -206,8 +206,8 @@
             return;
         };
         let (granted, left) = match owner.shard.take(TEAM, &terms, cost, now) {
-            Answer::Granted { left } => (true, left),
-            Answer::Denied { left } => (false, left),
+            CreditDecision::Granted { left } => (true, left),
+            CreditDecision::Denied { left } => (false, left),
         };
         let left = left as u64;
         self.send(to, from, |_| Event::Answer { shard, to: from, asked, number, granted, left });
@@ -352,7 +352,7 @@
     let resumed = Time(10_000_000);
     let waiting: Vec<Time> = (0..1_000)
         .map(|n| Time(5_000_000) + Span::millis(5 * n))
-        .filter(|asked| matches!(shard.take(TEAM, &terms, 900, *asked), Answer::Granted { .. }))
+        .filter(|asked| matches!(shard.take(TEAM, &terms, 900, *asked), CreditDecision::Granted { .. }))
         .collect();
     let spent = |asked_at: fn(Time, Time) -> Time| {
         let usable = waiting.iter().filter(|asked| Credit::requested_at(asked_at(**asked, resumed)).is_usable(resumed));
@@ -411,10 +411,10 @@
     let lower = ShardTerms { rate: 10.0, depth: 100.0, count: 1 };
     let mut shard = Shard::taken_over(Time(0));
     let now = Time(20_000_000);
-    assert!(matches!(shard.take(TEAM, &terms, 1, now), Answer::Granted { .. }));
-    assert_eq!(shard.take(TEAM, &lower, 101, now), Answer::Denied { left: 100.0 });
-    assert_eq!(shard.take(TEAM, &lower, 100, now), Answer::Granted { left: 0.0 });
-    assert_eq!(shard.take(TEAM, &terms, 1, now), Answer::Denied { left: 0.0 });
+    assert!(matches!(shard.take(TEAM, &terms, 1, now), CreditDecision::Granted { .. }));
+    assert_eq!(shard.take(TEAM, &lower, 101, now), CreditDecision::Denied { left: 100.0 });
+    assert_eq!(shard.take(TEAM, &lower, 100, now), CreditDecision::Granted { left: 0.0 });
+    assert_eq!(shard.take(TEAM, &terms, 1, now), CreditDecision::Denied { left: 0.0 });
 }
 
 #[test]
@@ -423,7 +423,7 @@
     let mut shard = Shard::taken_over(Time(0));
     for team in 0..10_000_u64 {
         let now = Time(10_000_000 + team * 10_000);
-        assert!(matches!(shard.take(&format!("team-{team}"), &terms, 50, now), Answer::Granted { .. }));
+        assert!(matches!(shard.take(&format!("team-{team}"), &terms, 50, now), CreditDecision::Granted { .. }));
     }
     assert!(shard.team_count() <= 2_048, "{}", shard.team_count());
 }
@@ -432,5 +432,5 @@
 fn oversized_request_is_denied_permanently() {
     let terms = ShardTerms { rate: 100.0, depth: 1_000.0, count: 1 };
     let need = CreditNeed { team: TEAM, terms: &terms, cost: 1_001, tie_breaker: 1 };
-    assert_eq!(QuotaClient::default().next_step(&need, &[], |_| true, Time(0)), Next::Denied(None));
+    assert_eq!(QuotaClient::default().next_step(&need, &[], |_| true, Time(0)), CreditStep::Denied(None));
 }
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -5,8 +5,8 @@
 use dahliaseam_core::{
     quota::{
         Credit,
-        client::{CreditNeed, Next},
-        shard::Answer,
+        client::{CreditNeed, CreditStep},
+        shard::CreditDecision,
         terms::ShardTerms,
     },
     team::Team,
@@ -66,9 +66,9 @@
         let is_owned = |shard| gw.quotas.owner(shard).is_some();
         let next = lock(&gw.quotas.client).next_step(&need, &tried, is_owned, asked_at);
         let shard = match next {
-            Next::Ask(shard) => shard,
-            Next::Denied(wait) => return Err(denied(gw, request, team, units, wait)),
-            Next::Unavailable => return Err(unavailable(gw, request, team, units, &tried)),
+            CreditStep::Ask(shard) => shard,
+            CreditStep::Denied(wait) => return Err(denied(gw, request, team, units, wait)),
+            CreditStep::Unavailable => return Err(unavailable(gw, request, team, units, &tried)),
         };
         tried.push(shard);
         let outcome = ask(gw, shard, &team.name, units).await;
@@ -142,8 +142,8 @@
         return Outcome::NotOwner;
     };
     match owned.buckets.take(team, &terms, units, now) {
-        Answer::Granted { left } => Outcome::Granted(left as u64),
-        Answer::Denied { left } => Outcome::Denied(left as u64),
+        CreditDecision::Granted { left } => Outcome::Granted(left as u64),
+        CreditDecision::Denied { left } => Outcome::Denied(left as u64),
     }
 }
 
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -20,8 +20,8 @@
     prompt::Prompt,
     quota::{
         Quota, Unit,
-        client::{CreditNeed, Next, QuotaClient},
-        shard::{Answer, Shard},
+        client::{CreditNeed, CreditStep, QuotaClient},
+        shard::{CreditDecision, Shard},
         terms::{ShardTerms, Tolerance},
     },
     request::{KindTraits, RequestSpec},
@@ -145,8 +145,8 @@
             let now = NOW + Span::millis(n);
             let terms = ShardTerms::split(&quota, &tolerance);
             let need = CreditNeed { team: "team", terms: &terms, cost: 12_024, tie_breaker: n };
-            let Next::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
-            if let Answer::Granted { left } = shard_state.take("team", &terms, need.cost, now) {
+            let CreditStep::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
+            if let CreditDecision::Granted { left } = shard_state.take("team", &terms, need.cost, now) {
                 client.record_level("team", shard, left, &terms, now);
             }
         });
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -10,8 +10,8 @@
     bucket::TokenBucket,
     quota::{
         Quota, Unit,
-        client::{CreditNeed, Next, QuotaClient},
-        shard::{Answer, Shard},
+        client::{CreditNeed, CreditStep, QuotaClient},
+        shard::{CreditDecision, Shard},
         terms::{ShardTerms, Tolerance},
     },
     time::{Span, Time},
@@ -91,7 +91,7 @@
         let mut tried = Vec::new();
         loop {
             let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker: draw };
-            let Next::Ask(shard) = self.clients[daemon].next_step(&need, &tried, |_| true, now) else {
+            let CreditStep::Ask(shard) = self.clients[daemon].next_step(&need, &tried, |_| true, now) else {
                 return false;
             };
             tried.push(shard);
@@ -100,8 +100,8 @@
                 return false;
             };
             let (granted, left) = match owned.take(TEAM, &self.terms, cost, now) {
-                Answer::Granted { left } => (true, left),
-                Answer::Denied { left } => (false, left),
+                CreditDecision::Granted { left } => (true, left),
+                CreditDecision::Denied { left } => (false, left),
             };
             self.clients[daemon].record_level(TEAM, shard, left, &self.terms, now);
             if granted {
