--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     fleet::pool::Scaling,
-    team::{PresentedKey, Team, Teams, Verdict, authenticate},
+    team::{Authentication, PresentedKey, Team, Teams, authenticate},
     time::Span,
 };
 
@@ -155,7 +155,7 @@
 
     /// Checks the key of a caller on a route.
     #[must_use]
-    pub fn authenticate(&self, presented: &PresentedKey, route: &Route) -> Verdict {
+    pub fn authenticate(&self, presented: &PresentedKey, route: &Route) -> Authentication {
         authenticate(self.teams.as_ref(), presented, route.anonymous)
     }
 
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -115,7 +115,7 @@
 
 /// Result of checking a caller's key against one version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Authentication {
     /// The request runs on behalf of this identity.
     Allowed(Identity),
     /// The route needs a key, and the caller presented no valid one.
@@ -126,18 +126,18 @@
 
 /// Checks a key. `teams` is `None` if the configuration has no teams.
 #[must_use]
-pub fn authenticate(teams: Option<&Teams>, presented: &PresentedKey, is_anonymous: bool) -> Verdict {
+pub fn authenticate(teams: Option<&Teams>, presented: &PresentedKey, is_anonymous: bool) -> Authentication {
     let Some(teams) = teams else {
-        return Verdict::Allowed(Identity::NoTeams);
+        return Authentication::Allowed(Identity::NoTeams);
     };
     let team = match presented {
         PresentedKey::Key(key) => teams.find_by_key(key),
         PresentedKey::Absent | PresentedKey::Unusable => None,
     };
     match (team, presented) {
-        (Some(team), _) => Verdict::Allowed(Identity::Team(Arc::clone(team))),
-        (None, _) if is_anonymous => Verdict::Allowed(Identity::Anonymous),
-        (None, PresentedKey::Key(_)) => Verdict::UnknownKey,
-        (None, PresentedKey::Absent | PresentedKey::Unusable) => Verdict::NoKey,
+        (Some(team), _) => Authentication::Allowed(Identity::Team(Arc::clone(team))),
+        (None, _) if is_anonymous => Authentication::Allowed(Identity::Anonymous),
+        (None, PresentedKey::Key(_)) => Authentication::UnknownKey,
+        (None, PresentedKey::Absent | PresentedKey::Unusable) => Authentication::NoKey,
     }
 }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -6,7 +6,7 @@
 use dahliaseam_core::{
     proof::{Proof, Proofs},
     route::{Route, RouteTable},
-    team::{Identity, PresentedKey, Verdict},
+    team::{Authentication, Identity, PresentedKey},
     time::{Span, Time},
 };
 use dahliaseam_settings::gateway::KeySettings;
@@ -44,12 +44,12 @@
         arrived: Time,
     ) -> Result<Identity, Refusal> {
         match table.authenticate(presented, route) {
-            Verdict::Allowed(identity @ Identity::Team(_)) if self.is_still_valid(arrived) => Ok(identity),
-            Verdict::Allowed(Identity::Team(_)) => Err(Refusal::KeyUncertain),
-            Verdict::Allowed(identity) => Ok(identity),
-            Verdict::NoKey => Err(Refusal::NoKey),
-            Verdict::UnknownKey if self.is_surely_unknown(arrived) => Err(Refusal::UnknownKey),
-            Verdict::UnknownKey => Err(Refusal::KeyUncertain),
+            Authentication::Allowed(identity @ Identity::Team(_)) if self.is_still_valid(arrived) => Ok(identity),
+            Authentication::Allowed(Identity::Team(_)) => Err(Refusal::KeyUncertain),
+            Authentication::Allowed(identity) => Ok(identity),
+            Authentication::NoKey => Err(Refusal::NoKey),
+            Authentication::UnknownKey if self.is_surely_unknown(arrived) => Err(Refusal::UnknownKey),
+            Authentication::UnknownKey => Err(Refusal::KeyUncertain),
         }
     }
 
