--- a/crates/core/src/frame.rs
+++ b/crates/core/src/frame.rs
@@ -19,7 +19,7 @@
 
 /// What to do with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FrameAction {
     /// Deliver it: it is the next one.
     Deliver,
     /// Drop it: it belongs to another request or attempt.
@@ -57,18 +57,18 @@
     }
 
     /// Checks a frame of `tokens` tokens, and advances if it is the next one.
-    pub fn accept(&mut self, id: &FrameId, tokens: u32) -> Verdict {
+    pub fn accept(&mut self, id: &FrameId, tokens: u32) -> FrameAction {
         if id.request != self.request || id.attempt != self.attempt {
-            return Verdict::Foreign;
+            return FrameAction::Foreign;
         }
         if id.position < self.next_position {
-            return Verdict::Duplicate;
+            return FrameAction::Duplicate;
         }
         if id.position > self.next_position {
-            return Verdict::Gap;
+            return FrameAction::Gap;
         }
         self.next_position += tokens;
-        Verdict::Deliver
+        FrameAction::Deliver
     }
 
     /// Whether the end marker `id` completes the answer: its position is the number of tokens delivered.
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -9,7 +9,7 @@
 };
 use dahliaseam_core::{
     dispatch::Site,
-    frame::{Assembly, Verdict},
+    frame::{Assembly, FrameAction},
     outcome::AttemptEnd,
 };
 use dahliaseam_wire::engine::{EXTENSION, FrameExtension, Import, NOT_RUN, RequestExtension};
@@ -261,17 +261,17 @@
                 let _ = out.send(Piece::End(finish)).await;
                 return AttemptEnd::Whole;
             }
-            if assembly.accept(&mark.id, 0) == Verdict::Foreign {
+            if assembly.accept(&mark.id, 0) == FrameAction::Foreign {
                 drop_frame(node, call.request, "foreign");
                 continue;
             }
             return AttemptEnd::Broken;
         }
         match deliver(assembly, &mark, text, out).await {
-            Ok(Verdict::Deliver) => call.progress.record_tokens(mark.tokens),
-            Ok(Verdict::Foreign) => drop_frame(node, call.request, "foreign"),
-            Ok(Verdict::Duplicate) => drop_frame(node, call.request, "duplicate"),
-            Ok(Verdict::Gap) => return AttemptEnd::Broken,
+            Ok(FrameAction::Deliver) => call.progress.record_tokens(mark.tokens),
+            Ok(FrameAction::Foreign) => drop_frame(node, call.request, "foreign"),
+            Ok(FrameAction::Duplicate) => drop_frame(node, call.request, "duplicate"),
+            Ok(FrameAction::Gap) => return AttemptEnd::Broken,
             Err(CallerGone) => return AttemptEnd::Cancelled,
         }
     }
@@ -291,12 +291,12 @@
     mark: &FrameExtension,
     text: String,
     out: &mpsc::Sender<Piece>,
-) -> Result<Verdict, CallerGone> {
+) -> Result<FrameAction, CallerGone> {
     // Wait for room in the queue first, and count the piece as delivered only together with sending it: the attempt may
     // be stopped at any await, and the next attempt resumes after the last piece that was counted.
     let permit = out.reserve().await.map_err(|_| CallerGone)?;
     let verdict = assembly.accept(&mark.id, mark.tokens);
-    if verdict == Verdict::Deliver {
+    if verdict == FrameAction::Deliver {
         permit.send(Piece::Text(text, mark.tokens));
     }
     Ok(verdict)
--- a/crates/daemon/tests/delivery.rs
+++ b/crates/daemon/tests/delivery.rs
@@ -2,7 +2,7 @@
 
 use std::task::Poll;
 
-use dahliaseam_core::frame::{Assembly, FrameId, Verdict};
+use dahliaseam_core::frame::{Assembly, FrameAction, FrameId};
 use dahliaseam_wire::engine::FrameExtension;
 use dahliaseamd::endpoint::attempt::{CallerGone, Piece, deliver};
 use tokio::sync::mpsc;
@@ -26,7 +26,7 @@
 async fn a_piece_whose_delivery_was_cancelled_does_not_count_as_delivered() {
     let (tx, mut rx) = mpsc::channel(1);
     let mut assembly = assembly();
-    assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Ok(Verdict::Deliver));
+    assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Ok(FrameAction::Deliver));
     {
         let second = mark(1);
         let mut stopped = Box::pin(deliver(&mut assembly, &second, "second ".to_owned(), &tx));
@@ -36,7 +36,7 @@
     assert_eq!(assembly.delivered(), 1, "the next attempt resumes with the second piece");
     let first = rx.recv().await;
     assert!(matches!(first, Some(Piece::Text(text, 1)) if text == "first "));
-    assert_eq!(deliver(&mut assembly, &mark(1), "second ".to_owned(), &tx).await, Ok(Verdict::Deliver));
+    assert_eq!(deliver(&mut assembly, &mark(1), "second ".to_owned(), &tx).await, Ok(FrameAction::Deliver));
     let second = rx.recv().await;
     assert!(matches!(second, Some(Piece::Text(text, 1)) if text == "second "));
 }
@@ -54,7 +54,7 @@
 async fn a_piece_out_of_order_is_not_queued() {
     let (tx, mut rx) = mpsc::channel(1);
     let mut assembly = assembly();
-    assert_eq!(deliver(&mut assembly, &mark(1), "second ".to_owned(), &tx).await, Ok(Verdict::Gap));
+    assert_eq!(deliver(&mut assembly, &mark(1), "second ".to_owned(), &tx).await, Ok(FrameAction::Gap));
     assert!(rx.try_recv().is_err());
-    assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Ok(Verdict::Deliver));
+    assert_eq!(deliver(&mut assembly, &mark(0), "first ".to_owned(), &tx).await, Ok(FrameAction::Deliver));
 }
