--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -114,7 +114,7 @@
 
 /// What happens to a request after an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// The request is finished with this outcome.
     Finished(Outcome),
     /// The request waits in the queue for another attempt.
@@ -416,13 +416,13 @@
 
     /// Records how the current attempt ended and at which of its engines. Does nothing when no attempt is
     /// running.
-    pub fn attempt_ended(&mut self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> Next {
+    pub fn attempt_ended(&mut self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> RetryDecision {
         let Some(request) = self.requests.get_mut(key) else {
-            return Next::Finished(Outcome::Unknown);
+            return RetryDecision::Finished(Outcome::Unknown);
         };
         let spec = request.spec;
         let Stage::Running { endpoint, prefill } = request.stage else {
-            return Next::Retry;
+            return RetryDecision::Retry;
         };
         let placement = Placement::of(request, endpoint, prefill);
         // After a delivered token the endpoint cannot claim that nothing ran.
@@ -435,16 +435,16 @@
         let request = &self.requests[key];
         let outcome = combined_outcome(&request.attempt_ends);
         let may_repeat = spec.kind.repeatable || outcome == Outcome::NotRun;
-        let is_finished = matches!(end, AttemptEnd::Whole | AttemptEnd::Rejected)
+        let is_finished = matches!(end, AttemptEnd::Whole | AttemptEnd::RequestError)
             || !may_repeat
             || spec.deadline.is_past(now)
             || request.attempt_number() >= self.policy.max_attempts;
         if is_finished || !self.may_retry(end, now) {
             self.requests.remove(key);
-            return Next::Finished(outcome);
+            return RetryDecision::Finished(outcome);
         }
         self.requeue(key);
-        Next::Retry
+        RetryDecision::Retry
     }
 
     /// Removes a request because its caller left or the driver gives it up.
@@ -462,7 +462,7 @@
     fn may_retry(&mut self, end: AttemptEnd, now: Time) -> bool {
         // Refusals and planned moves put no load on the endpoint and are not faults, so they use no retry
         // budget.
-        let free = matches!(end, AttemptEnd::Refused | AttemptEnd::Cancelled);
+        let free = matches!(end, AttemptEnd::NotRun | AttemptEnd::Cancelled);
         free || self.retries.take(1.0, now)
     }
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -25,9 +25,11 @@
     /// No connection was made, so nothing was sent.
     NotSent,
     /// The endpoint refused the request and stated that it did not run.
-    Refused,
+    #[serde(rename = "refused")]
+    NotRun,
     /// The endpoint answered with an error that concerns the request itself.
-    Rejected,
+    #[serde(rename = "rejected")]
+    RequestError,
     /// Bytes were sent; nothing else is known.
     Lost,
     /// The stream broke or had a gap after the endpoint had begun to answer.
@@ -42,7 +44,7 @@
     /// Whether the endpoint certainly ran nothing.
     #[must_use]
     pub const fn is_certainly_not_run(self) -> bool {
-        matches!(self, Self::NotSent | Self::Refused)
+        matches!(self, Self::NotSent | Self::NotRun)
     }
 
     /// Whether this counts as a fault of the endpoint.
@@ -56,8 +58,8 @@
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Whole => Outcome::Whole,
-            Self::NotSent | Self::Refused => Outcome::NotRun,
-            Self::Rejected | Self::Broken => Outcome::Ran,
+            Self::NotSent | Self::NotRun => Outcome::NotRun,
+            Self::RequestError | Self::Broken => Outcome::Ran,
             Self::Lost | Self::Stalled | Self::Cancelled => Outcome::Unknown,
         }
     }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use dahliaseam_core::{
-    dispatch::{Action, Dispatcher, Next, Policy, Refusal, Site},
+    dispatch::{Action, Dispatcher, Policy, Refusal, RetryDecision, Site},
     endpoint::{AdminState, EndpointKey, PoolKey, Rates, Role},
     outcome::{AttemptEnd, Outcome},
     request::{KindTraits, RequestKey, RequestSpec},
@@ -49,20 +49,20 @@
     for (repeatable, end, outcome) in [
         (true, AttemptEnd::Broken, None),
         (false, AttemptEnd::NotSent, None),
-        (false, AttemptEnd::Refused, None),
+        (false, AttemptEnd::NotRun, None),
         (false, AttemptEnd::Lost, Some(Outcome::Unknown)),
         (false, AttemptEnd::Broken, Some(Outcome::Ran)),
-        (true, AttemptEnd::Rejected, Some(Outcome::Ran)),
+        (true, AttemptEnd::RequestError, Some(Outcome::Ran)),
     ] {
         let (mut dispatcher, pool, _) = three_endpoints();
         let key = dispatcher.submit("t", spec(pool, repeatable, START, 9_000), START).expect("the queue has room");
         let (_, first) = first_send(&dispatcher.pump(pool, START)).expect("the request is sent");
         match (dispatcher.attempt_ended(key, end, Site::Serving, START), outcome) {
-            (Next::Retry, None) => {
+            (RetryDecision::Retry, None) => {
                 let (_, second) = first_send(&dispatcher.pump(pool, START)).expect("the request is sent again");
                 assert_ne!(first, second, "{end:?}");
             }
-            (Next::Finished(got), Some(wanted)) => assert_eq!(got, wanted, "{end:?}"),
+            (RetryDecision::Finished(got), Some(wanted)) => assert_eq!(got, wanted, "{end:?}"),
             (next, wanted) => panic!("{end:?}: {next:?}, not {wanted:?}"),
         }
     }
@@ -76,7 +76,7 @@
     }
     let key = dispatcher.submit("t", spec(pool, true, START, 9_000), START).expect("the queue has room");
     assert!(dispatcher.pump(pool, START).is_empty());
-    assert_eq!(dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, START), Next::Retry);
+    assert_eq!(dispatcher.attempt_ended(key, AttemptEnd::Whole, Site::Serving, START), RetryDecision::Retry);
     assert_eq!((dispatcher.request_count(), dispatcher.waiting_count()), (1, 1));
     let _ = dispatcher.tick(START);
 }
@@ -115,8 +115,8 @@
     let end = prop::sample::select(vec![
         AttemptEnd::Whole,
         AttemptEnd::NotSent,
-        AttemptEnd::Refused,
-        AttemptEnd::Rejected,
+        AttemptEnd::NotRun,
+        AttemptEnd::RequestError,
         AttemptEnd::Lost,
         AttemptEnd::Broken,
         AttemptEnd::Stalled,
@@ -193,7 +193,7 @@
                     if !end.is_certainly_not_run() {
                         driver.may_have_run.insert(key, true);
                     }
-                    if let Next::Finished(outcome) = dispatcher.attempt_ended(key, end, Site::Serving, now) {
+                    if let RetryDecision::Finished(outcome) = dispatcher.attempt_ended(key, end, Site::Serving, now) {
                         let ran = driver.may_have_run.get(&key) == Some(&true);
                         prop_assert!(!(ran && outcome == Outcome::NotRun));
                         driver.finished.push(key);
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -8,7 +8,7 @@
 
 use dahliaseam_core::{
     choose::{Candidate, Choice, Reason},
-    dispatch::{Action, Dispatcher, Next, Policy, Refusal, Site},
+    dispatch::{Action, Dispatcher, Policy, Refusal, RetryDecision, Site},
     endpoint::{AdminState, EndpointKey, LoadReport, PoolKey, Role},
     hash,
     outcome::{AttemptEnd, Outcome},
@@ -206,11 +206,11 @@
     }
 
     /// Records how an attempt ended.
-    pub fn attempt_ended(&self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> Next {
+    pub fn attempt_ended(&self, key: RequestKey, end: AttemptEnd, at: Site, now: Time) -> RetryDecision {
         let mut inner = self.lock();
         let pool = inner.dispatcher.request(key).map(|r| r.spec.pool);
         let next = inner.dispatcher.attempt_ended(key, end, at, now);
-        if let Next::Finished(_) = next {
+        if let RetryDecision::Finished(_) = next {
             inner.waiters.remove(&key);
         }
         if let Some(pool) = pool {
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -4,7 +4,7 @@
 
 use dahliaseam_core::{
     claim::{Duplicate, RecordedResult},
-    dispatch::{Next, Refusal},
+    dispatch::{Refusal, RetryDecision},
     frame::Assembly,
     outcome::{AttemptEnd, Outcome},
     request::RequestSpec,
@@ -177,11 +177,11 @@
             }
         }
         match self.node.dispatcher.attempt_ended(self.ticket.key, ended.end, ended.site, now) {
-            Next::Retry => AfterAttempt::Retry,
-            Next::Finished(Outcome::Whole) => AfterAttempt::Answered,
-            Next::Finished(outcome) => {
+            RetryDecision::Retry => AfterAttempt::Retry,
+            RetryDecision::Finished(Outcome::Whole) => AfterAttempt::Answered,
+            RetryDecision::Finished(outcome) => {
                 let mut failure = Failure::ended(outcome, &ended.detail);
-                if ended.end == AttemptEnd::Rejected {
+                if ended.end == AttemptEnd::RequestError {
                     failure.status = Some(400);
                     failure.reason = "endpoint_rejected";
                     failure.retry_after_ms = None;
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -227,9 +227,9 @@
         return Ok(resp);
     }
     let end = if is_not_run(&resp) {
-        AttemptEnd::Refused
+        AttemptEnd::NotRun
     } else if status.is_client_error() {
-        AttemptEnd::Rejected
+        AttemptEnd::RequestError
     } else {
         AttemptEnd::Lost
     };
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -1,7 +1,7 @@
 //! Compared policies: that of dahliaseam, and baselines.
 
 use dahliaseam_core::{
-    dispatch::{Action, Dispatcher, Next, Policy, Site},
+    dispatch::{Action, Dispatcher, Policy, RetryDecision, Site},
     endpoint::{AdminState, EndpointKey, LoadReport, PoolKey, Rates, Role},
     outcome::AttemptEnd,
     request::{RequestKey, RequestSpec},
@@ -207,7 +207,7 @@
         let state = &mut self.daemons[daemon];
         let next = state.dispatcher.attempt_ended(key, end, Site::Serving, now);
         let mut commands = Vec::new();
-        if let Next::Finished(_) = next {
+        if let RetryDecision::Finished(_) = next {
             self.keys[request] = None;
             state.requests.remove(key);
             if end != AttemptEnd::Whole {
