--- a/crates/core/examples/choose.rs
+++ b/crates/core/examples/choose.rs
@@ -2,7 +2,7 @@
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Policy, Site},
-    endpoint::{LoadReport, Rates, Role},
+    endpoint::{EngineLoad, Rates, Role},
     outcome::AttemptEnd,
     request::{KindTraits, RequestSpec},
     time::{Span, Time},
@@ -14,8 +14,8 @@
     let pool = dispatcher.add_pool(Rates::default());
     let quiet = dispatcher.add_endpoint("quiet", pool, Role::Mixed);
     let busy = dispatcher.add_endpoint("busy", pool, Role::Mixed);
-    dispatcher.observe(busy, LoadReport { queued_prefill: 40_000, running: 30, ..LoadReport::default() }, now);
-    dispatcher.observe(quiet, LoadReport::default(), now);
+    dispatcher.observe(busy, EngineLoad { queued_prefill: 40_000, running: 30, ..EngineLoad::default() }, now);
+    dispatcher.observe(quiet, EngineLoad::default(), now);
 
     let spec = RequestSpec {
         pool,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::{
     bucket::TokenBucket,
     choose::{Candidate, Choice, EndpointRows, PoolIndex, choose},
-    endpoint::{AdminState, Endpoint, EndpointKey, LoadReport, PoolKey, Rates, Role},
+    endpoint::{AdminState, Endpoint, EndpointKey, EngineLoad, PoolKey, Rates, Role},
     limit::TeamLimits,
     mix::DemandAverages,
     outcome::{AttemptEnd, Outcome, combined_outcome},
@@ -325,7 +325,7 @@
     }
 
     /// Records an endpoint's load report, which was valid at `at`.
-    pub fn observe(&mut self, key: EndpointKey, report: LoadReport, at: Time) {
+    pub fn observe(&mut self, key: EndpointKey, report: EngineLoad, at: Time) {
         if let Some(row) = self.endpoints.0.get_mut(key) {
             row.observe(report, at);
         }
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -43,7 +43,7 @@
 
 /// Load as reported by an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LoadReport {
+pub struct EngineLoad {
     /// Prompt tokens queued for prefill.
     pub queued_prefill: u32,
     /// Sequences being decoded.
@@ -88,7 +88,7 @@
     /// Whether it takes new work.
     pub admin_state: AdminState,
     /// Last load report.
-    pub report: LoadReport,
+    pub report: EngineLoad,
     /// When the last report was valid, by this daemon's clock.
     pub report_at: Time,
     /// Uncached prompt tokens sent by this daemon whose request has had no token yet.
@@ -127,7 +127,7 @@
             pool,
             role,
             admin_state: AdminState::Serving,
-            report: LoadReport::default(),
+            report: EngineLoad::default(),
             report_at: Time::default(),
             own_prefill_tokens: 0.0,
             own_tokens_since_report: 0.0,
@@ -142,7 +142,7 @@
     }
 
     /// Records a load report that was valid at `at` and returns whether it did. Older reports are ignored.
-    pub fn observe(&mut self, report: LoadReport, at: Time) -> bool {
+    pub fn observe(&mut self, report: EngineLoad, at: Time) -> bool {
         if at < self.report_at {
             return false;
         }
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -9,7 +9,7 @@
 use dahliaseam_core::{
     choose::{Candidate, Choice, Reason},
     dispatch::{Action, Dispatcher, Policy, Refusal, RetryDecision, Site},
-    endpoint::{AdminState, EndpointKey, LoadReport, PoolKey, Role},
+    endpoint::{AdminState, EndpointKey, EngineLoad, PoolKey, Role},
     hash,
     outcome::{AttemptEnd, Outcome},
     request::{RequestKey, RequestSpec},
@@ -127,7 +127,7 @@
     /// Whether it is ejected after failures.
     pub ejected: bool,
     /// Last load report.
-    pub load: LoadReport,
+    pub load: EngineLoad,
     /// When the load report was made.
     pub load_at: Time,
     /// Attempts of this daemon in flight at the endpoint.
@@ -256,7 +256,7 @@
     }
 
     /// Applies a load report.
-    pub fn observe(&self, name: &str, load: LoadReport, at: Time) {
+    pub fn observe(&self, name: &str, load: EngineLoad, at: Time) {
         let mut inner = self.lock();
         if let Some(key) = inner.endpoints.get(name).copied() {
             inner.dispatcher.observe(key, load, at);
@@ -264,7 +264,7 @@
     }
 
     /// Applies a load report from a peer, together with the prompt tokens that the peer itself has outstanding there.
-    pub fn observe_by_hash(&self, endpoint: u64, load: LoadReport, at: Time, peer_prefill: f64) {
+    pub fn observe_by_hash(&self, endpoint: u64, load: EngineLoad, at: Time, peer_prefill: f64) {
         let mut inner = self.lock();
         let Some(key) = inner.by_hash.get(&endpoint).copied() else { return };
         inner.dispatcher.observe(key, load, at);
--- a/crates/daemon/src/membership/peers.rs
+++ b/crates/daemon/src/membership/peers.rs
@@ -7,7 +7,7 @@
 };
 
 use dahliaseam_core::{
-    endpoint::LoadReport,
+    endpoint::EngineLoad,
     member::{Contact, MemberKey},
     time::{Span, Time},
 };
@@ -283,7 +283,7 @@
 
 fn apply_load_reports(node: &Node, loads: &[EndpointLoad], now: Time) {
     for report in loads {
-        let load = LoadReport {
+        let load = EngineLoad {
             queued_prefill: report.queued_prefill,
             running: report.running,
             waiting: report.waiting,
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -6,7 +6,7 @@
 
 use dahliaseam_core::{
     custody::{EngineStatus, Order},
-    endpoint::LoadReport,
+    endpoint::EngineLoad,
     frame::FrameId,
 };
 use serde::{Deserialize, Serialize};
@@ -106,7 +106,7 @@
     /// The status.
     pub status: EngineStatus,
     /// The load.
-    pub load: LoadReport,
+    pub load: EngineLoad,
     /// Age of the load in milliseconds.
     pub load_age_ms: u64,
 }
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -4,7 +4,7 @@
     choose::{Reason, Skip},
     custody::{Fencing, WaitReason},
     dispatch::Refusal,
-    endpoint::{LoadReport, Role},
+    endpoint::{EngineLoad, Role},
     member::Health,
     outcome::{AttemptEnd, Outcome},
 };
@@ -128,7 +128,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub closed_why: Option<String>,
     /// Last load report.
-    pub load: LoadReport,
+    pub load: EngineLoad,
     /// Age of the load report in milliseconds.
     pub load_age_ms: u64,
     /// Number of this daemon's attempts that are in flight there.
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -7,7 +7,7 @@
     content::ContentHash,
     custody::{EngineRecord, EngineStatus, Fencing, OrderKind, View, next_step},
     dispatch::{Dispatcher, Policy, Site},
-    endpoint::{LoadReport, PoolKey, Rates, Role},
+    endpoint::{EngineLoad, PoolKey, Rates, Role},
     fleet::{
         Fleet, StepEnd,
         endings::{CrashTracker, Recipients},
@@ -38,7 +38,7 @@
     let pool = dispatcher.add_pool(Rates::default());
     for n in 0..endpoints {
         let key = dispatcher.add_endpoint(&format!("engine-{n}"), pool, Role::Mixed);
-        dispatcher.observe(key, LoadReport { running: (n % 20) as u32, ..LoadReport::default() }, NOW);
+        dispatcher.observe(key, EngineLoad { running: (n % 20) as u32, ..EngineLoad::default() }, NOW);
     }
     (dispatcher, pool)
 }
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -2,7 +2,7 @@
 
 use dahliaseam_core::{
     dispatch::{Action, Dispatcher, Policy, RetryDecision, Site},
-    endpoint::{AdminState, EndpointKey, LoadReport, PoolKey, Rates, Role},
+    endpoint::{AdminState, EndpointKey, EngineLoad, PoolKey, Rates, Role},
     outcome::AttemptEnd,
     request::{RequestKey, RequestSpec},
     time::{Span, Time},
@@ -47,7 +47,7 @@
     /// An attempt at a request ended or was cancelled.
     fn attempt_ended(&mut self, daemon: usize, request: usize, end: AttemptEnd, now: Time) -> Vec<Command>;
     /// A load report arrived.
-    fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time);
+    fn report(&mut self, daemon: usize, engine: usize, load: EngineLoad, at: Time);
     /// An engine was opened to or closed for new work, or has another role.
     fn set_endpoint_state(&mut self, daemon: usize, engine: usize, open: bool, role: Role, now: Time) -> Vec<Command>;
     /// Called at regular intervals.
@@ -219,7 +219,7 @@
         commands
     }
 
-    fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, at: Time) {
+    fn report(&mut self, daemon: usize, engine: usize, load: EngineLoad, at: Time) {
         let daemon = &mut self.daemons[daemon];
         daemon.dispatcher.observe(daemon.engines[engine], load, at);
     }
@@ -253,7 +253,7 @@
     roles: Vec<Role>,
     is_open: Vec<bool>,
     next: Vec<usize>,
-    loads: Vec<Vec<LoadReport>>,
+    loads: Vec<Vec<EngineLoad>>,
     in_flight: Vec<Vec<u32>>,
     assigned: Vec<Option<usize>>,
     attempts: Vec<u32>,
@@ -271,7 +271,7 @@
             roles: roles.to_vec(),
             is_open: vec![true; roles.len()],
             next: (0..daemons).collect(),
-            loads: vec![vec![LoadReport::default(); roles.len()]; daemons],
+            loads: vec![vec![EngineLoad::default(); roles.len()]; daemons],
             in_flight: vec![vec![0; roles.len()]; daemons],
             assigned: Vec::new(),
             attempts: Vec::new(),
@@ -347,7 +347,7 @@
         }
     }
 
-    fn report(&mut self, daemon: usize, engine: usize, load: LoadReport, _: Time) {
+    fn report(&mut self, daemon: usize, engine: usize, load: EngineLoad, _: Time) {
         self.loads[daemon][engine] = load;
     }
 
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -3,7 +3,7 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use dahliaseam_core::{
-    endpoint::{LoadReport, Role},
+    endpoint::{EngineLoad, Role},
     outcome::AttemptEnd,
     planner::{PlannerSettings, RoleRates},
     predict::{TRANSFER_BASE, TRANSFER_PER_KTOKEN},
@@ -91,7 +91,7 @@
     Arrival(usize),
     Step(usize, u64),
     Report(usize),
-    ReportReceived { daemon: usize, engine: usize, load: LoadReport, at: f64 },
+    ReportReceived { daemon: usize, engine: usize, load: EngineLoad, at: f64 },
     Import { request: usize, engine: usize, generation: u32 },
     Tick(usize),
     Plan,
--- a/stand-ins/src/engine.rs
+++ b/stand-ins/src/engine.rs
@@ -16,7 +16,7 @@
 };
 use dahliaseam_core::{
     custody::{EngineStatus, Fencing, OrderKind},
-    endpoint::{LoadReport, Role},
+    endpoint::{EngineLoad, Role},
     frame::FrameId,
     lease::Fence,
 };
@@ -98,7 +98,7 @@
     last_order: (u64, u64),
     loaded: Vec<String>,
     exports: HashSet<String>,
-    load_samples: VecDeque<(Instant, LoadReport)>,
+    load_samples: VecDeque<(Instant, EngineLoad)>,
     cache_events: VecDeque<(Instant, CacheEvent)>,
     last_cache_event: u64,
     fault: EngineFault,
--- a/stand-ins/src/model.rs
+++ b/stand-ins/src/model.rs
@@ -7,7 +7,7 @@
 
 use std::collections::VecDeque;
 
-use dahliaseam_core::endpoint::{LoadReport, Role};
+use dahliaseam_core::endpoint::{EngineLoad, Role};
 use serde::{Deserialize, Serialize};
 
 /// Parameters of the model. The users have not yet provided figures of their own.
@@ -224,10 +224,10 @@
 
     /// Returns the current load.
     #[must_use]
-    pub fn load(&self) -> LoadReport {
+    pub fn load(&self) -> EngineLoad {
         let all = self.batch.iter().chain(&self.waiting);
         let kv: u32 = self.batch.iter().map(Sequence::kv).sum();
-        LoadReport {
+        EngineLoad {
             queued_prefill: all.map(|s| s.prompt_left.max(0.0)).sum::<f64>() as u32,
             running: self.batch.len() as u32,
             waiting: self.waiting.len() as u32,
