--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -22,7 +22,7 @@
 
 /// Weight of one service in a route.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct ServiceWeight {
     /// Name of the service.
     pub service: Arc<str>,
     /// Weight relative to the other services.
@@ -37,7 +37,7 @@
     /// Path prefix, with a slash at both ends.
     pub prefix: String,
     /// Services of the route, chosen by weight.
-    pub shares: Vec<Share>,
+    pub service_weights: Vec<ServiceWeight>,
     /// Whether requests may run more than once.
     pub repeat: Repeat,
     /// Whether answers are event streams.
@@ -62,12 +62,12 @@
     /// Selects the service for a request whose identifier has this hash.
     #[must_use]
     pub fn service(&self, hash: u64) -> Option<&Arc<str>> {
-        let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
+        let total: u64 = self.service_weights.iter().map(|s| u64::from(s.weight)).sum();
         let mut remaining = hash.checked_rem(total)?;
-        for share in &self.shares {
-            let weight = u64::from(share.weight);
+        for candidate in &self.service_weights {
+            let weight = u64::from(candidate.weight);
             if remaining < weight {
-                return Some(&share.service);
+                return Some(&candidate.service);
             }
             remaining -= weight;
         }
@@ -181,7 +181,8 @@
     #[must_use]
     pub fn max_event_gap(&self, service: &str) -> Option<Span> {
         let routes = self.hosts.values().flatten();
-        let routes_to_service = routes.filter(|route| route.shares.iter().any(|share| &*share.service == service));
+        let routes_to_service =
+            routes.filter(|route| route.service_weights.iter().any(|entry| &*entry.service == service));
         routes_to_service.filter_map(|route| route.max_event_gap).min()
     }
 
