--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -53,7 +53,8 @@
     /// Index of the window.
     pub window: u64,
     /// Whether the counts are final.
-    pub is_over: bool,
+    #[serde(rename = "is_over")]
+    pub is_final: bool,
     /// Number of requests per team.
     pub counts: Vec<(String, u32)>,
 }
@@ -81,7 +82,7 @@
         let windows = (first..=current).filter(|window| !self.acknowledged.contains(window)).map(|window| {
             let counts = self.windows.get(&window).into_iter().flatten();
             let counts = counts.map(|(team, count)| (team.to_string(), *count)).collect();
-            WindowCounts { window, is_over: window < final_before, counts }
+            WindowCounts { window, is_final: window < final_before, counts }
         });
         windows.collect()
     }
@@ -106,7 +107,7 @@
 /// Counts that one run of a daemon reported for a window.
 #[derive(Clone, Debug, Default)]
 struct RunCounts {
-    is_over: bool,
+    is_final: bool,
     counts: HashMap<String, u32>,
 }
 
@@ -124,7 +125,7 @@
     pub fn record(&mut self, vm: &str, run: u64, reported: WindowCounts) {
         let window = self.windows.entry(reported.window).or_default();
         let run_counts = window.entry((vm.to_owned(), run)).or_default();
-        run_counts.is_over |= reported.is_over;
+        run_counts.is_final |= reported.is_final;
         for (team, count) in reported.counts {
             let present = run_counts.counts.entry(team).or_default();
             *present = (*present).max(count);
@@ -137,7 +138,7 @@
         let Some(runs) = self.windows.get(&window) else {
             return false;
         };
-        vms.all(|vm| runs.iter().any(|((name, _), run)| name == vm && run.is_over))
+        vms.all(|vm| runs.iter().any(|((name, _), run)| name == vm && run.is_final))
     }
 
     /// Total number of requests per team in a window.
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -162,9 +162,9 @@
     let Some(entry) = leader_entry(gw).filter(|entry| entry.value == gw.settings.vm) else {
         return;
     };
-    let (number, is_over) = (window.window, window.is_over);
+    let (number, is_final) = (window.window, window.is_final);
     record(gw, &vm, run, window);
-    if is_over {
+    if is_final {
         let packet = Packet::UsageAck { fence: entry.revision as u64, window: number };
         peers::send_packet(gw, &packet, &[from]).await;
     }
