--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -321,8 +321,8 @@
     #[must_use]
     pub fn update_to_refute(&self, key: MemberKey) -> Option<Update> {
         let row = self.rows.get(key)?;
-        let accused = matches!(row.health, Health::Suspect | Health::Dead);
-        accused.then(|| Update {
+        let must_refute = matches!(row.health, Health::Suspect | Health::Dead);
+        must_refute.then(|| Update {
             contact: row.contact.clone(),
             start: row.start,
             refutation: row.refutation,
