--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -47,8 +47,8 @@
 /// them may have been refused wrongly and hide this one.
 const EXPLAINED_CRASH_DIVISOR: usize = 3;
 /// Crashes after which a request is refused in an ambiguous case too: its trials have crashed replicas as well. With
-/// four, one in fourteen of the innocent requests that had lost three engines was refused, with five one in seventy
-/// (emulation of five full engines and callers that retry at once).
+/// four, one in fourteen of the innocent requests that had lost three engines was refused, with five one in seventy,
+/// on five full engines with callers that retry at once.
 const CRASHES_TO_REFUSE_AMBIGUOUS: usize = 5;
 /// Crashes after which a daemon that is cut off from all others refuses a request: it knows only part of the crashes.
 const CRASHES_TO_REFUSE_CUT_OFF: usize = 2;
@@ -56,22 +56,22 @@
 const CRASHES_TO_ISOLATE: usize = 2;
 /// Time for which a record is kept after the last report of it, and for which a request is refused.
 ///
-/// It is longer than callers retry on their own. An operator can lift a wrong refusal before it expires.
+/// It is longer than callers keep retrying on their own. An operator can lift a wrong refusal before it expires.
 pub const RETENTION: Span = Span::millis(600_000);
 /// Period of a first refusal if other replicas crashed at about the same time, so that the request may merely have run
-/// beside the one at fault: as long as a caller may think that it was never answered.
+/// beside the one at fault. It lasts only as long as a caller may believe that it merely received no answer.
 const SHORT_REFUSAL: Span = Span::millis(60_000);
 /// Maximum number of times that the refusal period doubles when a request is refused again.
 const MAX_DOUBLINGS: u32 = 6;
 /// Time for which the clearance of a request is kept, so that older reports do not count. If the request was refused,
 /// its clearance is kept for [`RETENTION`]: a daemon that was cut off may still report the refusal.
 const CLEARANCE_RETENTION: Span = Span::millis(60_000);
-/// Time in which the reports of other daemons about a crash arrive, not counting [`REPORT_DELAY_PER_DAEMON`].
+/// Time in which the reports of other daemons about a crash arrive, in addition to [`REPORT_DELAY_PER_DAEMON`].
 const REPORT_DELAY: Span = Span::millis(60);
-/// Added to [`REPORT_DELAY`] for each daemon: reports reach hall peers sooner than other halls.
+/// Added to [`REPORT_DELAY`] for each daemon, since reports reach other halls later than hall peers.
 const REPORT_DELAY_PER_DAEMON: Span = Span::millis(1);
-/// Time after which a trial counts as over if its end was not recorded: replicas crash within a fifth of a second
-/// during such a request.
+/// Time after which a trial counts as over if its end was not recorded. A request that crashes replicas does so within
+/// a fifth of a second.
 const TRIAL_TIMEOUT: Span = Span::millis(2_000);
 /// A case is ambiguous if other replicas crashed at about the same time without an explanation, at least one for every
 /// this many crashes of the request.
@@ -97,7 +97,7 @@
 /// Why a request is suspected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Replicas that crashed during it, by the hash of their start, and the time since each crash.
+    /// Replicas that crashed during it, by `start_id`, and the time since each crash.
     pub crashes: Vec<(u32, Span)>,
     /// Time for which the suspicion still counts.
     pub time_left: Span,
@@ -140,8 +140,8 @@
 }
 
 impl CrashTracker {
-    /// Records that a replica crashed while it was running a request; returns the number of unexplained crashes of the
-    /// request.
+    /// Records that a replica crashed while it was running a request; returns how many crashes of the request no
+    /// unambiguously refused request explains.
     pub fn record_crash(&mut self, content: ContentHash, start_id: u32, at: Time) -> usize {
         if let Some(answered) = self.answers.last_answer(content, at) {
             let record = self.record_mut(content, at);
@@ -216,8 +216,8 @@
         }
     }
 
-    /// Decides how to treat a request, in a deployment of `daemons` daemons; `cut_off` tells whether this one receives
-    /// no reports from its peers.
+    /// Decides how to treat a request in a deployment of `daemons` daemons; `cut_off` tells whether this one receives no
+    /// reports from its peers.
     pub fn treatment(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Treatment {
         let Some(record) = self.records.get(&content) else {
             return Treatment::Clear;
--- a/crates/core/src/fleet/endings/notes.rs
+++ b/crates/core/src/fleet/endings/notes.rs
@@ -21,7 +21,7 @@
 /// not grow with their number: fifty messages a second.
 const RESEND_INTERVAL_PER_DAEMON: Span = Span::millis(20);
 
-/// Two clearances of a request within this time are the same one, reported again.
+/// A reported clearance that is later than the known one by no more than this is the same one, reported again.
 const SAME_CLEARANCE_WINDOW: Span = Span::millis(1_000);
 
 /// What is known about one request. Times are ages and remaining periods in milliseconds, as clocks differ.
@@ -29,7 +29,7 @@
 pub struct RequestNote {
     /// Content hash of the request.
     pub content: ContentHash,
-    /// Replicas that crashed during it, by the hash of their start, and the milliseconds since each crash.
+    /// Replicas that crashed during it, by `start_id`, and the milliseconds since each crash.
     #[serde(rename = "ends")]
     pub crashes: Vec<(u32, u32)>,
     /// Milliseconds for which the sender keeps this record. A receiver keeps it no longer, or two daemons would report
@@ -107,7 +107,7 @@
         notes
     }
 
-    /// Includes unchanged notes in the next message to hall peers, since one of them has just started.
+    /// Includes unchanged notes in the next message to hall peers. Called when one of them has just started.
     pub fn resend_now(&mut self, now: Time) {
         self.resend_at[Recipients::HallPeers as usize] = now;
     }
--- a/crates/core/src/fleet/endings/record.rs
+++ b/crates/core/src/fleet/endings/record.rs
@@ -12,8 +12,8 @@
 /// Two reports on the same replica within this time are about one crash: a replica takes some seconds to restart,
 /// even if it keeps its identifier.
 const SAME_CRASH_WINDOW: Span = Span::millis(1_000);
-/// Maximum number of crashes kept for one request, the newest: twice as many as decide about it, since other requests
-/// may explain half of them.
+/// Maximum number of crashes kept for one request, the newest ones: enough to refuse it in an ambiguous case even if
+/// other requests explain half of them.
 const MAX_CRASHES: usize = 8;
 /// Delays after a change at which it is sent. Each send makes up for a lost one before it: if one in three messages
 /// is lost, one change in eighty is lost four times.
@@ -22,7 +22,7 @@
 /// The crash of a replica that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub(super) replica: u32,
     /// Time of the crash, as exactly as messages state it.
     pub(super) at: Time,
