--- a/crates/core/src/fleet/engine/answer_pace.rs
+++ b/crates/core/src/fleet/engine/answer_pace.rs
@@ -1,7 +1,7 @@
 //! Interval between the events of long answers by the load of their engine, and their maximum number of events.
 //!
 //! An engine decodes its answers in one batch, so the interval between two events grows with the number of answers.
-//! The time until the last event of an answer follows from this interval and the maximum number of events.
+//! The maximum time until the last event of an answer follows from this interval and the maximum number of events.
 
 use crate::{
     fleet::engine::{least_squares::LeastSquares, running_quantile::RunningQuantile},
@@ -15,9 +15,10 @@
 const INITIAL_SIGMAS: [f64; 2] = [60.0, 10.0];
 /// Longer intervals count as this multiple of the prediction: a pause is not the pace.
 const OUTLIER_FACTOR: f64 = 2.0;
-/// Number of observed parts of streams after which the pace is reliable enough to use.
+/// Number of observed parts of streams after which the pace is used.
 const MIN_OBSERVATIONS: u32 = 10;
-/// Share of the most events of answers in progress that finished ones must have reached for the maximum to be known.
+/// The maximum number of events is known once finished answers have reached this share of the most events that any
+/// answer in progress has had.
 const LENGTHS_KNOWN_SHARE: f64 = 0.9;
 /// Initial bound on the length of answers, as a multiple of their callers' hints.
 const INITIAL_HINT_FACTOR: f64 = 2.0;
--- a/crates/core/src/fleet/engine/hand_over.rs
+++ b/crates/core/src/fleet/engine/hand_over.rs
@@ -44,7 +44,7 @@
         self.fit.predict(&transfer.features())
     }
 
-    /// Predicted milliseconds of that in which the links of both engines are occupied.
+    /// Predicted milliseconds for which the transfer occupies the links of both engines.
     #[must_use]
     pub fn link_ms(&self, transfer: KvTransfer) -> f64 {
         let [_, tokens] = transfer.features();
--- a/crates/core/src/fleet/engine/least_squares.rs
+++ b/crates/core/src/fleet/engine/least_squares.rs
@@ -1,7 +1,7 @@
 //! Recursive least squares: a weighted sum of a few features, fitted one observation at a time.
 //!
 //! The covariance of the weights is kept with them. An uncertain initial guess is replaced within a few observations,
-//! a weight that is known well moves slowly.
+//! while a weight that is known well moves slowly.
 
 /// Factor by which the weight of past observations shrinks with each new one. An engine's speed changes over minutes,
 /// if at all, so some five hundred observations count.
@@ -12,12 +12,12 @@
 /// Standard deviations below the prediction at which an observation is clipped. Only lost precision makes work look
 /// faster than it is.
 const CLIP_BELOW: f64 = 4.0;
-/// Factor by which an observation below the prediction counts as more precise. With less, prompts that queue
-/// unnoticed make a fast engine look slower; with more, engines are predicted faster than they are under load.
+/// Factor by which an observation below the prediction counts as more precise. With a lower one, prompts that queue
+/// unnoticed make a fast engine look slower; with a higher one, engines are predicted faster than they are under load.
 const PRECISION_BELOW: f64 = 1.15;
 /// Standard error of one observation as a share of the prediction.
 const RELATIVE_NOISE: f64 = 0.1;
-/// Standard error of one observation in addition, in milliseconds: network and timers.
+/// Additional standard error of one observation in milliseconds, caused by the network and timers.
 const ABSOLUTE_NOISE_MS: f64 = 2.0;
 
 /// Number of observations after which the weights of others are no longer adopted.
--- a/crates/core/src/fleet/engine/mod.rs
+++ b/crates/core/src/fleet/engine/mod.rs
@@ -3,8 +3,8 @@
 //! Nothing here assumes how fast an engine is. [`read_time`] predicts the time to prefill a prompt, [`hand_over`] the
 //! time to transfer the KV cache of a prompt to another engine, [`answer_pace`] how fast long answers progress, and
 //! [`event_pace`] the usual interval between the events of a stream. Each starts with a guess that a few tens of
-//! observations replace. Busy engines look slow, so an observation far above the prediction counts little, and one far
-//! below counts in full.
+//! observations replace. Busy engines look slow, so the effect of an observation far above the prediction is limited,
+//! while one far below it counts in full.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/core/src/fleet/engine/read_time.rs
+++ b/crates/core/src/fleet/engine/read_time.rs
@@ -15,9 +15,9 @@
 const INITIAL_SIGMAS: [f64; 3] = [15.0, 40.0, 1.5];
 /// Initial ratio of the prefill time of a decode engine to that of a prefill engine.
 const INITIAL_DECODE_FACTOR: f64 = 2.0;
-/// Bounds of that ratio.
+/// Bounds of the ratio.
 const DECODE_FACTOR_BOUNDS: (f64, f64) = (1.0, 6.0);
-/// Minimum weight of a new observation of it.
+/// Minimum weight of a new observation of the ratio.
 const MIN_DECODE_WEIGHT: f64 = 0.03;
 /// Minimum predicted milliseconds of a prefill to learn the ratio from: shorter ones say little about a decode engine.
 const MIN_DECODE_SAMPLE_MS: f64 = 10.0;
