--- a/crates/core/src/fleet/budget.rs
+++ b/crates/core/src/fleet/budget.rs
@@ -55,7 +55,7 @@
         allowed
     }
 
-    /// Charges a call that turned out to be a retry only after it was sent.
+    /// Charges an attempt that turned out to be a retry only after it was sent.
     pub fn charge(&mut self, terms: &RetryBudgetTerms, now: Time) {
         self.slice(terms, now).retries += 1;
     }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -125,7 +125,7 @@
 pub struct SentStep {
     /// The replica.
     pub key: ReplicaKey,
-    /// The load that it is counted as.
+    /// The load that it adds to the replica.
     pub load: Load,
     /// The prompt tokens to prefill.
     pub prefill: PrefillWork,
@@ -133,7 +133,7 @@
     pub kv_transfer: Option<KvTransfer>,
     /// Predicted milliseconds until it ends.
     pub expected_ms: f64,
-    /// Time that this VM's link takes to send it.
+    /// Time until this VM's link has sent it.
     pub link_time: Span,
     /// Whether the replica had no other prompt to prefill.
     pub had_no_prefill: bool,
@@ -247,7 +247,7 @@
         self.service_mut(service).max_pause = pause;
     }
 
-    /// Learns from a stream that was relayed to its end.
+    /// Learns from a stream that was relayed up to its end.
     pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
@@ -358,7 +358,7 @@
         })
     }
 
-    /// Records that the prefill has ended while the request continues; removes it from the load of `sent`.
+    /// Records that the prefill has ended while the request continues; removes its load from the replica and from `sent`.
     pub fn prefill_ended(&mut self, sent: &mut SentStep, end: StepEnd, now: Time) {
         let prefill = Load { prefill_ms: sent.load.prefill_ms, late_ms: sent.load.late_ms, ..Load::default() };
         if let Some(replica) = self.replicas.get_mut(sent.key) {
@@ -400,7 +400,7 @@
     /// Records that nothing listens at the address of this start of a replica; returns whether this ejects the
     /// replica.
     ///
-    /// Other requests and daemons then do not each have to find out by an attempt of their own.
+    /// Spares other requests and daemons an attempt of their own.
     pub fn mark_unreachable(&mut self, facts: &ReplicaFacts, now: Time) -> bool {
         let key = self.key(&facts.id);
         self.reportable.extend(key);
@@ -409,7 +409,7 @@
         replica.is_some_and(|replica| replica.health.record_unreachable(now))
     }
 
-    /// Applies the rate limit, or its absence, from an answer of this start of a replica to a request that was sent
+    /// Applies the rate limit, or its absence, from the response of this start of a replica to a request that was sent
     /// at `sent_at`; returns whether the limit changed.
     pub fn set_rate_limit(&mut self, facts: &ReplicaFacts, limit: Option<f64>, sent_at: Time, now: Time) -> bool {
         let Some(key) = self.key(&facts.id) else {
@@ -441,7 +441,7 @@
         is_later
     }
 
-    /// Marks a replica as draining because an answer states that it is leaving; returns whether the mark is new.
+    /// Marks a replica as draining because a response states that it is leaving; returns whether the mark is new.
     ///
     /// Has no effect if the replica is unknown or has restarted since it was selected.
     pub fn set_draining(&mut self, facts: &ReplicaFacts) -> bool {
@@ -454,7 +454,7 @@
         is_new
     }
 
-    /// Whether the replica is known to have restarted since.
+    /// Whether the replica is known to have restarted since `facts` were stated.
     #[must_use]
     pub fn is_replaced(&self, facts: &ReplicaFacts) -> bool {
         let replica = self.key(&facts.id).and_then(|key| self.replicas.get(key));
@@ -484,7 +484,7 @@
         self.service_mut(service).retry_budget.record_request(terms, now);
     }
 
-    /// Charges a call that turned out to be a retry only after it was sent.
+    /// Charges an attempt that turned out to be a retry only after it was sent.
     pub fn charge_retry(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
         self.service_mut(service).retry_budget.charge(terms, now);
     }
--- a/crates/core/src/fleet/rate_limit.rs
+++ b/crates/core/src/fleet/rate_limit.rs
@@ -1,11 +1,11 @@
 //! Rate limits of replicas, and their division among the daemons.
 //!
-//! A replica may state in its answers how many requests per second it accepts from all daemons combined. Time is
+//! A replica may state in its responses how many requests per second it accepts from all daemons combined. Time is
 //! divided into that many slots per second, which are assigned to the daemons in rotation. The owner of a slot may send
 //! one request within `SLOT_LIFETIME` of its start. Unused slots expire, so idle daemons cannot accumulate a burst.
 //! Each daemon computes its slots from the time of day, the number of daemons and its own rank, without coordination.
 //!
-//! Daemons report the latest limits from their own answers to each other, with their age; the most recent one applies.
+//! Daemons report the latest limits that replicas stated to them, with their age; the most recent one applies.
 //! Limits learned from a report are not reported again within the hall, so relaying cannot make an old limit look new.
 
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 
 /// Time after the start of a slot during which its owner may use it.
 const SLOT_LIFETIME: Span = Span::millis(500);
-/// Minimum rate at which requests are sent, in requests per second. A limit is lifted only by an answer, so a limit of
+/// Minimum rate at which requests are sent, in requests per second. A limit is lifted only by a response, so a limit of
 /// zero must still let some requests through.
 const MIN_PER_SECOND: f64 = 0.1;
 /// Time for which a lifted limit is reported.
@@ -39,7 +39,7 @@
 /// A replica's rate limit as reported by a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateLimitNote {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Requests per second, or `None` if the limit was lifted.
     pub per_second: Option<f64>,
@@ -50,10 +50,10 @@
 /// Source of the current state of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Origin {
-    /// No answer or report yet.
+    /// No response or report yet.
     #[default]
     Unknown,
-    /// An answer to this daemon.
+    /// A response to this daemon.
     Own,
     /// A report from another daemon in this hall.
     HallPeer,
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RateLimit {
     per_second: Option<f64>,
-    /// Time at which the limit was last stated, or at which the request was sent whose answer lifted it.
+    /// Time at which the limit was last stated, or at which the request was sent whose response lifted it.
     known_at: Time,
     origin: Origin,
     /// Start of the last used slot, as time of day.
@@ -73,7 +73,7 @@
 }
 
 impl RateLimit {
-    /// Updates the limit from the answer to a request that was sent at `sent_at`; returns whether the limit changed.
+    /// Updates the limit from the response to a request that was sent at `sent_at`; returns whether the limit changed.
     pub(super) fn update_from_response(
         &mut self,
         per_second: Option<f64>,
@@ -83,7 +83,7 @@
     ) -> bool {
         match per_second {
             Some(_) => self.set(per_second, now, Origin::Own, share, now),
-            // The answer to an earlier request may predate the limit.
+            // The response to an earlier request may predate the limit.
             None if self.per_second.is_some() && sent_at >= self.known_at => {
                 self.set(None, sent_at, Origin::Own, share, now)
             }
