--- a/crates/core/src/fleet/cache.rs
+++ b/crates/core/src/fleet/cache.rs
@@ -1,7 +1,7 @@
 //! Estimates which prompt parts an engine still holds in its KV cache.
 //!
-//! The model follows the prompts that this daemon and its peers sent to the engine and evicts the least recently used
-//! parts, as engines do. A wrong estimate costs time but never affects an answer.
+//! The estimate follows the prompts that this daemon and its peers sent to the engine and evicts the least recently
+//! used parts, as engines do. A wrong estimate costs time but never affects an answer.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -20,7 +20,7 @@
     time::{Span, Time},
 };
 
-/// Weight of the send time of a request that is sent twice: the second send itself, and what is queued behind it on
+/// Factor on the send time of a request that is sent twice: the second send itself, and what is queued behind it on
 /// the link.
 const RESEND_FACTOR: f64 = 2.0;
 /// Predicted wait in milliseconds for each request beyond an engine's slots.
@@ -52,9 +52,10 @@
 const JITTER_MS_PER_DAEMON: f64 = 0.15;
 /// Upper bound in milliseconds of the random jitter for any number of daemons.
 const MAX_JITTER_MS: f64 = 25.0;
-/// Range in milliseconds of the costs that an isolated request draws for its replicas; larger than all other costs.
-/// Such a request loses the best replica. With a purely random choice two isolated requests would meet on one of
-/// twelve engines just as often, but other daemons would not know which engines were drawn.
+/// Range in milliseconds of the pseudo-random costs, derived from its content hash, by which the replica of an isolated
+/// request is chosen. They exceed all other costs, so such a request does not get the best replica. With a purely random
+/// choice two isolated requests would meet on one of twelve engines just as often, but other daemons would not know
+/// which engines were drawn.
 const ISOLATION_DRAW_MS: f64 = 10_000.0;
 /// Share of its remaining time after which a caller no longer retries.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.33;
@@ -172,7 +173,7 @@
         if urgent.predicted_ms() - self.discount_ms(&urgent, prompt) <= in_time_ms {
             return Ok(urgent);
         }
-        // A late answer is worth less, but still something, and it is queued such that it delays no other request.
+        // A late answer is still worth something, and its prompt is queued such that it delays no other request.
         let late = self.engine_plan(&PrefillInput { late: true, ..input }).ok_or_else(|| self.plan_error())?;
         let left = self.req.first_event_left.min(self.req.time_left);
         let late = self.with_urgent_delay(late);
@@ -361,7 +362,8 @@
         self.jitter_ms * unit_fraction(rendezvous(self.req.draw, key.data().as_ffi()))
     }
 
-    /// The cost that distinguishes otherwise equal replicas: random jitter, or the draw of an isolated request.
+    /// The cost that distinguishes otherwise equal replicas: random jitter, or the pseudo-random cost of an isolated
+    /// request.
     fn tie_break_ms(&self, key: ReplicaKey) -> f64 {
         let Some(Isolation { content, .. }) = self.req.isolation else {
             return self.jitter_ms(key);
--- a/crates/core/src/fleet/distance.rs
+++ b/crates/core/src/fleet/distance.rs
@@ -6,11 +6,11 @@
 
 /// Minimum weight of a new observation.
 const MIN_WEIGHT: f64 = 0.05;
-/// Observations count as at most this multiple of the mean: most of the excess was waiting time.
+/// Longer observations count as this multiple of the mean: most of the excess is waiting time.
 const MAX_OUTLIER_FACTOR: f64 = 3.0;
 /// Number of connections after which a latency counts as known.
 const MIN_OBSERVATIONS: u32 = 5;
-/// Round trips of a call: one for the connection, one for the request and the first bytes of the answer.
+/// Round trips of a call: one for the connection, one for the request and the first bytes of the response.
 const ROUND_TRIPS_PER_CALL: f64 = 2.0;
 
 /// Index of a hall in [`HallLatencies`].
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -90,8 +90,8 @@
     }
 
     /// Whether a replica's longest answers end in time even if it also prefills prompts. Under load prefill takes a
-    /// fifth of the time of engines with long answers; where the last events would already be late, prefill is left
-    /// to engines that only prefill.
+    /// fifth of the time of engines with long answers. If their last events would already be late, prefill is left to
+    /// engines that only prefill.
     pub(super) fn has_decode_slack(&self, replica: &Replica, now: Time) -> bool {
         let Some(state) = self.services.get(&replica.facts.service) else {
             return true;
--- a/crates/core/src/fleet/policy.rs
+++ b/crates/core/src/fleet/policy.rs
@@ -1,4 +1,4 @@
-//! Policy parameters that operators may set; docs/POLICY.md lists their measured effects.
+//! Policy parameters that operators may set; docs/POLICY.md describes their effects.
 
 use serde::Deserialize;
 
@@ -26,7 +26,7 @@
     /// pace. Engines on which it is not expected get no long answers while others have room. The rest of the time is
     /// reserved for answers that are added later and for prompts prefilled on the same engine.
     pub answer_share: f64,
-    /// Pause in milliseconds that streams accept if none is configured.
+    /// Longest pause in milliseconds between events of a stream that callers accept, if none is configured.
     pub pause_ms: f64,
     /// Share of the accepted pause, beyond the usual interval, that a single prefill on the same engine may take;
     /// longer ones go to engines without streams.
@@ -37,8 +37,8 @@
     /// Share of the required engines that cannot be reclaimed, whatever the price of reclaimable ones: after all
     /// reclaimable engines in every hall are gone, urgent requests and long answers must still be served.
     pub pool_staying_share: f64,
-    /// Number of engines, in proportion to those that the highest recent demand requires, up to which cheap
-    /// reclaimable engines are added: a burst is over before a new engine has started.
+    /// Pool size up to which cheap reclaimable engines are added, as a multiple of the engines that the highest recent
+    /// demand requires. A burst is over before a new engine has started, so the engines must be there in advance.
     pub pool_headroom: f64,
     /// Target utilization of a prefill engine: the share of its time in which it prefills.
     pub read_share: f64,
--- a/crates/core/src/fleet/sizes.rs
+++ b/crates/core/src/fleet/sizes.rs
@@ -12,8 +12,8 @@
 const SIZE_QUANTILES: [f64; 2] = [0.9, 0.7];
 /// Initial estimates of these quantiles in tokens.
 const INITIAL_BOUNDS: [f64; 2] = [12_000.0, 8_000.0];
-/// Target for the share of large prompts that is admitted, relative to that of all prompts. Users require one half; a
-/// discount for large prompts costs the others.
+/// Target for the share of large prompts that is admitted, relative to that of all prompts. Users require one half. The
+/// target is not far above that, since a discount for large prompts comes at the expense of the others.
 const MIN_RELATIVE_SHARE: f64 = 0.6;
 /// Change of the discount for each large prompt that is or is not admitted. With ten a second at each of eight
 /// daemons, the discount reaches its maximum within ten seconds.
@@ -46,7 +46,7 @@
     pub(super) fn record(&mut self, tokens: u32, was_refused: bool, admitted: bool) {
         let (is_new, admitted) = (f64::from(u8::from(!was_refused)), f64::from(u8::from(admitted)));
         if let Some(size) = self.size_class(tokens) {
-            // Each caller sends a first request once and is admitted at most once.
+            // Each caller counts as new once and is admitted at most once.
             let shortfall = is_new * MIN_RELATIVE_SHARE * self.admitted_share() - admitted;
             self.discount[size] = (self.discount[size] + shortfall * DISCOUNT_STEP).clamp(0.0, MAX_DISCOUNT);
         }
