--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! Load reports, in which daemons inform each other of the load that they cause.
+//! Load reports, in which daemons inform each other of the load that they put on replicas.
 //!
 //! Each message contains absolute figures, so the next message makes up for a lost one. A small number of daemons all
 //! report to each other. With many daemons, each reports only to its hall peers, and one of them sends a summary of
@@ -68,7 +68,7 @@
 /// The load of a daemon or a hall on one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Milliseconds of prefill.
     #[serde(rename = "reading_ms")]
@@ -105,7 +105,7 @@
 /// An engine whose role is changing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangingEngine {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Whether it becomes a prefill engine, or else a decode engine.
     pub to_prefill: bool,
@@ -146,7 +146,7 @@
 /// A prompt that was sent to a replica, whose KV cache therefore holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptNote {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Prefix hash and number of tokens of each part of the prompt.
     pub parts: Vec<(u64, u32)>,
--- a/crates/core/src/fleet/plan.rs
+++ b/crates/core/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Describes a request to the selection, and how the request will be served.
+//! The input and the result of replica selection: a request, and how it will be served.
 
 use crate::{
     content::ContentHash,
@@ -39,10 +39,10 @@
     pub draw: u64,
 }
 
-/// Isolation of a request during which replicas crashed from other such requests.
+/// How a request during which replicas crashed is kept apart from other such requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Isolation {
-    /// Hash of the request, from which the draw of its replica is derived.
+    /// Content hash of the request, from which the choice of its replica is derived.
     pub content: ContentHash,
     /// Whether one replica must both prefill and decode, so that the request reaches no other replica.
     pub single_replica: bool,
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -15,7 +15,7 @@
     time::{Span, Time},
 };
 
-/// Time for which the highest demand counts in full. Swings of the mix recur within it.
+/// Time for which the highest demand counts in full. Swings in the mix of requests recur within it.
 const PEAK_HOLD: Span = Span::millis(30_000);
 /// Time from the first observed demand for which an expected demand above it still counts: the averages of the demand
 /// and of the answer durations must have settled.
@@ -117,7 +117,7 @@
     #[must_use]
     pub fn wanted(&self, needed: f64, policy: &FleetPolicy) -> PoolSize {
         let halls = self.hall_prices.len().max(1) as f64;
-        // A demand above the maximum size of the pool requests only the maximum.
+        // No demand can be given more than the maximum size of the pool.
         let needed = needed.min(halls * f64::from(self.max));
         let per_hall = |engines: f64| (engines / halls).ceil() as u32;
         // Share of the reclaimable engines that remains after one hall lost its own.
@@ -135,8 +135,8 @@
 
     /// The next order on the way to the wanted size, given the running engines and the previous order.
     ///
-    /// Staying engines are released only as far as the running ones, in all halls together, are as many as finally
-    /// remain after one hall lost all its reclaimable engines. Reclaimable engines are added within the limit that
+    /// Staying engines are released only while the engines that run in all halls together remain as many as the wanted
+    /// pool keeps after one hall lost all its reclaimable engines. Reclaimable engines are added within the limit that
     /// both kinds share.
     #[must_use]
     pub fn next_order(&self, wanted: &PoolSize, running: &PoolSize, ordered: &PoolSize) -> PoolSize {
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -261,7 +261,7 @@
         self.answer_slowness.learn(slowness + ANSWER_SLOWNESS_PULL * (1.0 - slowness));
     }
 
-    /// Learns from work that took `took` where `expected_ms` was predicted for a usual replica.
+    /// Learns from work that took `took` where `expected_ms` was predicted.
     pub fn learn_slowness(&mut self, expected_ms: f64, took: Span, now: Time) {
         let observed = took.as_millis_f64() / expected_ms.max(1.0);
         let previous = self.slowness(now);
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -15,8 +15,8 @@
     time::{Span, Time},
 };
 
-/// Averaging period of the demand. Longer than a role change makes an engine unavailable, shorter than most swings of
-/// the mix.
+/// Averaging period of the demand. It is longer than a role change makes an engine unavailable, and shorter than most
+/// swings in the mix of requests.
 const AVERAGING_PERIOD: Span = Span::millis(2_500);
 /// Estimated duration of a short answer before any was observed.
 const INITIAL_SHORT_SECONDS: f64 = 0.5;
@@ -39,8 +39,8 @@
 /// lacks engines too.
 const SHORTAGE_FACTOR: f64 = 1.25;
 /// Decode engines, in proportion to the required ones, that must remain when one is taken from them. Answers take
-/// longer the more of them an engine has, so the remaining engines would be required twice over, and full engines
-/// reject prompts that were already prefilled.
+/// longer the more of them an engine has, so the demand on the remaining engines would double, and full engines reject
+/// prompts that were already prefilled.
 const DECODE_MARGIN: f64 = 2.2;
 /// Share of a service's engines by which one side must exceed its balanced number for one to be taken from it
 /// although neither side lacks any.
@@ -254,7 +254,8 @@
         }
         let required = self.required_engines(service, &engines, demand, now)?;
         let min_decode = min_decode(all);
-        // Without prefill engines no larger prompt is served at all, whatever KV cache its answer would need.
+        // Without prefill engines no larger prompt is served at all, so the first ones are taken from decode whatever
+        // KV cache the answers would need.
         let margin = if prefill < MIN_PREFILL { 0.0 } else { DECODE_MARGIN };
         let kept = ((required.decode * margin).ceil() as usize).max(min_decode);
         if required.prefill > prefill as f64 && decode > kept {
