--- a/crates/core/src/quota/client.rs
+++ b/crates/core/src/quota/client.rs
@@ -1,6 +1,6 @@
 //! Selection of the shard owner that a daemon asks for credit.
 //!
-//! Each answer reports the level of the owner's bucket. Until the next answer the bucket holds at most that
+//! Each reply of an owner reports the level of its bucket. Until the next reply the bucket holds at most that
 //! level plus the refill since then. Owners whose bound is below the cost of a request are not asked.
 
 use std::{collections::HashMap, sync::Arc};
@@ -10,7 +10,7 @@
     time::{Span, Time},
 };
 
-/// Time for which an owner that did not answer is not asked again.
+/// Time for which an owner that did not reply is not asked again.
 const UNAVAILABLE_BACKOFF: Span = Span::millis(400);
 /// Number of teams with known levels above which outdated ones are dropped.
 const MAX_TEAMS: usize = 1_024;
@@ -30,7 +30,7 @@
     Unavailable,
 }
 
-/// Credit that a request needs of its team's quota.
+/// Credit that a request needs from its team's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct CreditNeed<'a> {
     /// Name of the team.
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Records the level of an owner's bucket, as reported in an answer.
+    /// Records the level of an owner's bucket, as reported in a reply.
     pub fn record_level(&mut self, team: &str, shard: u8, left: f64, terms: &ShardTerms, now: Time) {
         self.unavailable_until[usize::from(shard)] = Time(0);
         let level = Level { left, at: now, terms: *terms };
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Records that the owner of a shard did not answer or no longer owns it.
+    /// Records that the owner of a shard did not reply or no longer owns it.
     pub fn mark_unavailable(&mut self, shard: u8, now: Time) {
         self.unavailable_until[usize::from(shard)] = now + UNAVAILABLE_BACKOFF;
     }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A team's quota is split into a few [`shard`]s, each owned by one daemon under a lease in the key-value
 //! service. A daemon that is about to run a request asks an owner, chosen by [`client`], for [`Credit`]; the
-//! owner takes the units from its bucket before it answers. A lost message loses credit and never creates it.
-//! Credit is dated by the time it was requested and soon expires, so a long-delayed answer or one from a former
+//! owner takes the units from its bucket before it replies. A lost message loses credit and never creates it.
+//! Credit is dated by the time it was requested and soon expires, so a long-delayed reply or one from a former
 //! owner has no effect. A new owner's bucket starts empty, since it cannot know what the former owner granted.
 //! [`terms`] computes how much each shard may hold so that the sum stays within the quota in every window.
 
--- a/crates/core/src/quota/shard.rs
+++ b/crates/core/src/quota/shard.rs
@@ -11,7 +11,7 @@
 /// Number of buckets above which full ones are dropped.
 const MIN_PRUNE_SIZE: usize = 1_024;
 
-/// Result of a request for credit.
+/// What an owner decides on a request for credit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CreditDecision {
     /// The units were taken.
--- a/crates/core/src/quota/terms.rs
+++ b/crates/core/src/quota/terms.rs
@@ -13,7 +13,7 @@
 /// Minimum depth of a shard in tokens, if there are several, so that long prompts are not refused for their
 /// size alone.
 const MIN_SHARD_TOKENS: f64 = 32_768.0;
-/// Minimum share of the burst that the buckets hold; the rate is lowered if the tolerance leaves less.
+/// Minimum share of the burst that the buckets hold; the rate is lowered if the tolerance leaves less room for them.
 const MIN_BURST_SHARE: f64 = 0.5;
 
 /// Maximum clock drift between two daemons, relative to the length of a time span.
