--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,8 +1,8 @@
 //! At-most-once execution by idempotency key.
 //!
 //! Before a request that must not be repeated is sent, its key is claimed by a compare-and-swap that creates a
-//! record. A later request that finds a record does not run: it gets the recorded result, or the information
-//! that the outcome is unknown.
+//! record. A later request that finds a record does not run: it gets the recorded result, or an error if the
+//! result is not known.
 
 use serde::{Deserialize, Serialize};
 
@@ -26,11 +26,11 @@
 pub struct RecordedResult {
     /// Outcome of the request.
     pub outcome: Outcome,
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Media type of the answer.
+    /// Media type of the response.
     pub content_type: String,
-    /// Body of the answer; `None` if it was too large to record.
+    /// Body of the response; `None` if it was too large to record.
     pub body: Option<String>,
 }
 
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -59,12 +59,12 @@
 const RETRY_BURST: f64 = 50.0;
 /// Retries per second that the bucket regains when no new requests arrive.
 const MIN_RETRY_RATE: f64 = 1.0;
-/// Lower bound of this daemon's share of a pool, in endpoints.
+/// Minimum share of a pool that this daemon assumes to have, in endpoints.
 const MIN_ENDPOINT_SHARE: f64 = 0.1;
 /// Minimum wait that a refused caller is given.
 const MIN_RETRY_AFTER: Span = Span::millis(200);
 
-/// Reason why a request was refused before it was sent.
+/// Reason why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
@@ -112,7 +112,7 @@
     },
 }
 
-/// What happens to a request after an attempt has ended.
+/// Whether a request is tried again after an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     /// The request is finished with this outcome.
@@ -447,7 +447,7 @@
         RetryDecision::Retry
     }
 
-    /// Removes a request because its caller left or the driver gives it up.
+    /// Removes a request because its caller disconnected or the driver abandons it.
     pub fn cancel(&mut self, key: RequestKey, now: Time) {
         let Some(request) = self.requests.remove(key) else { return };
         match request.stage {
@@ -460,7 +460,7 @@
     }
 
     fn may_retry(&mut self, end: AttemptEnd, now: Time) -> bool {
-        // Refusals and planned moves put no load on the endpoint and are not faults, so they use no retry
+        // Rejections and planned moves put no load on the endpoint and are not faults, so they use no retry
         // budget.
         let free = matches!(end, AttemptEnd::NotRun | AttemptEnd::Cancelled);
         free || self.retries.take(1.0, now)
@@ -522,8 +522,8 @@
                 Err(candidates) if request.spec.deadline.is_past(now) => {
                     self.refuse(key, Refusal::TooLate, candidates, now, actions);
                 }
-                // A miss of an urgent request, or of one that needs an adapter or avoids endpoints, says nothing
-                // about the others. Any other miss means that the pool is full.
+                // That an urgent request, or one that needs an adapter or avoids endpoints, finds no endpoint says
+                // nothing about the requests behind it. If any other request finds none, the pool is full.
                 Err(_) if urgent || request.spec.adapter != 0 || !request.avoided.is_empty() => {}
                 Err(_) => break,
             }
--- a/crates/core/src/dispatch/shed.rs
+++ b/crates/core/src/dispatch/shed.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Seconds of work on one engine with a full batch.
+    /// Seconds of work that the request adds to one engine with a full batch.
     fn cost(&self, request: &Request) -> f64 {
         let rates = self.pools[request.spec.pool].rates;
         let slots = f64::from(rates.slots.max(1));
--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -41,8 +41,8 @@
 
     /// Records that the endpoint was unreachable or silent, which ejects it at once.
     ///
-    /// Returns whether this call ejected it. Calls that were in flight at the ejection fail later and carry no
-    /// new information.
+    /// Returns whether this ejects it. Attempts that were in flight at the ejection fail later and carry no new
+    /// information.
     pub fn record_unreachable(&mut self, now: Time) -> bool {
         let ejects = self.ejected_until.is_past(now);
         if ejects {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Ends the probe without a verdict.
+    /// Ends the probe without a result.
     pub const fn end_probe(&mut self) {
         self.probing = false;
     }
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -41,7 +41,7 @@
     Draining,
 }
 
-/// Load as reported by an endpoint.
+/// Load as reported by an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// Prompt tokens queued for prefill.
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -24,10 +24,10 @@
     Whole,
     /// No connection was made, so nothing was sent.
     NotSent,
-    /// The endpoint refused the request and stated that it did not run.
+    /// The endpoint rejected the request and stated that it did not run.
     #[serde(rename = "refused")]
     NotRun,
-    /// The endpoint answered with an error that concerns the request itself.
+    /// The endpoint responded with an error that concerns the request itself; it counts as run.
     #[serde(rename = "rejected")]
     RequestError,
     /// Bytes were sent; nothing else is known.
--- a/crates/core/src/predict.rs
+++ b/crates/core/src/predict.rs
@@ -113,7 +113,7 @@
     endpoint.rates.step += LEARNING_RATE * (observed - endpoint.rates.step);
 }
 
-/// Updates the response time of a plain service from a call that took `took`.
+/// Updates the response time of a plain service from an attempt that took `took`.
 pub fn learn_plain(endpoint: &mut Endpoint, took: crate::time::Span) {
     if endpoint.role == Role::Plain {
         endpoint.rates.step += LEARNING_RATE * (took.as_seconds() - endpoint.rates.step);
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -20,7 +20,7 @@
     Allowed,
 }
 
-/// Weight of one service in a route.
+/// A service of a route and its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceWeight {
     /// Name of the service.
