--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -39,8 +39,8 @@
         self.list_at = self.list_at.max(Some(at));
     }
 
-    /// Records that `reachable` of `listed` entry VMs answer, both including this one; `contact_at` is when the
-    /// last answered question of this daemon was asked.
+    /// Records that `reachable` of `listed` entry VMs answer, both including this one; `contact_at` is when this
+    /// daemon sent the last probe that was answered.
     pub const fn set_reachable(&mut self, reachable: usize, listed: usize, contact_at: Time) {
         self.reachable = reachable;
         self.listed = listed;
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Highest fencing number seen by a receiver of orders or marks.
+/// Highest fencing number seen by a receiver of fenced messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
     highest: u64,
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -117,7 +117,7 @@
     pub probe_period: Span,
     /// Time that a suspect has to refute.
     pub suspicion_timeout: Span,
-    /// Number of members asked for an indirect probe.
+    /// Number of members that are asked to probe a silent member.
     pub indirect_probers: usize,
     /// Maximum number of queued updates in one message.
     pub updates_per_message: usize,
@@ -316,8 +316,8 @@
         }
     }
 
-    /// Returns the suspicion or death of `key` that it must learn of to refute it. It is sent with every probe
-    /// of that member, so that one that was cut off for long can refute its death.
+    /// Returns the update by which `key` is suspected or dead, if it is. It is sent with every probe of that member,
+    /// which must learn of it to refute it, even after being cut off for long.
     #[must_use]
     pub fn update_to_refute(&self, key: MemberKey) -> Option<Update> {
         let row = self.rows.get(key)?;
@@ -353,7 +353,7 @@
         self.refutation
     }
 
-    /// Random live member for an exchange besides the probes.
+    /// Random live member for an exchange in addition to the probes.
     pub fn random_live(&mut self) -> Option<MemberKey> {
         let live: Vec<_> = self.rows.iter().filter(|(_, m)| is_live(m.health)).map(|(k, _)| k).collect();
         (!live.is_empty()).then(|| live[self.rng.random_range(0..live.len())])
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -217,9 +217,9 @@
     let short = served(after, averages.short) - served(counts, averages.short);
     let long = served(after, averages.long) - served(counts, averages.long);
     let gain_rate = match settings.mode {
-        // A shift that the long-term average does not show yet may be temporary, so it counts half. One that
-        // the long-term average contradicts counts less, and not at all if that average loses what the
-        // short-term one gains.
+        // A gain that the long-term average does not show yet may be temporary, so it counts half. If the change
+        // would lose on the long-term average, it counts less, and not at all if it would lose there as much as
+        // it gains on the short-term average.
         PlannerMode::Priced => 0.5_f64.mul_add(short, 0.5 * long.min(short)),
         _ => short,
     };
--- a/crates/core/src/watcher_election.rs
+++ b/crates/core/src/watcher_election.rs
@@ -1,4 +1,4 @@
-//! Election of the daemons of a hall that watch the store on behalf of all.
+//! Election of the daemons of a hall that watch the store on behalf of the hall.
 //!
 //! Each call to the store has a cost, so only two daemons of a hall watch it for changes and the others learn
 //! of the changes from them. Each daemon decides on its own, by its priority among the hall peers that it
