--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -256,13 +256,14 @@
             let step = self.estimate_prefill((key, replica), input);
             let queue_ms = slot_wait_ms(replica, input.long);
             let step = Step { wait_ms: step.wait_ms + queue_ms, long: input.long, ..step };
-            let is_restricted = replica.streams() > 0 || (protect_short && replica.active() > 0);
-            let interferes = replica.streams() > 0 && step.work_ms > SHORT_PREFILL_MS;
+            let is_restricted = replica.long_answers() > 0 || (protect_short && replica.active() > 0);
+            let interferes = replica.long_answers() > 0 && step.work_ms > SHORT_PREFILL_MS;
             let delays = interferes && protect_short && !self.fleet.has_decode_slack(replica, self.now);
             if delays || (is_restricted && step.wait_ms + step.work_ms > max_burst_ms) {
                 return None;
             }
-            let interference_ms = if interferes { f64::from(replica.streams()) * INTERFERENCE_COST_MS } else { 0.0 };
+            let interference_ms =
+                if interferes { f64::from(replica.long_answers()) * INTERFERENCE_COST_MS } else { 0.0 };
             let cost = step.wait_ms
                 + step.work_ms
                 + self.reachability_cost_ms(replica)
@@ -399,7 +400,7 @@
     if long {
         return f64::from((active + 1).saturating_sub(slots)) * LONG_SLOT_WAIT_MS;
     }
-    let short = active.saturating_sub(replica.streams());
+    let short = active.saturating_sub(replica.long_answers());
     let preemption_ms = if active >= slots { PREEMPTION_COST_MS } else { 0.0 };
     preemption_ms + f64::from((short + 1).saturating_sub(slots)) * SLOT_WAIT_MS
 }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -73,14 +73,14 @@
     /// Longest pause between events of a stream that callers accept; `None` if not configured.
     max_pause: Option<Span>,
     /// Requirements on long answers; `None` until one was requested.
-    long_answers: Option<LongAnswers>,
+    long_answer_limits: Option<LongAnswerLimits>,
     demand_meter: DemandMeter,
     large_prompts: LargePromptFairness,
 }
 
 /// What callers require of a service's long answers.
 #[derive(Clone, Copy, Debug)]
-struct LongAnswers {
+struct LongAnswerLimits {
     /// Time limit of the most recently requested long answer.
     time_limit: Span,
     /// Token limit of that answer.
@@ -98,7 +98,7 @@
             retry_budget: RetryBudget::default(),
             kv_capacity_tokens: DEFAULT_KV_CAPACITY,
             max_pause: None,
-            long_answers: None,
+            long_answer_limits: None,
             demand_meter: DemandMeter::default(),
             large_prompts: LargePromptFairness::default(),
         }
@@ -138,7 +138,7 @@
     /// Whether the replica had no other prompt to prefill.
     pub had_no_prefill: bool,
     /// Number of other long answers known to be on the replica.
-    pub other_streams: u32,
+    pub other_long_answers: u32,
     /// Token limit of the answer.
     pub max_output: u32,
     /// Number of tokens in the answer as estimated by the caller.
@@ -253,7 +253,7 @@
             return;
         };
         let state = self.services.entry(Arc::clone(&replica.facts.service)).or_default();
-        let long = state.long_answers.filter(|_| sent.load.streams > 0);
+        let long = state.long_answer_limits.filter(|_| sent.load.long_answers > 0);
         if long.is_none_or(|long| long.lengths_known_from.is_past(now)) {
             state.engine.answer_pace.learn_finished(stream.total, sent.max_output);
         }
@@ -271,8 +271,8 @@
         };
         let engine = &mut self.services.entry(Arc::clone(&replica.facts.service)).or_default().engine;
         // Until the pace is known, long answers cannot be distinguished from short ones.
-        if sent.load.streams > 0 || !engine.answer_pace.is_known() {
-            let slowness = engine.answer_pace.learn(interval, replica.streams(), replica.answer_slowness.value());
+        if sent.load.long_answers > 0 || !engine.answer_pace.is_known() {
+            let slowness = engine.answer_pace.learn(interval, replica.long_answers(), replica.answer_slowness.value());
             replica.learn_answer_slowness(slowness);
             engine.answer_pace.learn_ongoing(part.total, sent.max_output);
         }
@@ -289,9 +289,11 @@
     ) {
         let state = self.service_mut(service);
         if plan.is_long() && !req.was_refused {
-            let lengths_known_from = state.long_answers.map_or(now + req.time_left, |long| long.lengths_known_from);
+            let lengths_known_from =
+                state.long_answer_limits.map_or(now + req.time_left, |long| long.lengths_known_from);
             let max_output = req.prompt.map_or(0, |prompt| prompt.max_output);
-            state.long_answers = Some(LongAnswers { time_limit: req.time_left, max_output, lengths_known_from });
+            state.long_answer_limits =
+                Some(LongAnswerLimits { time_limit: req.time_left, max_output, lengths_known_from });
         }
         if let Some(prompt) = req.prompt.filter(|_| !plan.is_long()) {
             state.large_prompts.record(prompt.tokens, req.was_refused, admitted);
@@ -323,14 +325,14 @@
             return None;
         }
         let had_no_prefill = replica.own_load.prefill_ms + replica.peer_load.prefill_ms <= 0.0;
-        let other_streams = replica.streams();
+        let other_long_answers = replica.long_answers();
         let max_output = prompt.map_or(0, |prompt| prompt.max_output);
         let output_hint = prompt.and_then(|prompt| prompt.output_hint);
         let load = Load {
             prefill_ms: step.work_ms,
             late_ms: if step.late { step.work_ms } else { 0.0 },
             active: 1,
-            streams: u32::from(step.long),
+            long_answers: u32::from(step.long),
         };
         replica.own_load = replica.own_load.plus(load);
         replica.health.record_sent();
@@ -351,7 +353,7 @@
             expected_ms,
             link_time,
             had_no_prefill,
-            other_streams,
+            other_long_answers,
             max_output,
             output_hint,
             sent_at: now,
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -34,14 +34,14 @@
     /// While the pace is not known, engines are filled one after the other.
     pub(super) fn cost_ms(&self, replica: &Replica) -> f64 {
         let slots = f64::from(replica.facts.slots) * self.packed_share;
-        let streams = f64::from(replica.streams());
-        let excess = ((streams - slots) / slots).max(0.0);
+        let long_answers = f64::from(replica.long_answers());
+        let excess = ((long_answers - slots) / slots).max(0.0);
         let Some(pace) = self.pace else {
-            return PACKING_MS * if streams < slots { 1.0 - streams / slots } else { 1.0 + excess };
+            return PACKING_MS * if long_answers < slots { 1.0 - long_answers / slots } else { 1.0 + excess };
         };
-        let interval_ms = replica.interval_ms(pace, replica.streams() + 1);
+        let interval_ms = replica.interval_ms(pace, replica.long_answers() + 1);
         let lateness = interval_ms / self.max_interval_ms - 1.0;
-        if streams >= slots || lateness > 0.0 {
+        if long_answers >= slots || lateness > 0.0 {
             return PACKING_MS * (1.0 + excess + lateness.max(0.0) * LATENESS_WEIGHT);
         }
         let slowest_ms = pace.interval_ms(slots);
@@ -62,7 +62,7 @@
             return Some(without_pace);
         };
         let pace = &state.engine.answer_pace;
-        let lengths_known = state.long_answers.is_some_and(|long| long.lengths_known_from.is_past(now));
+        let lengths_known = state.long_answer_limits.is_some_and(|long| long.lengths_known_from.is_past(now));
         let likely_events = req.prompt.and_then(|prompt| pace.likely_max_events(prompt, lengths_known));
         let max_interval_ms = match likely_events {
             Some(events) => (req.time_left.as_millis_f64() * self.policy.answer_share / events)
@@ -83,7 +83,7 @@
     /// long; `None` while their pace or lengths are not known.
     pub(super) fn max_answers(&self, state: &ServiceState, now: Time) -> Option<f64> {
         let pace = &state.engine.answer_pace;
-        let long = state.long_answers.filter(|_| pace.is_known())?;
+        let long = state.long_answer_limits.filter(|_| pace.is_known())?;
         let events = pace.max_events(long.max_output, long.lengths_known_from.is_past(now))?;
         let in_time_ms = long.time_limit.as_millis_f64() * self.policy.answer_share / events;
         Some(pace.max_answers(in_time_ms.min(Self::max_steady_interval_ms(state))))
@@ -97,13 +97,13 @@
             return true;
         };
         let pace = &state.engine.answer_pace;
-        let (Some(long), true) = (state.long_answers, pace.is_known()) else {
+        let (Some(long), true) = (state.long_answer_limits, pace.is_known()) else {
             return true;
         };
         let Some(events) = pace.max_events(long.max_output, long.lengths_known_from.is_past(now)) else {
             return true;
         };
-        replica.interval_ms(pace, replica.streams()) * events
+        replica.interval_ms(pace, replica.long_answers()) * events
             <= long.time_limit.as_millis_f64() * self.policy.answer_share
     }
 }
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -78,7 +78,8 @@
     /// Active requests.
     pub active: u32,
     /// Active requests with long answers.
-    pub streams: u32,
+    #[serde(rename = "streams")]
+    pub long_answers: u32,
     /// Whether the replica could not be reached recently.
     pub unreachable: bool,
 }
@@ -440,7 +441,7 @@
                 prefill_ms: f64::from(load.prefill_ms),
                 late_ms: f64::from(load.late_ms),
                 active: load.active,
-                streams: load.streams,
+                long_answers: load.long_answers,
             };
             if let Some(replica) = self.replicas.get_mut(key) {
                 replica.peer_load = replica.peer_load.plus(replica_load);
@@ -517,7 +518,7 @@
         prefill_ms: load.prefill_ms as u32,
         late_ms: load.late_ms as u32,
         active: load.active,
-        streams: load.streams,
+        long_answers: load.long_answers,
         unreachable,
     }
 }
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -74,7 +74,7 @@
     /// Active requests, including those being prefilled.
     pub active: u32,
     /// Active requests with long answers, which occupy their slots for seconds.
-    pub streams: u32,
+    pub long_answers: u32,
 }
 
 impl Load {
@@ -85,7 +85,7 @@
             prefill_ms: self.prefill_ms + other.prefill_ms,
             late_ms: self.late_ms + other.late_ms,
             active: self.active + other.active,
-            streams: self.streams + other.streams,
+            long_answers: self.long_answers + other.long_answers,
         }
     }
 
@@ -96,7 +96,7 @@
             prefill_ms: (self.prefill_ms - other.prefill_ms).max(0.0),
             late_ms: (self.late_ms - other.late_ms).max(0.0),
             active: self.active.saturating_sub(other.active),
-            streams: self.streams.saturating_sub(other.streams),
+            long_answers: self.long_answers.saturating_sub(other.long_answers),
         }
     }
 }
@@ -227,8 +227,8 @@
 
     /// Known long answers of all daemons.
     #[must_use]
-    pub const fn streams(&self) -> u32 {
-        self.own_load.streams + self.peer_load.streams
+    pub const fn long_answers(&self) -> u32 {
+        self.own_load.long_answers + self.peer_load.long_answers
     }
 
     /// Milliseconds until all known prompts are prefilled.
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -379,7 +379,7 @@
                 && replica.role_change_until.is_past(now)
                 && replica.orders_held_until.is_past(now)
         })
-        .filter(|(_, replica)| replica.streams() == 0)
+        .filter(|(_, replica)| replica.long_answers() == 0)
         .min_by(|a, b| load(a.1).total_cmp(&load(b.1)))
         .map(|(key, _)| *key)
 }
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -118,7 +118,7 @@
         prefill_ms: 10,
         late_ms: 0,
         active,
-        streams: 0,
+        long_answers: 0,
         unreachable: active > 50,
     };
     LoadReport { loads: vec![load], ..LoadReport::default() }
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -63,7 +63,7 @@
 #[test]
 fn reported_load_of_unknown_replicas_is_ignored() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
-    let unknown = ReplicaLoad { replica: 1, prefill_ms: 9, late_ms: 0, active: 9, streams: 0, unreachable: false };
+    let unknown = ReplicaLoad { replica: 1, prefill_ms: 9, late_ms: 0, active: 9, long_answers: 0, unreachable: false };
     fleet.apply_report(report_id(1, 1), &LoadReport { loads: vec![unknown], ..LoadReport::default() }, now());
     fleet.apply_report(report_id(1, 2), &LoadReport::default(), now());
     assert_eq!(fleet.replicas().map(|(_, replica)| replica.active()).sum::<u32>(), 0);
--- a/crates/daemon/src/gateway/ending.rs
+++ b/crates/daemon/src/gateway/ending.rs
@@ -64,7 +64,7 @@
     pub(super) fn start_stream(&mut self, resp: &UpstreamResponse) {
         let relayed = self.stream.as_ref().map_or_else(|| RelayedEvents::new(self.gw.now()), |stream| stream.relayed);
         let replica = Arc::clone(&resp.replica.id);
-        self.stream = Some(StreamStats { replica, beside: resp.in_flight.sent().other_streams, relayed });
+        self.stream = Some(StreamStats { replica, beside: resp.in_flight.sent().other_long_answers, relayed });
     }
 
     /// Records that another event was relayed; returns a part of the stream when enough has arrived to update
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -66,7 +66,7 @@
 
     /// Whether the call is for a long answer, which occupies a slot for seconds.
     pub(super) const fn is_long(&self) -> bool {
-        self.sent.load.streams > 0
+        self.sent.load.long_answers > 0
     }
 
     /// Whether the replica had no other prompt to prefill.
