--- a/crates/core/src/custody.rs
+++ b/crates/core/src/custody.rs
@@ -93,7 +93,7 @@
 
 /// Inputs of [`next_step`] besides the record.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct StepInputs<'a> {
     /// This process.
     pub me: &'a Incarnation,
     /// Fencing number of this process, if it holds the lease now.
@@ -137,16 +137,16 @@
 
 /// Returns the next step for an engine.
 #[must_use]
-pub fn next_step(record: &EngineRecord, view: &View<'_>) -> Step {
-    let Some(epoch) = view.epoch else {
+pub fn next_step(record: &EngineRecord, inputs: &StepInputs<'_>) -> Step {
+    let Some(epoch) = inputs.epoch else {
         return Step::Wait(WaitReason::NoAuthority);
     };
     // A process may be paused between its lease check and this step, and resume with an outdated number.
     if epoch < record.epoch {
         return Step::Wait(WaitReason::NoAuthority);
     }
-    if record.custodian.as_ref() != Some(view.me) {
-        return take_custody(record, view, epoch);
+    if record.custodian.as_ref() != Some(inputs.me) {
+        return take_custody(record, inputs, epoch);
     }
     if record.epoch != epoch {
         // The lease was lost and regained: continue under the new number.
@@ -154,32 +154,32 @@
         record.epoch = epoch;
         return Step::Write(record);
     }
-    match (&record.intent, view.wanted) {
-        (Some(intent), _) => settle_intent(record, intent, view, epoch),
-        (None, Some(wanted)) => write_intent(record, wanted, view, epoch),
+    match (&record.intent, inputs.wanted) {
+        (Some(intent), _) => settle_intent(record, intent, inputs, epoch),
+        (None, Some(wanted)) => write_intent(record, wanted, inputs, epoch),
         (None, None) => Step::Done,
     }
 }
 
-fn take_custody(record: &EngineRecord, view: &View<'_>, epoch: u64) -> Step {
+fn take_custody(record: &EngineRecord, inputs: &StepInputs<'_>, epoch: u64) -> Step {
     let free = record.custodian.is_none();
-    let fenced = view.fencing == Fencing::Checks && epoch > record.epoch;
+    let fenced = inputs.fencing == Fencing::Checks && epoch > record.epoch;
     let mut record = record.clone();
-    if free || fenced || view.custodian_terminated {
-        record.custodian = Some(view.me.clone());
+    if free || fenced || inputs.custodian_terminated {
+        record.custodian = Some(inputs.me.clone());
         record.epoch = epoch;
         record.wanted_by = None;
         return Step::Write(record);
     }
-    if record.wanted_by.as_ref() != Some(view.me) {
-        record.wanted_by = Some(view.me.clone());
+    if record.wanted_by.as_ref() != Some(inputs.me) {
+        record.wanted_by = Some(inputs.me.clone());
         return Step::Write(record);
     }
     Step::Wait(WaitReason::FormerCustodian)
 }
 
-fn settle_intent(record: &EngineRecord, intent: &Order, view: &View<'_>, epoch: u64) -> Step {
-    let Some(status) = view.status else {
+fn settle_intent(record: &EngineRecord, intent: &Order, inputs: &StepInputs<'_>, epoch: u64) -> Step {
+    let Some(status) = inputs.status else {
         return Step::Wait(WaitReason::NoStatus);
     };
     if status.changing {
@@ -189,17 +189,17 @@
     if taken || status.boot != intent.boot {
         return Step::Write(without_intent(record));
     }
-    if intent.by == *view.me && intent.epoch == epoch {
+    if intent.by == *inputs.me && intent.epoch == epoch {
         return Step::Send(intent.clone());
     }
-    if view.fencing == Fencing::Checks && status.epoch < epoch {
+    if inputs.fencing == Fencing::Checks && status.epoch < epoch {
         // The order of the former holder may still be in flight: the engine must learn the new number first.
         let fence = Order {
             epoch,
             sequence: record.sequence + 1,
             boot: status.boot,
             kind: OrderKind::Fence,
-            by: view.me.clone(),
+            by: inputs.me.clone(),
         };
         return Step::Send(fence);
     }
@@ -215,8 +215,8 @@
     }
 }
 
-fn write_intent(record: &EngineRecord, wanted: &OrderKind, view: &View<'_>, epoch: u64) -> Step {
-    let Some(status) = view.status else {
+fn write_intent(record: &EngineRecord, wanted: &OrderKind, inputs: &StepInputs<'_>, epoch: u64) -> Step {
+    let Some(status) = inputs.status else {
         return Step::Wait(WaitReason::NoStatus);
     };
     if status.changing {
@@ -226,7 +226,7 @@
         return Step::Done;
     }
     let sequence = record.sequence + 1;
-    let intent = Order { epoch, sequence, boot: status.boot, kind: wanted.clone(), by: view.me.clone() };
+    let intent = Order { epoch, sequence, boot: status.boot, kind: wanted.clone(), by: inputs.me.clone() };
     Step::Write(EngineRecord { sequence, intent: Some(intent), ..record.clone() })
 }
 
--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -2,7 +2,7 @@
 //! answers are lost, orders that arrive late, and engines that crash during a change.
 
 use dahliaseam_core::{
-    custody::{EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, next_step, release},
+    custody::{EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, StepInputs, next_step, release},
     endpoint::Role,
     lease::Fence,
     member::Incarnation,
@@ -229,7 +229,7 @@
         let (record, revision) = holder.record.clone().unwrap_or_else(|| (self.record.clone(), self.revision));
         let status = holder.status.clone().unwrap_or_else(|| self.engine.status.clone());
         let custodian_terminated = record.custodian.as_ref().is_some_and(|c| *c != holder.me && self.is_terminated(c));
-        let view = View {
+        let view = StepInputs {
             me: &holder.me,
             epoch: holder.lease_epoch,
             fencing: self.engine.fencing,
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -8,7 +8,7 @@
     kv::{Swap, Swapped},
 };
 use dahliaseam_core::{
-    custody::{self, EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, View, WaitReason},
+    custody::{self, EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, StepInputs, WaitReason},
     time::{Span, Time},
 };
 use dahliaseam_wire::{
@@ -86,7 +86,7 @@
             }
             let Some((record, _)) = &self.record else { return DriveResult::Incomplete };
             let former = record.custodian.as_ref().filter(|c| *c != node.identity.me());
-            let view = View {
+            let view = StepInputs {
                 me: node.identity.me(),
                 epoch: shard.authority(node.now()).map(|a| a.epoch()),
                 fencing: spec.fencing,
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -5,7 +5,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliaseam_core::{
     content::ContentHash,
-    custody::{EngineRecord, EngineStatus, Fencing, OrderKind, View, next_step},
+    custody::{EngineRecord, EngineStatus, Fencing, OrderKind, StepInputs, next_step},
     dispatch::{Dispatcher, Policy, Site},
     endpoint::{EngineLoad, PoolKey, Rates, Role},
     fleet::{
@@ -211,7 +211,7 @@
         loaded: Vec::new(),
     };
     let wanted = OrderKind::Cordon;
-    let view = View {
+    let view = StepInputs {
         me: &me,
         epoch: Some(3),
         fencing: Fencing::Checks,
