--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -66,9 +66,10 @@
 /// Time for which the clearance of a request is kept, so that older reports do not count. If the request was refused,
 /// its clearance is kept for [`RETENTION`]: a daemon that was cut off may still report the refusal.
 const CLEARANCE_RETENTION: Span = Span::millis(60_000);
-/// Time in which the reports of other daemons about a crash arrive, in addition to [`REPORT_DELAY_PER_DAEMON`].
+/// Time in which the reports of other daemons about a crash arrive; [`REPORT_DELAY_PER_DAEMON`] is added for each
+/// daemon.
 const REPORT_DELAY: Span = Span::millis(60);
-/// Added to [`REPORT_DELAY`] for each daemon, since reports reach other halls later than hall peers.
+/// Addition to [`REPORT_DELAY`] for each daemon: reports reach other halls later than hall peers.
 const REPORT_DELAY_PER_DAEMON: Span = Span::millis(1);
 /// Time after which a trial counts as over if its end was not recorded. A request that crashes replicas does so within
 /// a fifth of a second.
--- a/crates/core/src/fleet/policy.rs
+++ b/crates/core/src/fleet/policy.rs
@@ -29,7 +29,7 @@
     /// Longest pause in milliseconds between events of a stream that callers accept, if none is configured.
     pub pause_ms: f64,
     /// Share of the accepted pause, beyond the usual interval, that a single prefill on the same engine may take;
-    /// longer ones go to engines without streams.
+    /// longer ones go to engines without long answers.
     pub pause_share: f64,
     /// Share of a service's engines that prefill before any demand was seen; 0 keeps the roles as they are. Equal
     /// halves cost least whichever side the demand turns out to be on.
