--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -20,7 +20,7 @@
     time::{Span, Time},
 };
 
-/// Weight of the send time of a request that is sent twice: the second send itself, and what is queued behind it on
+/// Factor on the send time of a request that is sent twice: the second send itself, and what is queued behind it on
 /// the link.
 const RESEND_FACTOR: f64 = 2.0;
 /// Predicted wait in milliseconds for each request beyond an engine's slots.
@@ -52,9 +52,10 @@
 const JITTER_MS_PER_DAEMON: f64 = 0.15;
 /// Upper bound in milliseconds of the random jitter for any number of daemons.
 const MAX_JITTER_MS: f64 = 25.0;
-/// Range in milliseconds of the costs that an isolated request draws for its replicas; larger than all other costs.
-/// Such a request loses the best replica. With a purely random choice two isolated requests would meet on one of
-/// twelve engines just as often, but other daemons would not know which engines were drawn.
+/// Range in milliseconds of the pseudo-random costs, derived from its content hash, by which the replica of an isolated
+/// request is chosen. They exceed all other costs, so such a request does not get the best replica. With a purely random
+/// choice two isolated requests would meet on one of twelve engines just as often, but other daemons would not know
+/// which engines were drawn.
 const ISOLATION_DRAW_MS: f64 = 10_000.0;
 /// Share of its remaining time after which a caller no longer retries.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.33;
@@ -93,14 +94,14 @@
     /// The replicas among the candidates of a request that accept requests from this daemon now.
     fn eligible(&self, req: &RouteRequest<'_>, now: Time) -> Vec<(ReplicaKey, &Replica)> {
         let mut eligible = self.available(req, now);
-        eligible.retain(|(_, replica)| replica.accepts(self.slot_share, now));
+        eligible.retain(|(_, replica)| replica.accepts(self.rate_limit_share, now));
         eligible
     }
 
     /// Shortest time until an available replica accepts a request from this daemon; `None` if none is available.
     fn time_until_accepted(&self, req: &RouteRequest<'_>, now: Time) -> Option<Span> {
         let available = self.available(req, now).into_iter();
-        available.map(|(_, replica)| replica.time_until_accepted(self.slot_share, now)).min()
+        available.map(|(_, replica)| replica.time_until_accepted(self.rate_limit_share, now)).min()
     }
 
     /// The candidates of a request that are available, regardless of their rate limits and retry times.
@@ -172,7 +173,7 @@
         if urgent.predicted_ms() - self.discount_ms(&urgent, prompt) <= in_time_ms {
             return Ok(urgent);
         }
-        // A late answer is worth less, but still something, and it is queued such that it delays no other request.
+        // A late answer is still worth something, and its prompt is queued such that it delays no other request.
         let late = self.engine_plan(&PrefillInput { late: true, ..input }).ok_or_else(|| self.plan_error())?;
         let left = self.req.first_event_left.min(self.req.time_left);
         let late = self.with_urgent_delay(late);
@@ -255,13 +256,14 @@
             let step = self.estimate_prefill((key, replica), input);
             let queue_ms = slot_wait_ms(replica, input.long);
             let step = Step { wait_ms: step.wait_ms + queue_ms, long: input.long, ..step };
-            let is_restricted = replica.streams() > 0 || (protect_short && replica.active() > 0);
-            let interferes = replica.streams() > 0 && step.work_ms > SHORT_PREFILL_MS;
+            let is_restricted = replica.long_answers() > 0 || (protect_short && replica.active() > 0);
+            let interferes = replica.long_answers() > 0 && step.work_ms > SHORT_PREFILL_MS;
             let delays = interferes && protect_short && !self.fleet.has_decode_slack(replica, self.now);
             if delays || (is_restricted && step.wait_ms + step.work_ms > max_burst_ms) {
                 return None;
             }
-            let interference_ms = if interferes { f64::from(replica.streams()) * INTERFERENCE_COST_MS } else { 0.0 };
+            let interference_ms =
+                if interferes { f64::from(replica.long_answers()) * INTERFERENCE_COST_MS } else { 0.0 };
             let cost = step.wait_ms
                 + step.work_ms
                 + self.reachability_cost_ms(replica)
@@ -361,7 +363,8 @@
         self.jitter_ms * unit_fraction(rendezvous(self.req.draw, key.data().as_ffi()))
     }
 
-    /// The cost that distinguishes otherwise equal replicas: random jitter, or the draw of an isolated request.
+    /// The cost that distinguishes otherwise equal replicas: random jitter, or the pseudo-random cost of an isolated
+    /// request.
     fn tie_break_ms(&self, key: ReplicaKey) -> f64 {
         let Some(Isolation { content, .. }) = self.req.isolation else {
             return self.jitter_ms(key);
@@ -397,7 +400,7 @@
     if long {
         return f64::from((active + 1).saturating_sub(slots)) * LONG_SLOT_WAIT_MS;
     }
-    let short = active.saturating_sub(replica.streams());
+    let short = active.saturating_sub(replica.long_answers());
     let preemption_ms = if active >= slots { PREEMPTION_COST_MS } else { 0.0 };
     preemption_ms + f64::from((short + 1).saturating_sub(slots)) * SLOT_WAIT_MS
 }
--- a/crates/core/src/fleet/endings/mod.rs
+++ b/crates/core/src/fleet/endings/mod.rs
@@ -47,8 +47,8 @@
 /// them may have been refused wrongly and hide this one.
 const EXPLAINED_CRASH_DIVISOR: usize = 3;
 /// Crashes after which a request is refused in an ambiguous case too: its trials have crashed replicas as well. With
-/// four, one in fourteen of the innocent requests that had lost three engines was refused, with five one in seventy
-/// (emulation of five full engines and callers that retry at once).
+/// four, one in fourteen of the innocent requests that had lost three engines was refused, with five one in seventy,
+/// on five full engines with callers that retry at once.
 const CRASHES_TO_REFUSE_AMBIGUOUS: usize = 5;
 /// Crashes after which a daemon that is cut off from all others refuses a request: it knows only part of the crashes.
 const CRASHES_TO_REFUSE_CUT_OFF: usize = 2;
@@ -56,22 +56,23 @@
 const CRASHES_TO_ISOLATE: usize = 2;
 /// Time for which a record is kept after the last report of it, and for which a request is refused.
 ///
-/// It is longer than callers retry on their own. An operator can lift a wrong refusal before it expires.
+/// It is longer than callers keep retrying on their own. An operator can lift a wrong refusal before it expires.
 pub const RETENTION: Span = Span::millis(600_000);
 /// Period of a first refusal if other replicas crashed at about the same time, so that the request may merely have run
-/// beside the one at fault: as long as a caller may think that it was never answered.
+/// beside the one at fault. It lasts only as long as a caller may believe that it merely received no answer.
 const SHORT_REFUSAL: Span = Span::millis(60_000);
 /// Maximum number of times that the refusal period doubles when a request is refused again.
 const MAX_DOUBLINGS: u32 = 6;
 /// Time for which the clearance of a request is kept, so that older reports do not count. If the request was refused,
 /// its clearance is kept for [`RETENTION`]: a daemon that was cut off may still report the refusal.
 const CLEARANCE_RETENTION: Span = Span::millis(60_000);
-/// Time in which the reports of other daemons about a crash arrive, not counting [`REPORT_DELAY_PER_DAEMON`].
+/// Time in which the reports of other daemons about a crash arrive; [`REPORT_DELAY_PER_DAEMON`] is added for each
+/// daemon.
 const REPORT_DELAY: Span = Span::millis(60);
-/// Added to [`REPORT_DELAY`] for each daemon: reports reach hall peers sooner than other halls.
+/// Addition to [`REPORT_DELAY`] for each daemon: reports reach other halls later than hall peers.
 const REPORT_DELAY_PER_DAEMON: Span = Span::millis(1);
-/// Time after which a trial counts as over if its end was not recorded: replicas crash within a fifth of a second
-/// during such a request.
+/// Time after which a trial counts as over if its end was not recorded. A request that crashes replicas does so within
+/// a fifth of a second.
 const TRIAL_TIMEOUT: Span = Span::millis(2_000);
 /// A case is ambiguous if other replicas crashed at about the same time without an explanation, at least one for every
 /// this many crashes of the request.
@@ -83,7 +84,7 @@
 
 /// How to treat a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Treatment {
     /// Like any other request.
     Clear,
     /// Replicas crashed during it: it is isolated from other suspects.
@@ -97,7 +98,7 @@
 /// Why a request is suspected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Replicas that crashed during it, by the hash of their start, and the time since each crash.
+    /// Replicas that crashed during it, by `start_id`, and the time since each crash.
     pub crashes: Vec<(u32, Span)>,
     /// Time for which the suspicion still counts.
     pub time_left: Span,
@@ -140,8 +141,8 @@
 }
 
 impl CrashTracker {
-    /// Records that a replica crashed while it was running a request; returns the number of unexplained crashes of the
-    /// request.
+    /// Records that a replica crashed while it was running a request; returns how many crashes of the request no
+    /// unambiguously refused request explains.
     pub fn record_crash(&mut self, content: ContentHash, start_id: u32, at: Time) -> usize {
         if let Some(answered) = self.answers.last_answer(content, at) {
             let record = self.record_mut(content, at);
@@ -216,41 +217,41 @@
         }
     }
 
-    /// Decides how to treat a request, in a deployment of `daemons` daemons; `cut_off` tells whether this one receives
-    /// no reports from its peers.
-    pub fn verdict(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Verdict {
+    /// Decides how to treat a request in a deployment of `daemons` daemons; `cut_off` tells whether this one receives no
+    /// reports from its peers.
+    pub fn treatment(&mut self, content: ContentHash, daemons: usize, cut_off: bool, now: Time) -> Treatment {
         let Some(record) = self.records.get(&content) else {
-            return Verdict::Clear;
+            return Treatment::Clear;
         };
         if record.refused.is_none() && self.evidence(record) >= CRASHES_TO_REFUSE {
             let settled_at = record.last_crash() + REPORT_DELAY + Span(REPORT_DELAY_PER_DAEMON.0 * daemons as u64);
             if !settled_at.is_past(now) {
-                return Verdict::Pending(settled_at);
+                return Treatment::Pending(settled_at);
             }
             self.refuse_culprits(now);
         }
         let Some(record) = self.records.get(&content) else {
-            return Verdict::Clear;
+            return Treatment::Clear;
         };
         if let Some(refused) = record.refused {
-            return Verdict::Refused(refused);
+            return Treatment::Refused(refused);
         }
         let evidence = self.evidence(record);
         let temporary =
             Refused { crashes: evidence as u32, since: now, until: now, unambiguous: false, known_by: KnownBy::Own };
         if cut_off && evidence >= CRASHES_TO_REFUSE_CUT_OFF {
-            return Verdict::Refused(temporary);
+            return Treatment::Refused(temporary);
         }
         if evidence >= CRASHES_TO_REFUSE && !record.trial_until.is_past(now) {
-            return Verdict::Refused(temporary);
+            return Treatment::Refused(temporary);
         }
         if evidence < CRASHES_TO_ISOLATE {
-            return Verdict::Clear;
+            return Treatment::Clear;
         }
         // Each replica that the request reaches may crash. From the third crash on, or after an expired refusal, it
         // therefore reaches only one.
         let single_replica = evidence >= CRASHES_TO_REFUSE || record.expired_refusals > 0;
-        Verdict::Isolated(Isolation { content, single_replica })
+        Treatment::Isolated(Isolation { content, single_replica })
     }
 
     /// Records the start of a trial: a run that shows whether a request is at fault.
@@ -331,7 +332,7 @@
     fn refuse_culprits(&mut self, now: Time) {
         while let Some((evidence, content, grounds)) = self.next_to_refuse() {
             if let Some(record) = self.records.get_mut(&content) {
-                let known_by = if record.observed_here { KnownBy::Own } else { KnownBy::Told };
+                let known_by = if record.observed_here { KnownBy::Own } else { KnownBy::PeerReports };
                 let until = now + grounds.refusal_period(record.expired_refusals);
                 let unambiguous = grounds != Grounds::Ambiguous;
                 record.refused = Some(Refused { crashes: evidence as u32, since: now, until, unambiguous, known_by });
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -22,12 +22,12 @@
         budget::{RetryBudget, RetryBudgetTerms},
         candidates::Candidates,
         distance::HallLatencies,
-        endings::{CrashTracker, Verdict},
+        endings::{CrashTracker, Treatment},
         engine::{EngineModel, hand_over::KvTransfer, read_time::PrefillWork},
         peers::{PeerState, Source},
         plan::{Plan, RouteRequest},
         policy::FleetPolicy,
-        rate_limit::SlotShare,
+        rate_limit::RateLimitShare,
         replica::{Load, Replica, ReplicaFacts, ReplicaKey},
         sizes::LargePromptFairness,
         split::{DemandMeter, RequestDemand},
@@ -73,14 +73,14 @@
     /// Longest pause between events of a stream that callers accept; `None` if not configured.
     max_pause: Option<Span>,
     /// Requirements on long answers; `None` until one was requested.
-    long_answers: Option<LongAnswers>,
+    long_answer_limits: Option<LongAnswerLimits>,
     demand_meter: DemandMeter,
     large_prompts: LargePromptFairness,
 }
 
 /// What callers require of a service's long answers.
 #[derive(Clone, Copy, Debug)]
-struct LongAnswers {
+struct LongAnswerLimits {
     /// Time limit of the most recently requested long answer.
     time_limit: Span,
     /// Token limit of that answer.
@@ -98,7 +98,7 @@
             retry_budget: RetryBudget::default(),
             kv_capacity_tokens: DEFAULT_KV_CAPACITY,
             max_pause: None,
-            long_answers: None,
+            long_answer_limits: None,
             demand_meter: DemandMeter::default(),
             large_prompts: LargePromptFairness::default(),
         }
@@ -125,7 +125,7 @@
 pub struct SentStep {
     /// The replica.
     pub key: ReplicaKey,
-    /// The load that it is counted as.
+    /// The load that it adds to the replica.
     pub load: Load,
     /// The prompt tokens to prefill.
     pub prefill: PrefillWork,
@@ -133,12 +133,12 @@
     pub kv_transfer: Option<KvTransfer>,
     /// Predicted milliseconds until it ends.
     pub expected_ms: f64,
-    /// Time that this VM's link takes to send it.
+    /// Time until this VM's link has sent it.
     pub link_time: Span,
     /// Whether the replica had no other prompt to prefill.
     pub had_no_prefill: bool,
     /// Number of other long answers known to be on the replica.
-    pub other_streams: u32,
+    pub other_long_answers: u32,
     /// Token limit of the answer.
     pub max_output: u32,
     /// Number of tokens in the answer as estimated by the caller.
@@ -194,7 +194,7 @@
     /// Number of daemons that are registered, whether or not their reports arrive.
     registered_daemons: usize,
     /// Determines which rate-limit slots belong to this daemon.
-    slot_share: SlotShare,
+    rate_limit_share: RateLimitShare,
     /// Requests during which replicas crashed.
     pub crashes: CrashTracker,
 }
@@ -230,11 +230,11 @@
 
     /// Sets the zero-based rank of this daemon among the registered ones, and the offset from its clock to the time
     /// of day.
-    pub fn set_slot_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
+    pub fn set_rate_limit_share(&mut self, rank: usize, clock_offset: Span, now: Time) {
         let (daemons, rank) = (self.daemons().max(self.registered_daemons) as u64, rank as u64);
-        let changed = (daemons, rank) != (self.slot_share.daemons, self.slot_share.rank);
-        let changed_at = if changed { now + clock_offset } else { self.slot_share.changed_at };
-        self.slot_share = SlotShare { daemons, rank, clock_offset, changed_at };
+        let changed = (daemons, rank) != (self.rate_limit_share.daemons, self.rate_limit_share.rank);
+        let changed_at = if changed { now + clock_offset } else { self.rate_limit_share.changed_at };
+        self.rate_limit_share = RateLimitShare { daemons, rank, clock_offset, changed_at };
     }
 
     /// Sets the configured KV cache capacity of a service's engines, in tokens.
@@ -247,13 +247,13 @@
         self.service_mut(service).max_pause = pause;
     }
 
-    /// Learns from a stream that was relayed to its end.
+    /// Learns from a stream that was relayed up to its end.
     pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
         };
         let state = self.services.entry(Arc::clone(&replica.facts.service)).or_default();
-        let long = state.long_answers.filter(|_| sent.load.streams > 0);
+        let long = state.long_answer_limits.filter(|_| sent.load.long_answers > 0);
         if long.is_none_or(|long| long.lengths_known_from.is_past(now)) {
             state.engine.answer_pace.learn_finished(stream.total, sent.max_output);
         }
@@ -271,8 +271,8 @@
         };
         let engine = &mut self.services.entry(Arc::clone(&replica.facts.service)).or_default().engine;
         // Until the pace is known, long answers cannot be distinguished from short ones.
-        if sent.load.streams > 0 || !engine.answer_pace.is_known() {
-            let slowness = engine.answer_pace.learn(interval, replica.streams(), replica.answer_slowness.value());
+        if sent.load.long_answers > 0 || !engine.answer_pace.is_known() {
+            let slowness = engine.answer_pace.learn(interval, replica.long_answers(), replica.answer_slowness.value());
             replica.learn_answer_slowness(slowness);
             engine.answer_pace.learn_ongoing(part.total, sent.max_output);
         }
@@ -289,9 +289,11 @@
     ) {
         let state = self.service_mut(service);
         if plan.is_long() && !req.was_refused {
-            let lengths_known_from = state.long_answers.map_or(now + req.time_left, |long| long.lengths_known_from);
+            let lengths_known_from =
+                state.long_answer_limits.map_or(now + req.time_left, |long| long.lengths_known_from);
             let max_output = req.prompt.map_or(0, |prompt| prompt.max_output);
-            state.long_answers = Some(LongAnswers { time_limit: req.time_left, max_output, lengths_known_from });
+            state.long_answer_limits =
+                Some(LongAnswerLimits { time_limit: req.time_left, max_output, lengths_known_from });
         }
         if let Some(prompt) = req.prompt.filter(|_| !plan.is_long()) {
             state.large_prompts.record(prompt.tokens, req.was_refused, admitted);
@@ -310,7 +312,7 @@
 
     /// Records that a step starts on a replica; `prompt` is the prompt to prefill. Returns `None` if the replica is
     /// gone or its rate limit or retry time does not let this daemon send now.
-    pub fn begin(
+    pub fn begin_step(
         &mut self,
         key: ReplicaKey,
         step: &plan::Step,
@@ -318,18 +320,19 @@
         now: Time,
     ) -> Option<SentStep> {
         let replica = self.replicas.get_mut(key)?;
-        if !replica.retry_at.is_past(now) || !replica.rate_limit.take_slot(replica.start_id, self.slot_share, now) {
+        if !replica.retry_at.is_past(now) || !replica.rate_limit.take_slot(replica.start_id, self.rate_limit_share, now)
+        {
             return None;
         }
         let had_no_prefill = replica.own_load.prefill_ms + replica.peer_load.prefill_ms <= 0.0;
-        let other_streams = replica.streams();
+        let other_long_answers = replica.long_answers();
         let max_output = prompt.map_or(0, |prompt| prompt.max_output);
         let output_hint = prompt.and_then(|prompt| prompt.output_hint);
         let load = Load {
             prefill_ms: step.work_ms,
             late_ms: if step.late { step.work_ms } else { 0.0 },
             active: 1,
-            streams: u32::from(step.long),
+            long_answers: u32::from(step.long),
         };
         replica.own_load = replica.own_load.plus(load);
         replica.health.record_sent();
@@ -350,14 +353,14 @@
             expected_ms,
             link_time,
             had_no_prefill,
-            other_streams,
+            other_long_answers,
             max_output,
             output_hint,
             sent_at: now,
         })
     }
 
-    /// Records that the prefill has ended while the request continues; removes it from the load of `sent`.
+    /// Records that the prefill has ended while the request continues; removes its load from the replica and from `sent`.
     pub fn prefill_ended(&mut self, sent: &mut SentStep, end: StepEnd, now: Time) {
         let prefill = Load { prefill_ms: sent.load.prefill_ms, late_ms: sent.load.late_ms, ..Load::default() };
         if let Some(replica) = self.replicas.get_mut(sent.key) {
@@ -370,7 +373,7 @@
     }
 
     /// Records that a step on a replica has ended; returns whether this ejects the replica.
-    pub fn end(&mut self, sent: &SentStep, end: StepEnd, now: Time) -> bool {
+    pub fn end_step(&mut self, sent: &SentStep, end: StepEnd, now: Time) -> bool {
         let Some(replica) = self.replicas.get_mut(sent.key) else {
             return false;
         };
@@ -399,7 +402,7 @@
     /// Records that nothing listens at the address of this start of a replica; returns whether this ejects the
     /// replica.
     ///
-    /// Other requests and daemons then do not each have to find out by an attempt of their own.
+    /// Spares other requests and daemons an attempt of their own.
     pub fn mark_unreachable(&mut self, facts: &ReplicaFacts, now: Time) -> bool {
         let key = self.key(&facts.id);
         self.reportable.extend(key);
@@ -408,18 +411,18 @@
         replica.is_some_and(|replica| replica.health.record_unreachable(now))
     }
 
-    /// Applies the rate limit, or its absence, from an answer of this start of a replica to a request that was sent
+    /// Applies the rate limit, or its absence, from the response of this start of a replica to a request that was sent
     /// at `sent_at`; returns whether the limit changed.
     pub fn set_rate_limit(&mut self, facts: &ReplicaFacts, limit: Option<f64>, sent_at: Time, now: Time) -> bool {
         let Some(key) = self.key(&facts.id) else {
             return false;
         };
-        let share = self.slot_share;
+        let share = self.rate_limit_share;
         let replica = self.replicas.get_mut(key).filter(|replica| replica.facts.is_same_start(facts));
         let Some(replica) = replica else {
             return false;
         };
-        let changed = replica.rate_limit.update_from_answer(limit, sent_at, share, now);
+        let changed = replica.rate_limit.update_from_response(limit, sent_at, share, now);
         if changed || limit.is_some() {
             self.reportable.insert(key);
         }
@@ -440,7 +443,7 @@
         is_later
     }
 
-    /// Marks a replica as draining because an answer states that it is leaving; returns whether the mark is new.
+    /// Marks a replica as draining because a response states that it is leaving; returns whether the mark is new.
     ///
     /// Has no effect if the replica is unknown or has restarted since it was selected.
     pub fn set_draining(&mut self, facts: &ReplicaFacts) -> bool {
@@ -453,7 +456,7 @@
         is_new
     }
 
-    /// Whether the replica is known to have restarted since.
+    /// Whether the replica is known to have restarted since `facts` were stated.
     #[must_use]
     pub fn is_replaced(&self, facts: &ReplicaFacts) -> bool {
         let replica = self.key(&facts.id).and_then(|key| self.replicas.get(key));
@@ -472,10 +475,10 @@
     }
 
     /// Decides how to treat a request, given the replicas that crashed during it.
-    pub fn verdict(&mut self, content: ContentHash, now: Time) -> Verdict {
+    pub fn treatment(&mut self, content: ContentHash, now: Time) -> Treatment {
         let daemons = self.daemons();
         let is_cut_off = daemons == 1 && self.registered_daemons > 1;
-        self.crashes.verdict(content, daemons, is_cut_off, now)
+        self.crashes.treatment(content, daemons, is_cut_off, now)
     }
 
     /// Adds a new request to the retry budget of a service.
@@ -483,7 +486,7 @@
         self.service_mut(service).retry_budget.record_request(terms, now);
     }
 
-    /// Charges a call that turned out to be a retry only after it was sent.
+    /// Charges an attempt that turned out to be a retry only after it was sent.
     pub fn charge_retry(&mut self, service: &Arc<str>, terms: &RetryBudgetTerms, now: Time) {
         self.service_mut(service).retry_budget.charge(terms, now);
     }
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! Load reports, in which daemons inform each other of the load that they cause.
+//! Load reports, in which daemons inform each other of the load that they put on replicas.
 //!
 //! Each message contains absolute figures, so the next message makes up for a lost one. A small number of daemons all
 //! report to each other. With many daemons, each reports only to its hall peers, and one of them sends a summary of
@@ -68,7 +68,7 @@
 /// The load of a daemon or a hall on one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Milliseconds of prefill.
     #[serde(rename = "reading_ms")]
@@ -78,7 +78,8 @@
     /// Active requests.
     pub active: u32,
     /// Active requests with long answers.
-    pub streams: u32,
+    #[serde(rename = "streams")]
+    pub long_answers: u32,
     /// Whether the replica could not be reached recently.
     pub unreachable: bool,
 }
@@ -105,7 +106,7 @@
 /// An engine whose role is changing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangingEngine {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Whether it becomes a prefill engine, or else a decode engine.
     pub to_prefill: bool,
@@ -146,7 +147,7 @@
 /// A prompt that was sent to a replica, whose KV cache therefore holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptNote {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Prefix hash and number of tokens of each part of the prompt.
     pub parts: Vec<(u64, u32)>,
@@ -291,7 +292,7 @@
         if notes.is_empty() {
             return Vec::new();
         }
-        let share = self.slot_share;
+        let share = self.rate_limit_share;
         let mut changed = Vec::new();
         for note in notes {
             let Some(key) = self.by_start_id.get(&note.replica).copied() else { continue };
@@ -440,7 +441,7 @@
                 prefill_ms: f64::from(load.prefill_ms),
                 late_ms: f64::from(load.late_ms),
                 active: load.active,
-                streams: load.streams,
+                long_answers: load.long_answers,
             };
             if let Some(replica) = self.replicas.get_mut(key) {
                 replica.peer_load = replica.peer_load.plus(replica_load);
@@ -517,7 +518,7 @@
         prefill_ms: load.prefill_ms as u32,
         late_ms: load.late_ms as u32,
         active: load.active,
-        streams: load.streams,
+        long_answers: load.long_answers,
         unreachable,
     }
 }
--- a/crates/core/src/fleet/rate_limit.rs
+++ b/crates/core/src/fleet/rate_limit.rs
@@ -1,11 +1,11 @@
 //! Rate limits of replicas, and their division among the daemons.
 //!
-//! A replica may state in its answers how many requests per second it accepts from all daemons combined. Time is
+//! A replica may state in its responses how many requests per second it accepts from all daemons combined. Time is
 //! divided into that many slots per second, which are assigned to the daemons in rotation. The owner of a slot may send
 //! one request within `SLOT_LIFETIME` of its start. Unused slots expire, so idle daemons cannot accumulate a burst.
 //! Each daemon computes its slots from the time of day, the number of daemons and its own rank, without coordination.
 //!
-//! Daemons report the latest limits from their own answers to each other, with their age; the most recent one applies.
+//! Daemons report the latest limits that replicas stated to them, with their age; the most recent one applies.
 //! Limits learned from a report are not reported again within the hall, so relaying cannot make an old limit look new.
 
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 
 /// Time after the start of a slot during which its owner may use it.
 const SLOT_LIFETIME: Span = Span::millis(500);
-/// Minimum rate at which requests are sent, in requests per second. A limit is lifted only by an answer, so a limit of
+/// Minimum rate at which requests are sent, in requests per second. A limit is lifted only by a response, so a limit of
 /// zero must still let some requests through.
 const MIN_PER_SECOND: f64 = 0.1;
 /// Time for which a lifted limit is reported.
@@ -25,7 +25,7 @@
 
 /// Determines which slots of a rate limit belong to this daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct SlotShare {
+pub(super) struct RateLimitShare {
     /// Number of daemons that share the limits, including this one.
     pub(super) daemons: u64,
     /// Zero-based rank of this daemon among them.
@@ -39,7 +39,7 @@
 /// A replica's rate limit as reported by a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateLimitNote {
-    /// Hash of the replica's start.
+    /// The replica's `start_id`.
     pub replica: u32,
     /// Requests per second, or `None` if the limit was lifted.
     pub per_second: Option<f64>,
@@ -50,10 +50,10 @@
 /// Source of the current state of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Origin {
-    /// No answer or report yet.
+    /// No response or report yet.
     #[default]
     Unknown,
-    /// An answer to this daemon.
+    /// A response to this daemon.
     Own,
     /// A report from another daemon in this hall.
     HallPeer,
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RateLimit {
     per_second: Option<f64>,
-    /// Time at which the limit was last stated, or at which the request was sent whose answer lifted it.
+    /// Time at which the limit was last stated, or at which the request was sent whose response lifted it.
     known_at: Time,
     origin: Origin,
     /// Start of the last used slot, as time of day.
@@ -73,17 +73,17 @@
 }
 
 impl RateLimit {
-    /// Updates the limit from the answer to a request that was sent at `sent_at`; returns whether the limit changed.
-    pub(super) fn update_from_answer(
+    /// Updates the limit from the response to a request that was sent at `sent_at`; returns whether the limit changed.
+    pub(super) fn update_from_response(
         &mut self,
         per_second: Option<f64>,
         sent_at: Time,
-        share: SlotShare,
+        share: RateLimitShare,
         now: Time,
     ) -> bool {
         match per_second {
             Some(_) => self.set(per_second, now, Origin::Own, share, now),
-            // The answer to an earlier request may predate the limit.
+            // The response to an earlier request may predate the limit.
             None if self.per_second.is_some() && sent_at >= self.known_at => {
                 self.set(None, sent_at, Origin::Own, share, now)
             }
@@ -96,7 +96,7 @@
         &mut self,
         note: &RateLimitNote,
         in_hall: bool,
-        share: SlotShare,
+        share: RateLimitShare,
         now: Time,
     ) -> bool {
         let known_at = now - Span::millis(u64::from(note.age_ms));
@@ -108,7 +108,14 @@
         self.set(per_second, known_at, origin, share, now)
     }
 
-    fn set(&mut self, per_second: Option<f64>, known_at: Time, origin: Origin, share: SlotShare, now: Time) -> bool {
+    fn set(
+        &mut self,
+        per_second: Option<f64>,
+        known_at: Time,
+        origin: Origin,
+        share: RateLimitShare,
+        now: Time,
+    ) -> bool {
         if self.per_second.is_none() {
             self.last_slot = now + share.clock_offset;
         }
@@ -142,7 +149,7 @@
     }
 
     /// Takes a slot for one request; returns whether the request may be sent.
-    pub(super) fn take_slot(&mut self, replica: u32, share: SlotShare, now: Time) -> bool {
+    pub(super) fn take_slot(&mut self, replica: u32, share: RateLimitShare, now: Time) -> bool {
         let Some(slot) = self.next_slot(replica, share, now) else {
             return true;
         };
@@ -154,13 +161,13 @@
     }
 
     /// Time until this daemon may send a request; zero if no limit is in force.
-    pub(super) fn time_until_slot(&self, replica: u32, share: SlotShare, now: Time) -> Span {
+    pub(super) fn time_until_slot(&self, replica: u32, share: RateLimitShare, now: Time) -> Span {
         self.next_slot(replica, share, now).map_or(Span(0), |slot| slot.since(now + share.clock_offset))
     }
 
     /// Start of the first slot of this daemon that is neither used nor expired, as time of day; `None` if no limit is
     /// in force.
-    fn next_slot(&self, replica: u32, share: SlotShare, now: Time) -> Option<Time> {
+    fn next_slot(&self, replica: u32, share: RateLimitShare, now: Time) -> Option<Time> {
         let interval = MICROS_PER_SECOND / self.per_second?.max(MIN_PER_SECOND);
         let daemons = share.daemons.max(1);
         // The rotation is offset per replica, so that a daemon's slots at several replicas do not coincide.
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -11,7 +11,7 @@
         cache::PrefixCache,
         distance::HallKey,
         engine::{answer_pace::AnswerPace, running_mean::RunningMean},
-        rate_limit::{RateLimit, SlotShare},
+        rate_limit::{RateLimit, RateLimitShare},
         short_id,
     },
     hash::rendezvous,
@@ -74,7 +74,7 @@
     /// Active requests, including those being prefilled.
     pub active: u32,
     /// Active requests with long answers, which occupy their slots for seconds.
-    pub streams: u32,
+    pub long_answers: u32,
 }
 
 impl Load {
@@ -85,7 +85,7 @@
             prefill_ms: self.prefill_ms + other.prefill_ms,
             late_ms: self.late_ms + other.late_ms,
             active: self.active + other.active,
-            streams: self.streams + other.streams,
+            long_answers: self.long_answers + other.long_answers,
         }
     }
 
@@ -96,7 +96,7 @@
             prefill_ms: (self.prefill_ms - other.prefill_ms).max(0.0),
             late_ms: (self.late_ms - other.late_ms).max(0.0),
             active: self.active.saturating_sub(other.active),
-            streams: self.streams.saturating_sub(other.streams),
+            long_answers: self.long_answers.saturating_sub(other.long_answers),
         }
     }
 }
@@ -185,7 +185,7 @@
     }
 
     /// Copies the slowness, which is a property of the machine, from the replica's previous start.
-    pub(super) const fn inherit_speed(&mut self, previous: &Self) {
+    pub(super) const fn inherit_slowness(&mut self, previous: &Self) {
         self.answer_slowness = previous.answer_slowness;
         self.slowness = previous.slowness;
         self.slowness_at = previous.slowness_at;
@@ -204,12 +204,12 @@
     }
 
     /// Time until both its rate limit and its retry time let this daemon send; zero if they do now.
-    pub(super) fn time_until_accepted(&self, share: SlotShare, now: Time) -> Span {
+    pub(super) fn time_until_accepted(&self, share: RateLimitShare, now: Time) -> Span {
         self.rate_limit.time_until_slot(self.start_id, share, now).max(self.retry_at.since(now))
     }
 
     /// Whether its rate limit and its retry time let this daemon send now.
-    pub(super) fn accepts(&self, share: SlotShare, now: Time) -> bool {
+    pub(super) fn accepts(&self, share: RateLimitShare, now: Time) -> bool {
         self.time_until_accepted(share, now) == Span(0)
     }
 
@@ -227,8 +227,8 @@
 
     /// Known long answers of all daemons.
     #[must_use]
-    pub const fn streams(&self) -> u32 {
-        self.own_load.streams + self.peer_load.streams
+    pub const fn long_answers(&self) -> u32 {
+        self.own_load.long_answers + self.peer_load.long_answers
     }
 
     /// Milliseconds until all known prompts are prefilled.
@@ -261,7 +261,7 @@
         self.answer_slowness.learn(slowness + ANSWER_SLOWNESS_PULL * (1.0 - slowness));
     }
 
-    /// Learns from work that took `took` where `expected_ms` was predicted for a usual replica.
+    /// Learns from work that took `took` where `expected_ms` was predicted.
     pub fn learn_slowness(&mut self, expected_ms: f64, took: Span, now: Time) {
         let observed = took.as_millis_f64() / expected_ms.max(1.0);
         let previous = self.slowness(now);
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -15,15 +15,15 @@
     time::{Span, Time},
 };
 
-/// Averaging period of the demand. Longer than a role change makes an engine unavailable, shorter than most swings of
-/// the mix.
+/// Averaging period of the demand. It is longer than a role change makes an engine unavailable, and shorter than most
+/// swings in the mix of requests.
 const AVERAGING_PERIOD: Span = Span::millis(2_500);
 /// Estimated duration of a short answer before any was observed.
 const INITIAL_SHORT_SECONDS: f64 = 0.5;
 /// Estimated duration of a long answer before any was observed.
 const INITIAL_LONG_SECONDS: f64 = 3.0;
 /// Minimum weight of a new observation of an answer's duration.
-const ANSWER_TIME_WEIGHT: f64 = 0.05;
+const MIN_ANSWER_TIME_WEIGHT: f64 = 0.05;
 /// Minimum number of engines in a service for roles to be changed.
 const MIN_ENGINES: usize = 4;
 /// Minimum number of decode engines: one may be lost at any time.
@@ -39,8 +39,8 @@
 /// lacks engines too.
 const SHORTAGE_FACTOR: f64 = 1.25;
 /// Decode engines, in proportion to the required ones, that must remain when one is taken from them. Answers take
-/// longer the more of them an engine has, so the remaining engines would be required twice over, and full engines
-/// reject prompts that were already prefilled.
+/// longer the more of them an engine has, so the demand on the remaining engines would double, and full engines reject
+/// prompts that were already prefilled.
 const DECODE_MARGIN: f64 = 2.2;
 /// Share of a service's engines by which one side must exceed its balanced number for one to be taken from it
 /// although neither side lacks any.
@@ -116,7 +116,7 @@
         Self {
             started: DecayingSum::default(),
             tokens: DecayingSum::default(),
-            seconds: RunningMean::new(seconds, ANSWER_TIME_WEIGHT),
+            seconds: RunningMean::new(seconds, MIN_ANSWER_TIME_WEIGHT),
         }
     }
 
@@ -254,7 +254,8 @@
         }
         let required = self.required_engines(service, &engines, demand, now)?;
         let min_decode = min_decode(all);
-        // Without prefill engines no larger prompt is served at all, whatever KV cache its answer would need.
+        // Without prefill engines no larger prompt is served at all, so the first ones are taken from decode whatever
+        // KV cache the answers would need.
         let margin = if prefill < MIN_PREFILL { 0.0 } else { DECODE_MARGIN };
         let kept = ((required.decode * margin).ceil() as usize).max(min_decode);
         if required.prefill > prefill as f64 && decode > kept {
@@ -378,7 +379,7 @@
                 && replica.role_change_until.is_past(now)
                 && replica.orders_held_until.is_past(now)
         })
-        .filter(|(_, replica)| replica.streams() == 0)
+        .filter(|(_, replica)| replica.long_answers() == 0)
         .min_by(|a, b| load(a.1).total_cmp(&load(b.1)))
         .map(|(key, _)| *key)
 }
--- a/crates/core/src/quota/client.rs
+++ b/crates/core/src/quota/client.rs
@@ -1,6 +1,6 @@
 //! Selection of the shard owner that a daemon asks for credit.
 //!
-//! Each answer reports the level of the owner's bucket. Until the next answer the bucket holds at most that
+//! Each reply of an owner reports the level of its bucket. Until the next reply the bucket holds at most that
 //! level plus the refill since then. Owners whose bound is below the cost of a request are not asked.
 
 use std::{collections::HashMap, sync::Arc};
@@ -10,7 +10,7 @@
     time::{Span, Time},
 };
 
-/// Time for which an owner that did not answer is not asked again.
+/// Time for which an owner that did not reply is not asked again.
 const UNAVAILABLE_BACKOFF: Span = Span::millis(400);
 /// Number of teams with known levels above which outdated ones are dropped.
 const MAX_TEAMS: usize = 1_024;
@@ -21,7 +21,7 @@
 
 /// Next step towards credit for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum CreditStep {
     /// Ask the owner of this shard.
     Ask(u8),
     /// The quota is used up; contains the time until enough is refilled, or `None` if that never happens.
@@ -30,7 +30,7 @@
     Unavailable,
 }
 
-/// Credit that a request needs of its team's quota.
+/// Credit that a request needs from its team's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct CreditNeed<'a> {
     /// Name of the team.
@@ -71,11 +71,17 @@
 impl QuotaClient {
     /// Returns the next step. `asked` contains the shards already asked for this request; `is_owned` tells
     /// whether a shard has an owner.
-    pub fn next_step(&self, req: &CreditNeed<'_>, asked: &[u8], is_owned: impl Fn(u8) -> bool, now: Time) -> Next {
+    pub fn next_step(
+        &self,
+        req: &CreditNeed<'_>,
+        asked: &[u8],
+        is_owned: impl Fn(u8) -> bool,
+        now: Time,
+    ) -> CreditStep {
         let CreditNeed { team, terms, cost, tie_breaker } = *req;
         let cost = cost as f64;
         if cost > terms.depth {
-            return Next::Denied(None);
+            return CreditStep::Denied(None);
         }
         let shards = terms.shards_of(team);
         let known = self.levels.get(team);
@@ -93,17 +99,17 @@
             levels.then_with(|| rank(*a).cmp(&rank(*b)))
         });
         match (best, insufficient.is_empty()) {
-            (Some(shard), _) => Next::Ask(shard),
-            (None, true) => Next::Unavailable,
+            (Some(shard), _) => CreditStep::Ask(shard),
+            (None, true) => CreditStep::Unavailable,
             (None, false) => {
                 let lack =
                     insufficient.into_iter().map(|shard| (cost - upper_bound(shard)).max(0.0)).min_by(f64::total_cmp);
-                Next::Denied(refill_time(lack.unwrap_or(cost), terms))
+                CreditStep::Denied(refill_time(lack.unwrap_or(cost), terms))
             }
         }
     }
 
-    /// Records the level of an owner's bucket, as reported in an answer.
+    /// Records the level of an owner's bucket, as reported in a reply.
     pub fn record_level(&mut self, team: &str, shard: u8, left: f64, terms: &ShardTerms, now: Time) {
         self.unavailable_until[usize::from(shard)] = Time(0);
         let level = Level { left, at: now, terms: *terms };
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Records that the owner of a shard did not answer or no longer owns it.
+    /// Records that the owner of a shard did not reply or no longer owns it.
     pub fn mark_unavailable(&mut self, shard: u8, now: Time) {
         self.unavailable_until[usize::from(shard)] = now + UNAVAILABLE_BACKOFF;
     }
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -5,9 +5,9 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliaseam_core::{
     content::ContentHash,
-    custody::{EngineRecord, EngineStatus, Fencing, OrderKind, View, next_step},
+    custody::{EngineRecord, EngineStatus, Fencing, OrderKind, StepInputs, next_step},
     dispatch::{Dispatcher, Policy, Site},
-    endpoint::{LoadReport, PoolKey, Rates, Role},
+    endpoint::{EngineLoad, PoolKey, Rates, Role},
     fleet::{
         Fleet, StepEnd,
         endings::{CrashTracker, Recipients},
@@ -20,8 +20,8 @@
     prompt::Prompt,
     quota::{
         Quota, Unit,
-        client::{CreditNeed, Next, QuotaClient},
-        shard::{Answer, Shard},
+        client::{CreditNeed, CreditStep, QuotaClient},
+        shard::{CreditDecision, Shard},
         terms::{ShardTerms, Tolerance},
     },
     request::{KindTraits, RequestSpec},
@@ -38,7 +38,7 @@
     let pool = dispatcher.add_pool(Rates::default());
     for n in 0..endpoints {
         let key = dispatcher.add_endpoint(&format!("engine-{n}"), pool, Role::Mixed);
-        dispatcher.observe(key, LoadReport { running: (n % 20) as u32, ..LoadReport::default() }, NOW);
+        dispatcher.observe(key, EngineLoad { running: (n % 20) as u32, ..EngineLoad::default() }, NOW);
     }
     (dispatcher, pool)
 }
@@ -122,8 +122,8 @@
                 };
                 let Ok(plan) = fleet.choose(&req, now) else { return };
                 let (Plan::Single(step) | Plan::Disaggregated { prefill: step, .. }) = plan;
-                if let Some(sent) = fleet.begin(step.key, &step, Some(&prompt), now) {
-                    fleet.end(&sent, StepEnd::Done, now);
+                if let Some(sent) = fleet.begin_step(step.key, &step, Some(&prompt), now) {
+                    fleet.end_step(&sent, StepEnd::Done, now);
                 }
                 black_box(fleet.own_report(now));
             });
@@ -145,8 +145,8 @@
             let now = NOW + Span::millis(n);
             let terms = ShardTerms::split(&quota, &tolerance);
             let need = CreditNeed { team: "team", terms: &terms, cost: 12_024, tie_breaker: n };
-            let Next::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
-            if let Answer::Granted { left } = owned_shard.take("team", &terms, need.cost, now) {
+            let CreditStep::Ask(shard) = client.next_step(&need, &[], |_| true, now) else { return };
+            if let CreditDecision::Granted { left } = owned_shard.take("team", &terms, need.cost, now) {
                 client.record_level("team", shard, left, &terms, now);
             }
         });
@@ -211,7 +211,7 @@
         loaded: Vec::new(),
     };
     let wanted = OrderKind::Cordon;
-    let view = View {
+    let view = StepInputs {
         me: &me,
         epoch: Some(3),
         fencing: Fencing::Checks,
@@ -239,7 +239,7 @@
                 n += 1;
                 let now = NOW + Span::millis(n);
                 let content = ContentHash::of("POST", "shop.example", &n.to_string(), &body);
-                black_box(tracker.verdict(content, 8, false, now));
+                black_box(tracker.treatment(content, 8, false, now));
                 tracker.record_answer(content, now);
             });
         });
