--- a/crates/border/src/etcd.rs
+++ b/crates/border/src/etcd.rs
@@ -140,7 +140,7 @@
         "key": BASE64.encode(&swap.key),
         "target": "MOD",
         "result": "EQUAL",
-        "mod_revision": swap.expected_revision.to_string(),
+        "mod_revision": swap.required_revision.to_string(),
     })
 }
 
--- a/crates/border/src/kv.rs
+++ b/crates/border/src/kv.rs
@@ -27,8 +27,8 @@
 pub struct Swap {
     /// The key.
     pub key: String,
-    /// Revision that the key must have; zero if it must be absent.
-    pub expected_revision: i64,
+    /// Revision that the key must have for the swap to happen; zero if the key must be absent.
+    pub required_revision: i64,
     /// New value; `None` to delete the key.
     pub value: Option<String>,
     /// Lease to attach the key to, if any; the key is deleted when the lease ends.
--- a/crates/daemon/src/configuration/configure.rs
+++ b/crates/daemon/src/configuration/configure.rs
@@ -177,7 +177,7 @@
         let generation = next.generation;
         let swap = Swap {
             key: key(node),
-            expected_revision: entry.map_or(0, |e| e.revision),
+            required_revision: entry.map_or(0, |e| e.revision),
             value: serde_json::to_string(&next).ok(),
             lease: None,
         };
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -172,7 +172,7 @@
         let Some((_, revision)) = self.record.take() else { return false };
         let swap = Swap {
             key: self.key.clone(),
-            expected_revision: revision,
+            required_revision: revision,
             value: serde_json::to_string(&next).ok(),
             lease: None,
         };
--- a/crates/daemon/src/control/shard.rs
+++ b/crates/daemon/src/control/shard.rs
@@ -113,11 +113,11 @@
         let swaps = vec![
             Swap {
                 key: self.epoch_key.clone(),
-                expected_revision: epoch.map_or(0, |e| e.revision),
+                required_revision: epoch.map_or(0, |e| e.revision),
                 value: Some(new_epoch.to_string()),
                 lease: None,
             },
-            Swap { key: self.holder_key.clone(), expected_revision: 0, value: Some(token.clone()), lease: Some(lease) },
+            Swap { key: self.holder_key.clone(), required_revision: 0, value: Some(token.clone()), lease: Some(lease) },
         ];
         node.metrics.kv_call("stand");
         let acquired = match node.kv.swap_all(swaps).await {
--- a/crates/daemon/src/dispatch/claims.rs
+++ b/crates/daemon/src/dispatch/claims.rs
@@ -208,7 +208,7 @@
 
 async fn swap(node: &Node, key: &str, expect: i64, value: Option<&Claim>) -> Result<Swapped, CallError> {
     let value = value.map(|claim| serde_json::to_string(claim).unwrap_or_default());
-    let swap = Swap { key: key.to_owned(), expected_revision: expect, value, lease: None };
+    let swap = Swap { key: key.to_owned(), required_revision: expect, value, lease: None };
     let (reply, answer) = oneshot::channel();
     let sent = node.claims.tx.send((swap, reply)).await;
     if sent.is_err() {
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -241,7 +241,7 @@
     async fn store(&mut self, gw: &Gateway, next: StoredPools) -> Result<(), CallError> {
         let value = serde_json::to_string(&next).map_err(|e| CallError::NotSent(e.to_string()))?;
         gw.metrics.store_call(StoreCall::Sizes);
-        let swap = Swap { key: key(gw), expected_revision: self.revision, value: Some(value), lease: None };
+        let swap = Swap { key: key(gw), required_revision: self.revision, value: Some(value), lease: None };
         match gw.outside.kv.swap_each(vec![swap]).await?.pop() {
             Some(Swapped::Done(revision)) => {
                 self.revision = revision;
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -185,7 +185,7 @@
     gw.metrics.store_call(StoreCall::Leadership);
     let lease = gw.outside.kv.grant(LEASE_S).await?;
     let swap =
-        Swap { key: key.to_owned(), expected_revision: 0, value: Some(gw.settings.vm.clone()), lease: Some(lease) };
+        Swap { key: key.to_owned(), required_revision: 0, value: Some(gw.settings.vm.clone()), lease: Some(lease) };
     gw.metrics.store_call(StoreCall::Leadership);
     let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() else {
         gw.metrics.store_call(StoreCall::Leadership);
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -337,7 +337,7 @@
     let mut expect = stored.map_or(0, |entry| entry.revision);
     loop {
         let swap =
-            Swap { key: key.to_owned(), expected_revision: expect, value: Some(value.clone()), lease: Some(lease) };
+            Swap { key: key.to_owned(), required_revision: expect, value: Some(value.clone()), lease: Some(lease) };
         gw.metrics.store_call(StoreCall::Register);
         match kv.swap_each(vec![swap]).await?.pop() {
             Some(Swapped::Differs(other)) => expect = other.map_or(0, |entry| entry.revision),
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -145,7 +145,7 @@
     let value = serde_json::to_string(&owner).map_err(|e| CallError::NotSent(e.to_string()))?;
     let swaps = due.iter().map(|(shard, revision)| Swap {
         key: key(gw, *shard),
-        expected_revision: *revision,
+        required_revision: *revision,
         value: Some(value.clone()),
         lease: Some(held.lease),
     });
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -243,7 +243,7 @@
     // Until the response arrives, the stored report is unknown.
     reporter.forget_stored();
     gw.metrics.store_call(StoreCall::Usage);
-    let swap = Swap { key: key(gw), expected_revision: expect, value: Some(value), lease: None };
+    let swap = Swap { key: key(gw), required_revision: expect, value: Some(value), lease: None };
     if let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() {
         let requests: u64 = report.counts.values().sum();
         emit!(info, USAGE_STORED, window, teams = report.counts.len(), requests, revision);
