--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -435,7 +435,7 @@
         let request = &self.requests[key];
         let outcome = combined_outcome(&request.attempt_ends);
         let may_repeat = spec.kind.repeatable || outcome == Outcome::NotRun;
-        let is_finished = matches!(end, AttemptEnd::Whole | AttemptEnd::RequestError)
+        let is_finished = matches!(end, AttemptEnd::Whole | AttemptEnd::Rejected)
             || !may_repeat
             || spec.deadline.is_past(now)
             || request.attempt_number() >= self.policy.max_attempts;
@@ -462,7 +462,7 @@
     fn may_retry(&mut self, end: AttemptEnd, now: Time) -> bool {
         // Rejections and planned moves put no load on the endpoint and are not faults, so they use no retry
         // budget.
-        let free = matches!(end, AttemptEnd::NotRun | AttemptEnd::Cancelled);
+        let free = matches!(end, AttemptEnd::Refused | AttemptEnd::Cancelled);
         free || self.retries.take(1.0, now)
     }
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -16,7 +16,7 @@
     Unknown,
 }
 
-/// How an attempt ended.
+/// How an attempt ended. The variants' names, in snake case, are also those in records and metric labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptEnd {
@@ -24,12 +24,10 @@
     Whole,
     /// No connection was made, so nothing was sent.
     NotSent,
-    /// The endpoint rejected the request and stated that it did not run.
-    #[serde(rename = "refused")]
-    NotRun,
-    /// The endpoint responded with an error that concerns the request itself; it counts as run.
-    #[serde(rename = "rejected")]
-    RequestError,
+    /// The endpoint rejected the request and stated that it did not run it.
+    Refused,
+    /// The endpoint responded with an error about the request itself; the request counts as run.
+    Rejected,
     /// Bytes were sent; nothing else is known.
     Lost,
     /// The stream broke or had a gap after the endpoint had begun to answer.
@@ -44,7 +42,7 @@
     /// Whether the endpoint certainly ran nothing.
     #[must_use]
     pub const fn is_certainly_not_run(self) -> bool {
-        matches!(self, Self::NotSent | Self::NotRun)
+        matches!(self, Self::NotSent | Self::Refused)
     }
 
     /// Whether this counts as a fault of the endpoint.
@@ -58,8 +56,8 @@
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Whole => Outcome::Whole,
-            Self::NotSent | Self::NotRun => Outcome::NotRun,
-            Self::RequestError | Self::Broken => Outcome::Ran,
+            Self::NotSent | Self::Refused => Outcome::NotRun,
+            Self::Rejected | Self::Broken => Outcome::Ran,
             Self::Lost | Self::Stalled | Self::Cancelled => Outcome::Unknown,
         }
     }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -49,10 +49,10 @@
     for (repeatable, end, outcome) in [
         (true, AttemptEnd::Broken, None),
         (false, AttemptEnd::NotSent, None),
-        (false, AttemptEnd::NotRun, None),
+        (false, AttemptEnd::Refused, None),
         (false, AttemptEnd::Lost, Some(Outcome::Unknown)),
         (false, AttemptEnd::Broken, Some(Outcome::Ran)),
-        (true, AttemptEnd::RequestError, Some(Outcome::Ran)),
+        (true, AttemptEnd::Rejected, Some(Outcome::Ran)),
     ] {
         let (mut dispatcher, pool, _) = three_endpoints();
         let key = dispatcher.submit("t", spec(pool, repeatable, START, 9_000), START).expect("the queue has room");
@@ -115,8 +115,8 @@
     let end = prop::sample::select(vec![
         AttemptEnd::Whole,
         AttemptEnd::NotSent,
-        AttemptEnd::NotRun,
-        AttemptEnd::RequestError,
+        AttemptEnd::Refused,
+        AttemptEnd::Rejected,
         AttemptEnd::Lost,
         AttemptEnd::Broken,
         AttemptEnd::Stalled,
--- a/crates/daemon/src/caller/plain.rs
+++ b/crates/daemon/src/caller/plain.rs
@@ -179,7 +179,7 @@
         Err(e) => return (attempt_end(&e), None),
     };
     if is_not_run(&resp) {
-        return (AttemptEnd::NotRun, None);
+        return (AttemptEnd::Refused, None);
     }
     let (parts, body) = resp.into_parts();
     match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
--- a/crates/daemon/src/dispatch/exchange.rs
+++ b/crates/daemon/src/dispatch/exchange.rs
@@ -181,7 +181,7 @@
             RetryDecision::Finished(Outcome::Whole) => AfterAttempt::Answered,
             RetryDecision::Finished(outcome) => {
                 let mut failure = Failure::ended(outcome, &ended.detail);
-                if ended.end == AttemptEnd::RequestError {
+                if ended.end == AttemptEnd::Rejected {
                     failure.status = Some(400);
                     failure.reason = "endpoint_rejected";
                     failure.retry_after_ms = None;
--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -227,9 +227,9 @@
         return Ok(resp);
     }
     let end = if is_not_run(&resp) {
-        AttemptEnd::NotRun
+        AttemptEnd::Refused
     } else if status.is_client_error() {
-        AttemptEnd::RequestError
+        AttemptEnd::Rejected
     } else {
         AttemptEnd::Lost
     };
