--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -74,9 +74,9 @@
     expect![[r#"
         exit 1
         dahliaseam: FILE: not valid
-          endpoints.e.pool: expected the name of an existing pool, not "p"
-          endpoints.e.address: expected an IP address and a port, as in 10.0.0.1:8000
-          teams.t.rate: expected a number of requests per second above 0
+          endpoints.e.pool: expected the name of a pool that exists, not "p"
+          endpoints.e.address: expected an IP number and a port, as in 10.0.0.1:8000
+          teams.t.rate: expected requests a second above 0
     "#]]
     .assert_eq(&out);
 }
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -30,9 +30,12 @@
 }
 
 /// A resource as declared by an operator.
+///
+/// Error responses contain the name of this type, because serde puts it into its error messages:
+/// `expected struct ResourceFile`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ResourceDeclaration {
+pub struct ResourceFile {
     /// Its kind.
     pub kind: ResourceKind,
     /// Its name.
@@ -63,7 +66,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ApplyBody {
     /// The resources.
-    pub resources: Vec<ResourceDeclaration>,
+    pub resources: Vec<ResourceFile>,
 }
 
 /// Response to an accepted change.
--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -47,7 +47,7 @@
     }
 
     fn expect_exists<T>(&mut self, targets: &BTreeMap<String, Versioned<T>>, name: &str, path: String, what: &str) {
-        let expected = format!("the name of an existing {what}, not {name:?}");
+        let expected = format!("the name of a {what} that exists, not {name:?}");
         self.expect(targets.contains_key(name), || path, &expected);
     }
 }
@@ -73,8 +73,8 @@
         let at = |field: &str| format!("pools.{name}.rates.{field}");
         problems.expect(rates.prefill > 0.0, || at("prefill"), "a number above 0");
         problems.expect(rates.step > 0.0, || at("step"), "a number above 0");
-        problems.expect(rates.step_per_seq >= 0.0, || at("step_per_seq"), "a number of at least 0");
-        problems.expect(rates.slots > 0, || at("slots"), "a whole number of at least 1");
+        problems.expect(rates.step_per_seq >= 0.0, || at("step_per_seq"), "a number from 0");
+        problems.expect(rates.slots > 0, || at("slots"), "a whole number from 1");
     }
 }
 
@@ -99,7 +99,7 @@
         problems.expect(weight_ok, || at("weight"), "a number above 0");
         let deadline_ok = (1..=MAX_DEADLINE_MS).contains(&spec.deadline_ms);
         problems.expect(deadline_ok, || at("deadline_ms"), "milliseconds from 1 to 3600000");
-        problems.expect(spec.output_tokens > 0, || at("output_tokens"), "a whole number of at least 1");
+        problems.expect(spec.output_tokens > 0, || at("output_tokens"), "a whole number from 1");
         let key_ok = !(spec.key_required && spec.repeatable);
         problems.expect(key_ok, || at("key_required"), "false for a repeatable kind");
     }
@@ -111,14 +111,14 @@
         let at = |field: &str| format!("endpoints.{name}.{field}");
         problems.expect_exists(&doc.pools, &spec.pool, at("pool"), "pool");
         let address_ok = spec.address.parse::<SocketAddr>().is_ok();
-        problems.expect(address_ok, || at("address"), "an IP address and a port, as in 10.0.0.1:8000");
+        problems.expect(address_ok, || at("address"), "an IP number and a port, as in 10.0.0.1:8000");
         let Some(pool) = doc.pools.get(&spec.pool) else { continue };
         let is_plain = spec.role == dahliaseam_core::endpoint::Role::Plain;
         let role_ok = is_plain == (pool.spec.endpoints == EndpointClass::Plain);
         problems.expect(role_ok, || at("role"), "'plain' in a pool of plain services, and only there");
         for item in &spec.load {
             let known = doc.versions.contains_key(item) || doc.adapters.contains_key(item);
-            problems.expect(known, || at("load"), "names of existing versions or adapters");
+            problems.expect(known, || at("load"), "names of versions or adapters that exist");
         }
     }
 }
@@ -131,15 +131,15 @@
         }
         let planner = role.spec.planner;
         let at = |field: &str| format!("roles.{name}.planner.{field}");
-        problems.expect(planner.price >= 0.0, || at("price"), "a number of at least 0");
+        problems.expect(planner.price >= 0.0, || at("price"), "a number from 0");
         problems.expect(planner.horizon_seconds > 0.0, || at("horizon_seconds"), "a number above 0");
-        problems.expect(planner.change_seconds >= 0.0, || at("change_seconds"), "a number of at least 0");
+        problems.expect(planner.change_seconds >= 0.0, || at("change_seconds"), "a number from 0");
     }
 }
 
 fn check_teams(doc: &Document, problems: &mut Problems) {
     for (name, team) in &doc.teams {
         let ok = team.spec.rate.is_finite() && team.spec.rate > 0.0;
-        problems.expect(ok, || format!("teams.{name}.rate"), "a number of requests per second above 0");
+        problems.expect(ok, || format!("teams.{name}.rate"), "requests a second above 0");
     }
 }
