--- a/proofs/tests/answers.rs
+++ b/proofs/tests/answers.rs
@@ -26,7 +26,7 @@
     }
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("reported as not run", &false_not_run(&history));
+    expect_none("refused requests did not run", &false_not_run(&history));
     let metrics = cluster.metrics(&vm).await;
     (cluster, metrics)
 }
@@ -77,7 +77,7 @@
     let answers = load.finish().await;
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("reported as not run", &false_not_run(&history));
+    expect_none("refused requests did not run", &false_not_run(&history));
     expect_none("protected kinds", &failed_protected(&answers));
     let chats: Vec<_> = answers.iter().filter(|(call, _)| call.tokens > 0).collect();
     let whole = chats.iter().filter(|(_, got)| got.outcome == "whole").count();
--- a/proofs/tests/once.rs
+++ b/proofs/tests/once.rs
@@ -31,7 +31,7 @@
 fn check_history(cluster: &Cluster) {
     let history = cluster.history();
     expect_none("at most once", &repeated_keys(&history));
-    expect_none("reported as not run", &false_not_run(&history));
+    expect_none("refused requests did not run", &false_not_run(&history));
 }
 
 #[tokio::test]
--- a/proofs/tests/planned.rs
+++ b/proofs/tests/planned.rs
@@ -41,7 +41,7 @@
     expect_none("aborted requests", &aborted_requests(&history));
     expect_none("protected kinds", &failed_protected(answers));
     expect_none("exact answers", &wrong_answers(&history));
-    expect_none("reported as not run", &false_not_run(&history));
+    expect_none("refused requests did not run", &false_not_run(&history));
     expect_none("at most once", &repeated_keys(&history));
     expect_none("orders", &conflicting_orders(&history));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
@@ -124,7 +124,7 @@
     expect_none("requests at leaving endpoints", &late_starts(&cluster.history(), &["plain-1", "engine-1"], since));
     // Requests with an idempotency key need the key-value service, which is down, so they are
     // refused as not run.
-    expect_none("reported as not run", &false_not_run(&cluster.history()));
+    expect_none("refused requests did not run", &false_not_run(&cluster.history()));
     let lost: Vec<_> = answers.iter().filter(|(_, got)| got.outcome != "whole" && got.outcome != "not_run").collect();
     assert!(lost.is_empty(), "{lost:?}");
 }
--- a/proofs/tests/whole_path.rs
+++ b/proofs/tests/whole_path.rs
@@ -24,7 +24,7 @@
     let history = cluster.history();
     expect_none("exact answers", &wrong_answers(&history));
     expect_none("at most once", &repeated_keys(&history));
-    expect_none("reported as not run", &false_not_run(&history));
+    expect_none("refused requests did not run", &false_not_run(&history));
 }
 
 #[tokio::test]
