--- a/crates/daemon/src/endpoint/attempt.rs
+++ b/crates/daemon/src/endpoint/attempt.rs
@@ -227,9 +227,9 @@
         return Ok(resp);
     }
     let end = if is_not_run(&resp) {
-        AttemptEnd::NotRun
+        AttemptEnd::Refused
     } else if status.is_client_error() {
-        AttemptEnd::RequestError
+        AttemptEnd::Rejected
     } else {
         AttemptEnd::Lost
     };
@@ -295,11 +295,11 @@
     // Wait for room in the queue first, and count the piece as delivered only together with sending it: the attempt may
     // be stopped at any await, and the next attempt resumes after the last piece that was counted.
     let permit = out.reserve().await.map_err(|_| CallerGone)?;
-    let verdict = assembly.accept(&frame.id, frame.tokens);
-    if verdict == FrameAction::Deliver {
+    let action = assembly.accept(&frame.id, frame.tokens);
+    if action == FrameAction::Deliver {
         permit.send(Piece::Text(text, frame.tokens));
     }
-    Ok(verdict)
+    Ok(action)
 }
 
 fn drop_frame(node: &Node, request: &str, why: &'static str) {
