--- a/crates/daemon/src/bin/dahliaseamd/routes.rs
+++ b/crates/daemon/src/bin/dahliaseamd/routes.rs
@@ -12,7 +12,7 @@
     clock::BootClock,
     emit,
     error::StartError,
-    gateway::controller::{GatewayController, Log, Outside},
+    gateway::controller::{Dependencies, GatewayController, Log},
 };
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -47,14 +47,14 @@
     let settings = GatewaySettings::load(&app.settings)?;
     let log = Log::start(&settings.log)?;
     let store = Arc::new(Store::new(&settings.store_address.to_string()));
-    let outside = Outside {
+    let deps = Dependencies {
         clock: Arc::new(BootClock),
         kv: Arc::clone(&store) as _,
         feed: store,
         dialect: Arc::new(PlatformDialect),
         dropped_lines: Some(log.dropped()),
     };
-    let daemon = GatewayController::start(settings, outside).await?;
+    let daemon = GatewayController::start(settings, deps).await?;
     let mut loaded_version = FileVersion::of(&app.settings);
     loop {
         tokio::select! {
--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -42,11 +42,8 @@
 pub(super) async fn admit(gw: &Gateway, mut head: request::Parts, body: Incoming) -> Result<Admitted, NotAdmitted> {
     let arrived = gw.now();
     mark_keys_sensitive(&mut head);
-    let caller = gw
-        .outside
-        .dialect
-        .decode_caller_request(&head)
-        .map_err(|e| (Refusal::BadHead(e.to_string()), String::new()))?;
+    let caller =
+        gw.deps.dialect.decode_caller_request(&head).map_err(|e| (Refusal::BadHead(e.to_string()), String::new()))?;
     let refused = |refusal| (refusal, caller.id.clone());
     let table = gw.table().ok_or_else(|| refused(Refusal::NoConfiguration))?;
     let (route, service) = find_route(&table, &head, &caller).ok_or_else(|| refused(Refusal::NoRoute))?;
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -253,7 +253,7 @@
             last_event: self.last_event.as_deref(),
             identity: &self.identity,
         };
-        let dialect = &self.gw.outside.dialect;
+        let dialect = &self.gw.deps.dialect;
         let req = dialect.forward(&forward).map_err(|e| {
             emit!(warn, NOT_SENT_ON, request = self.caller.id, why = %e);
             CallFailure::NotTried("the request head cannot be forwarded")
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -85,7 +85,7 @@
     /// Address for size orders, if the platform accepts any.
     pub(super) fn size_address(&self) -> Option<SocketAddr> {
         let duties = self.settings.duties.as_ref()?;
-        self.outside.dialect.accepts_size_orders(&duties.asked).then_some(duties.address)
+        self.deps.dialect.accepts_size_orders(&duties.asked).then_some(duties.address)
     }
 }
 
@@ -130,7 +130,7 @@
 impl Autoscaler {
     async fn read(gw: &Gateway) -> Result<Self, CallError> {
         gw.metrics.store_call(StoreCall::Sizes);
-        let entry = gw.outside.kv.read(&key(gw)).await?;
+        let entry = gw.deps.kv.read(&key(gw)).await?;
         let Some(entry) = entry else {
             return Ok(Self::default());
         };
@@ -242,7 +242,7 @@
         let value = serde_json::to_string(&next).map_err(|e| CallError::NotSent(e.to_string()))?;
         gw.metrics.store_call(StoreCall::Sizes);
         let swap = Swap { key: key(gw), required_revision: self.revision, value: Some(value), lease: None };
-        match gw.outside.kv.swap_each(vec![swap]).await?.pop() {
+        match gw.deps.kv.swap_each(vec![swap]).await?.pop() {
             Some(Swapped::Done(revision)) => {
                 self.revision = revision;
                 self.stored = next;
@@ -296,7 +296,7 @@
     let (service, hall, reclaimable) = key;
     let order = SizeOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
     let holder = lease.holder(&gw.settings.vm);
-    let req = match gw.outside.dialect.order_size(address, &holder, &order) {
+    let req = match gw.deps.dialect.order_size(address, &holder, &order) {
         Ok(req) => req,
         Err(e) => {
             emit!(error, SIZE_NOT_ORDERED, fence = lease.fence(), why = %e);
@@ -305,7 +305,7 @@
     };
     let result = once::call(address, req, leadership::CALL_TIMEOUT).await;
     let status = result.as_ref().map_or(0, |(status, _)| status.as_u16());
-    let answer = result.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
+    let answer = result.as_ref().ok().map(|_| gw.deps.dialect.duty_answer(status));
     emit!(
         info,
         SIZE_ORDERED,
--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -287,7 +287,7 @@
         self.due.insert(change.key.clone(), now + RETRY_INTERVAL);
         gw.metrics.store_call(StoreCall::Refused);
         let swap = Swap { key: change.key, required_revision: change.expect, value: change.value, lease: None };
-        match gw.outside.kv.swap_each(vec![swap]).await.map(|mut swapped| swapped.pop()) {
+        match gw.deps.kv.swap_each(vec![swap]).await.map(|mut swapped| swapped.pop()) {
             Ok(Some(Swapped::Done(_) | Swapped::Differs(_)) | None) => {}
             Err(e) => emit!(info, BLAME_NOT_STORED, why = %e),
         }
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -11,7 +11,7 @@
 };
 use tokio_util::task::TaskTracker;
 
-pub use crate::gateway::{log::Log, state::Outside};
+pub use crate::gateway::{log::Log, state::Dependencies};
 use crate::{
     clock::{duration, wall_millis},
     emit,
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// Why the daemon cannot start.
-    pub async fn start(settings: GatewaySettings, outside: Outside) -> Result<Self, StartError> {
+    pub async fn start(settings: GatewaySettings, deps: Dependencies) -> Result<Self, StartError> {
         settings.check()?;
         let caller_listener = bind("caller_address", settings.caller_address).await?;
         let ready_listener = bind("ready_address", settings.ready_address).await?;
@@ -57,9 +57,9 @@
         let socket = UdpSocket::bind(settings.load_address)
             .await
             .map_err(|e| StartError::Bind("load_address", settings.load_address.to_string(), e))?;
-        let run_id = run_id(&settings, &outside);
-        let metrics = GatewayMetrics::new(outside.dropped_lines.clone())?;
-        let gw = Arc::new(Gateway::new(settings, outside, socket, metrics, run_id));
+        let run_id = run_id(&settings, &deps);
+        let metrics = GatewayMetrics::new(deps.dropped_lines.clone())?;
+        let gw = Arc::new(Gateway::new(settings, deps, socket, metrics, run_id));
         let background = TaskTracker::new();
         background.spawn(store_watch::run(Arc::clone(&gw)));
         background.spawn(peers::run(Arc::clone(&gw)));
@@ -111,8 +111,8 @@
 }
 
 /// Identifier of this run of the daemon, different for each run and VM.
-fn run_id(settings: &GatewaySettings, outside: &Outside) -> u64 {
-    let text = format!("{}{}{:?}", settings.vm, wall_millis(), outside.clock.now());
+fn run_id(settings: &GatewaySettings, deps: &Dependencies) -> u64 {
+    let text = format!("{}{}{:?}", settings.vm, wall_millis(), deps.clock.now());
     dahliaseam_core::hash::bytes(text.as_bytes())
 }
 
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -128,7 +128,7 @@
     }
     gw.leadership.set(None);
     if let Some(HeldLease { lease, .. }) = held_lease
-        && let Err(e) = gw.outside.kv.revoke(lease).await
+        && let Err(e) = gw.deps.kv.revoke(lease).await
     {
         emit!(info, ORDERS_KEPT, why = %e);
     }
@@ -183,13 +183,13 @@
 async fn try_acquire(gw: &Gateway, key: &str) -> Result<Option<HeldLease>, CallError> {
     let sent = gw.now();
     gw.metrics.store_call(StoreCall::Leadership);
-    let lease = gw.outside.kv.grant(LEASE_S).await?;
+    let lease = gw.deps.kv.grant(LEASE_S).await?;
     let swap =
         Swap { key: key.to_owned(), required_revision: 0, value: Some(gw.settings.vm.clone()), lease: Some(lease) };
     gw.metrics.store_call(StoreCall::Leadership);
-    let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() else {
+    let Some(Swapped::Done(revision)) = gw.deps.kv.swap_each(vec![swap]).await?.pop() else {
         gw.metrics.store_call(StoreCall::Leadership);
-        gw.outside.kv.revoke(lease).await?;
+        gw.deps.kv.revoke(lease).await?;
         return Ok(None);
     };
     let ttl = Span::seconds(LEASE_S as f64);
@@ -214,7 +214,7 @@
         return true;
     }
     gw.metrics.store_call(StoreCall::Leadership);
-    match gw.outside.kv.keep_alive(held.lease).await {
+    match gw.deps.kv.keep_alive(held.lease).await {
         Ok(true) => {
             held.leader.authority.renewed(now, ttl);
             held.renew_at = now + Span(ttl.0 / RENEWALS_PER_LEASE);
@@ -233,7 +233,7 @@
     /// valid, no other daemon makes such calls.
     pub(super) async fn confirm_leadership(&self, lease: &LeaderLease) -> Result<(), CallError> {
         self.metrics.store_call(StoreCall::Leadership);
-        let present = self.outside.kv.read(&key(self)).await?;
+        let present = self.deps.kv.read(&key(self)).await?;
         let is_own = present.is_some_and(|entry| entry.revision as u64 == lease.fence());
         let is_current = self.leadership.current(self.now()).is_some_and(|current| current.fence() == lease.fence());
         if is_own && is_current && !self.stop.begun.is_cancelled() {
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -152,20 +152,20 @@
         fence: lease.fence(),
         expected_orders: report.orders,
     };
-    let req = gw.outside.dialect.order_role(replica, &order).map_err(|e| CallError::NotSent(e.to_string()))?;
+    let req = gw.deps.dialect.order_role(replica, &order).map_err(|e| CallError::NotSent(e.to_string()))?;
     gw.confirm_leadership(lease).await?;
     let (status, _) = once::call(replica.address, req, leadership::CALL_TIMEOUT).await?;
-    gw.outside.dialect.order_answer(status.as_u16()).ok_or_else(|| CallError::Lost(format!("status {status}")))
+    gw.deps.dialect.order_answer(status.as_u16()).ok_or_else(|| CallError::Lost(format!("status {status}")))
 }
 
 /// Requests the state of an engine.
 pub(super) async fn fetch_report(gw: &Gateway, replica: &ReplicaFacts) -> Result<EngineReport, CallError> {
-    let req = gw.outside.dialect.ask_report(replica).map_err(|e| CallError::NotSent(e.to_string()))?;
+    let req = gw.deps.dialect.ask_report(replica).map_err(|e| CallError::NotSent(e.to_string()))?;
     let (status, body) = call(gw, replica, req).await?;
     if status != StatusCode::OK {
         return Err(CallError::NotSent(format!("the engine's report has status {status}")));
     }
-    gw.outside.dialect.decode_report(&body).map_err(|e| CallError::NotSent(e.to_string()))
+    gw.deps.dialect.decode_report(&body).map_err(|e| CallError::NotSent(e.to_string()))
 }
 
 async fn call(
--- a/crates/daemon/src/gateway/pages.rs
+++ b/crates/daemon/src/gateway/pages.rs
@@ -24,7 +24,7 @@
 
 /// Readiness endpoint for the load balancer.
 pub(super) fn ready(gw: &Arc<Gateway>) -> Router {
-    let path = gw.outside.dialect.ready_path();
+    let path = gw.deps.dialect.ready_path();
     Router::new().route(path, get(is_ready)).with_state(Arc::clone(gw))
 }
 
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -317,11 +317,11 @@
 
 async fn renew(gw: &Gateway, lease: LeaseId) -> Result<bool, CallError> {
     gw.metrics.store_call(StoreCall::Register);
-    gw.outside.kv.keep_alive(lease).await
+    gw.deps.kv.keep_alive(lease).await
 }
 
 async fn register_once(gw: &Gateway, key: &str, lease: Option<LeaseId>) -> Result<LeaseId, CallError> {
-    let kv = &gw.outside.kv;
+    let kv = &gw.deps.kv;
     let stored = gw.store_cache().daemons.get(key).cloned();
     if let Some(lease) = lease
         && stored.is_some()
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -60,7 +60,7 @@
     }
     lock(&gw.quotas.owned).clear();
     if let Some(HeldLease { lease, .. }) = held_lease
-        && let Err(e) = gw.outside.kv.revoke(lease).await
+        && let Err(e) = gw.deps.kv.revoke(lease).await
     {
         emit!(info, QUOTA_SHARD_NOT_TAKEN, why = %e);
     }
@@ -134,7 +134,7 @@
 async fn grant_lease(gw: &Gateway) -> Result<HeldLease, CallError> {
     let sent = gw.now();
     gw.metrics.store_call(StoreCall::Quota);
-    let lease = gw.outside.kv.grant(LEASE_S).await?;
+    let lease = gw.deps.kv.grant(LEASE_S).await?;
     let authority = Authority::granted(0, sent, Span::seconds(LEASE_S as f64));
     Ok(HeldLease { lease, authority, renew_at: sent + RENEW_INTERVAL })
 }
@@ -150,7 +150,7 @@
         lease: Some(held.lease),
     });
     gw.metrics.store_call(StoreCall::Quota);
-    let swapped = gw.outside.kv.swap_each(swaps.collect()).await?;
+    let swapped = gw.deps.kv.swap_each(swaps.collect()).await?;
     let now = gw.now();
     for ((shard, _), swapped) in due.into_iter().zip(swapped) {
         if let Swapped::Done(revision) = swapped {
@@ -171,7 +171,7 @@
         return;
     }
     gw.metrics.store_call(StoreCall::Quota);
-    match gw.outside.kv.keep_alive(held.lease).await {
+    match gw.deps.kv.keep_alive(held.lease).await {
         Ok(true) => {
             held.authority.renewed(now, Span::seconds(LEASE_S as f64));
             held.renew_at = now + RENEW_INTERVAL;
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -52,7 +52,7 @@
 }
 
 async fn free_handle(gw: Arc<Gateway>, replica: ReplicaFacts, handle: String) {
-    let req = match gw.outside.dialect.free_handle(&replica, &handle) {
+    let req = match gw.deps.dialect.free_handle(&replica, &handle) {
         Ok(req) => req,
         Err(e) => {
             emit!(warn, HANDLE_KEPT, replica = %replica.id, handle, why = %e);
@@ -146,7 +146,7 @@
         if head.status != StatusCode::OK {
             return Err(CallFailure::Lost(format!("status {}", head.status)));
         }
-        let handle = self.gw.outside.dialect.decode_handle(&text).map_err(|e| CallFailure::Lost(e.to_string()))?;
+        let handle = self.gw.deps.dialect.decode_handle(&text).map_err(|e| CallFailure::Lost(e.to_string()))?;
         self.gw.upstream.keep(call.replica.address, conn);
         Ok(handle)
     }
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -31,7 +31,7 @@
 
 /// External dependencies of a daemon, which tests can replace by fakes.
 #[derive(Clone, Debug)]
-pub struct Outside {
+pub struct Dependencies {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The key-value service, for the daemons' own keys.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) struct Gateway {
     pub(super) settings: GatewaySettings,
-    pub(super) outside: Outside,
+    pub(super) deps: Dependencies,
     /// Identifies this run of the daemon among all others.
     pub(super) run_id: u64,
     pub(super) fleet: Mutex<Fleet>,
@@ -130,29 +130,29 @@
 }
 
 /// Where and for which windows usage is reported, if the platform asks for it.
-fn usage_terms(settings: &GatewaySettings, outside: &Outside) -> Option<(SocketAddr, WindowSchedule)> {
+fn usage_terms(settings: &GatewaySettings, deps: &Dependencies) -> Option<(SocketAddr, WindowSchedule)> {
     let duties = settings.duties.as_ref()?;
-    outside.dialect.wants_usage_reports(&duties.asked).then(|| (duties.address, duties.windows()))
+    deps.dialect.wants_usage_reports(&duties.asked).then(|| (duties.address, duties.windows()))
 }
 
 impl Gateway {
     pub(super) fn new(
         settings: GatewaySettings,
-        outside: Outside,
+        deps: Dependencies,
         socket: UdpSocket,
         metrics: GatewayMetrics,
         run_id: u64,
     ) -> Self {
         Self {
-            fleet: Mutex::new(Fleet::new(&settings.hall, settings.policy, outside.clock.now())),
+            fleet: Mutex::new(Fleet::new(&settings.hall, settings.policy, deps.clock.now())),
             store_cache: Mutex::new(StoreCache::default()),
             keys: Keys::new(settings.keys),
             probes: Probes::default(),
             quotas: Quotas::new(settings.quotas),
             socket,
             leadership: Leadership::default(),
-            usage: Usage::new(usage_terms(&settings, &outside)),
-            upstream: Upstream::new(Arc::clone(&outside.clock)),
+            usage: Usage::new(usage_terms(&settings, &deps)),
+            upstream: Upstream::new(Arc::clone(&deps.clock)),
             link: Link::new(settings.link_mbps),
             peers: Peers::default(),
             metrics,
@@ -160,7 +160,7 @@
             load_changed: Notify::new(),
             hall_changed: Notify::new(),
             peer_ahead: Notify::new(),
-            started_at: (outside.clock.now(), Instant::now()),
+            started_at: (deps.clock.now(), Instant::now()),
             resumed: Notify::new(),
             hall: short_id(&settings.hall),
             seeds: Mutex::new(settings.seeds.clone()),
@@ -168,14 +168,14 @@
             table: Mutex::new(None),
             random_counter: AtomicU64::new(run_id),
             settings,
-            outside,
+            deps,
             run_id,
         }
     }
 
     /// The current time.
     pub(super) fn now(&self) -> Time {
-        self.outside.clock.now()
+        self.deps.clock.now()
     }
 
     /// The known replicas.
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -95,7 +95,7 @@
 async fn poll(gw: &Arc<Gateway>, is_initialized: bool, wait: Span) -> Result<(), CallError> {
     if gw.store_cache().unreachable {
         gw.metrics.store_call(StoreCall::Probe);
-        gw.outside.feed.probe().await?;
+        gw.deps.feed.probe().await?;
     }
     if is_initialized { poll_changes(gw, wait).await } else { read_all(gw, true).await }
 }
@@ -120,7 +120,7 @@
 async fn read_all(gw: &Arc<Gateway>, may_be_old: bool) -> Result<(), CallError> {
     gw.metrics.store_call(StoreCall::ReadAll);
     let asked_at = gw.now();
-    let snapshot = gw.outside.feed.snapshot("", may_be_old).await?;
+    let snapshot = gw.deps.feed.snapshot("", may_be_old).await?;
     store_answered(gw, snapshot.revision);
     apply_snapshot(gw, snapshot);
     if !may_be_old {
@@ -140,7 +140,7 @@
     let asked_at = gw.now();
     gw.metrics.store_call(StoreCall::Watch);
     let changes = tokio::select! {
-        changes = gw.outside.feed.changes("", revision, wait) => changes?,
+        changes = gw.deps.feed.changes("", revision, wait) => changes?,
         // A call from before the machine was suspended may never be answered.
         () = gw.resumed.notified() => return Ok(()),
     };
@@ -190,7 +190,7 @@
 
 /// Applies all entries as of a revision.
 pub(super) fn apply_snapshot(gw: &Arc<Gateway>, snapshot: Snapshot) {
-    let prefix = gw.outside.dialect.replica_prefix();
+    let prefix = gw.deps.dialect.replica_prefix();
     let revision = snapshot.revision;
     let missing: Vec<Arc<str>> = {
         let keys: HashSet<&str> = snapshot.entries.iter().map(|entry| &*entry.key).collect();
@@ -212,7 +212,7 @@
 
 /// Applies one change.
 pub(super) fn apply(gw: &Arc<Gateway>, change: Change) {
-    let dialect = &gw.outside.dialect;
+    let dialect = &gw.deps.dialect;
     match change {
         Change::Put(entry) if entry.key == dialect.configuration_key() => put_configuration(gw, entry),
         Change::Put(entry) if entry.key.starts_with(dialect.replica_prefix()) => put_replica(gw, &entry),
@@ -244,7 +244,7 @@
         return;
     }
     gw.store_cache().newest_configuration = entry.revision;
-    match gw.outside.dialect.decode_configuration(&entry.value) {
+    match gw.deps.dialect.decode_configuration(&entry.value) {
         Ok(table) => {
             let (version, routes) = (table.version, table.len());
             for service in table.services() {
@@ -265,12 +265,12 @@
 }
 
 fn put_replica(gw: &Gateway, entry: &Entry) {
-    let id = entry.key.trim_start_matches(gw.outside.dialect.replica_prefix()).to_owned();
+    let id = entry.key.trim_start_matches(gw.deps.dialect.replica_prefix()).to_owned();
     // Stored even if it turns out to be unreadable, so that reading it again at the same revision is not a change.
     if !gw.store_cache().replicas.put(&entry.key, entry.revision, entry.clone()) {
         return;
     }
-    match gw.outside.dialect.decode_replica(&id, &entry.value) {
+    match gw.deps.dialect.decode_replica(&id, &entry.value) {
         Ok((facts, _)) => {
             let (draining, role) = (facts.draining, facts.role);
             let (service, address, born) = (Arc::clone(&facts.service), facts.address, facts.start_time_ms);
@@ -300,7 +300,7 @@
 }
 
 fn remove_replica(gw: &Gateway, key: &str, revision: i64) {
-    let id = key.trim_start_matches(gw.outside.dialect.replica_prefix());
+    let id = key.trim_start_matches(gw.deps.dialect.replica_prefix());
     let now = gw.now();
     let gone_at = {
         let mut cache = gw.store_cache();
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -217,7 +217,7 @@
         Step::Wait => Ok(()),
         Step::Read => {
             gw.metrics.store_call(StoreCall::Usage);
-            let entry = gw.outside.kv.read(&key(gw)).await?;
+            let entry = gw.deps.kv.read(&key(gw)).await?;
             reporter.set_stored(entry.as_ref().map(parse).transpose()?);
             Ok(())
         }
@@ -244,7 +244,7 @@
     reporter.forget_stored();
     gw.metrics.store_call(StoreCall::Usage);
     let swap = Swap { key: key(gw), required_revision: expect, value: Some(value), lease: None };
-    if let Some(Swapped::Done(revision)) = gw.outside.kv.swap_each(vec![swap]).await?.pop() {
+    if let Some(Swapped::Done(revision)) = gw.deps.kv.swap_each(vec![swap]).await?.pop() {
         let requests: u64 = report.counts.values().sum();
         emit!(info, USAGE_STORED, window, teams = report.counts.len(), requests, revision);
         reporter.set_stored(Some((revision, report)));
@@ -260,12 +260,12 @@
     report: &Report,
 ) -> Result<(), CallError> {
     let holder = lease.holder(&gw.settings.vm);
-    let req = gw.outside.dialect.report_usage(config.address, &holder, report);
+    let req = gw.deps.dialect.report_usage(config.address, &holder, report);
     let req = req.map_err(|e| CallError::NotSent(e.to_string()))?;
     gw.confirm_leadership(lease).await?;
     let result = once::call(config.address, req, leadership::CALL_TIMEOUT).await;
     let status = result.as_ref().map_or(0, |(status, _)| status.as_u16());
-    let answer = result.as_ref().ok().map(|_| gw.outside.dialect.duty_answer(status));
+    let answer = result.as_ref().ok().map(|_| gw.deps.dialect.duty_answer(status));
     let late_ms = wall_millis().saturating_sub(config.windows.end_ms(report.window));
     emit!(info, USAGE_REPORTED, window = report.window, fence = lease.fence(), answer = ?answer, status, late_ms);
     gw.metrics.usage_report(answer.map_or("unanswered", DutyAnswer::name));
