--- a/crates/daemon/src/gateway/quota/mod.rs
+++ b/crates/daemon/src/gateway/quota/mod.rs
@@ -46,7 +46,7 @@
 
 /// The entry under a shard's key.
 #[derive(Clone, Debug)]
-struct Claim {
+struct OwnerEntry {
     /// `None` if the entry is unreadable.
     owner: Option<Owner>,
     revision: i64,
@@ -64,7 +64,7 @@
 pub(super) struct Quotas {
     tolerance: Tolerance,
     client: Mutex<QuotaClient>,
-    claims: Mutex<HashMap<u8, Claim>>,
+    owner_entries: Mutex<HashMap<u8, OwnerEntry>>,
     owned: Mutex<HashMap<u8, OwnedShard>>,
     pending_replies: Mutex<HashMap<u64, oneshot::Sender<CreditReply>>>,
 }
@@ -74,7 +74,7 @@
         Self {
             tolerance: settings.tolerance(),
             client: Mutex::default(),
-            claims: Mutex::default(),
+            owner_entries: Mutex::default(),
             owned: Mutex::default(),
             pending_replies: Mutex::default(),
         }
@@ -86,7 +86,7 @@
     }
 
     fn owner(&self, shard: u8) -> Option<Owner> {
-        lock(&self.claims).get(&shard)?.owner.clone()
+        lock(&self.owner_entries).get(&shard)?.owner.clone()
     }
 }
 
@@ -112,14 +112,14 @@
     let Some(shard) = shard_of(gw, &entry.key) else {
         return false;
     };
-    let claim = Claim { owner: serde_json::from_str(&entry.value).ok(), revision: entry.revision };
-    lock(&gw.quotas.claims).insert(shard, claim);
+    let owner_entry = OwnerEntry { owner: serde_json::from_str(&entry.value).ok(), revision: entry.revision };
+    lock(&gw.quotas.owner_entries).insert(shard, owner_entry);
     true
 }
 
 /// Applies the removal of an entry of the store.
 pub(super) fn apply_removal(gw: &Gateway, key: &str) {
     if let Some(shard) = shard_of(gw, key) {
-        lock(&gw.quotas.claims).remove(&shard);
+        lock(&gw.quotas.owner_entries).remove(&shard);
     }
 }
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -22,7 +22,7 @@
     gateway::{
         metrics::StoreCall,
         peers,
-        quota::{Claim, OwnedShard, Owner, key, lock},
+        quota::{OwnedShard, Owner, OwnerEntry, key, lock},
         state::Gateway,
     },
 };
@@ -92,19 +92,19 @@
     if !gw.store_cache().is_complete() {
         return Vec::new();
     }
-    let is_blind = gw.fleet().is_warming_up(now);
-    let claims = lock(&gw.quotas.claims).clone();
+    let is_warming_up = gw.fleet().is_warming_up(now);
+    let owner_entries = lock(&gw.quotas.owner_entries).clone();
     let mut due = Vec::new();
     let mut vms = None;
     for shard in 0..SHARDS {
-        if let Some(claim) = claims.get(&shard) {
+        if let Some(entry) = owner_entries.get(&shard) {
             free_since.remove(&shard);
-            if is_own_stale_claim(gw, shard, claim) {
-                due.push((shard, claim.revision));
+            if is_own_stale_entry(gw, shard, entry) {
+                due.push((shard, entry.revision));
             }
             continue;
         }
-        if is_blind {
+        if is_warming_up {
             continue;
         }
         let since = *free_since.entry(shard).or_insert(now);
@@ -119,9 +119,9 @@
 
 /// Whether a claim names this VM although this daemon does not own the shard: it is from a previous run, or from a call
 /// whose response was lost.
-fn is_own_stale_claim(gw: &Gateway, shard: u8, claim: &Claim) -> bool {
+fn is_own_stale_entry(gw: &Gateway, shard: u8, entry: &OwnerEntry) -> bool {
     let is_owned = lock(&gw.quotas.owned).contains_key(&shard);
-    !is_owned && claim.owner.as_ref().is_some_and(|owner| owner.vm == gw.settings.vm)
+    !is_owned && entry.owner.as_ref().is_some_and(|owner| owner.vm == gw.settings.vm)
 }
 
 /// Number of daemons that rank before this one; `None` while this daemon is not registered.
