--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -64,62 +64,62 @@
 /// Sends the next order, if one is worthwhile.
 async fn reconcile_once(gw: &Arc<Gateway>, lease: &LeaderLease) {
     let now = gw.now();
-    let Some((shift, replica)) = next_shift(gw, now) else {
+    let Some((change, replica)) = next_role_change(gw, now) else {
         return;
     };
     emit!(
         info,
         ROLE_SHIFT,
         replica = %replica.id,
-        to = ?shift.to,
-        reading = shift.demand.prefill,
-        slots = shift.demand.slots,
-        prefill = shift.counts_before.0,
-        decode = shift.counts_before.1,
+        to = ?change.to,
+        reading = change.demand.prefill,
+        slots = change.demand.slots,
+        prefill = change.counts_before.0,
+        decode = change.counts_before.1,
         fence = lease.fence()
     );
-    let change = role_change_time(gw, &replica);
-    gw.fleet().start_role_change(shift.key, shift.to, now + change + DRAIN_TIME);
+    let change_time = role_change_time(gw, &replica);
+    gw.fleet().start_role_change(change.key, change.to, now + change_time + DRAIN_TIME);
     gw.load_changed.notify_one();
     tokio::time::sleep(REPORT_DELAY).await;
-    let answer = send_order(gw, lease, &shift, &replica).await;
-    emit!(info, ROLE_ORDERED, replica = %replica.id, to = ?shift.to, fence = lease.fence(), answer = ?answer);
-    apply_answer(gw, &shift, change, answer.as_ref().ok());
+    let answer = send_order(gw, lease, &change, &replica).await;
+    emit!(info, ROLE_ORDERED, replica = %replica.id, to = ?change.to, fence = lease.fence(), answer = ?answer);
+    apply_answer(gw, &change, change_time, answer.as_ref().ok());
 }
 
 /// Updates the engine's state according to the answer to an order.
-fn apply_answer(gw: &Gateway, shift: &RoleChange, change: Span, answer: Option<&OrderAnswer>) {
+fn apply_answer(gw: &Gateway, change: &RoleChange, change_time: Span, answer: Option<&OrderAnswer>) {
     let now = gw.now();
     let mut fleet = gw.fleet();
     match answer {
         Some(OrderAnswer::Accepted) => {
-            fleet.start_role_change(shift.key, shift.to, now + change + DRAIN_TIME);
-            fleet.hold_orders_until(shift.key, now + change + ORDER_BACKOFF);
+            fleet.start_role_change(change.key, change.to, now + change_time + DRAIN_TIME);
+            fleet.hold_orders_until(change.key, now + change_time + ORDER_BACKOFF);
         }
         Some(_) => {
-            fleet.start_role_change(shift.key, shift.to, now);
-            fleet.hold_orders_until(shift.key, now + ORDER_BACKOFF);
+            fleet.start_role_change(change.key, change.to, now);
+            fleet.hold_orders_until(change.key, now + ORDER_BACKOFF);
         }
         None => {
-            fleet.start_role_change(shift.key, shift.to, now);
-            fleet.hold_orders_until(shift.key, now + LATE_ORDER_TIMEOUT);
+            fleet.start_role_change(change.key, change.to, now);
+            fleet.hold_orders_until(change.key, now + LATE_ORDER_TIMEOUT);
         }
     }
     drop(fleet);
     gw.load_changed.notify_one();
 }
 
-fn next_shift(gw: &Gateway, now: Time) -> Option<(RoleChange, ReplicaFacts)> {
+fn next_role_change(gw: &Gateway, now: Time) -> Option<(RoleChange, ReplicaFacts)> {
     let table = gw.table()?;
     let fleet = gw.fleet();
     let engines = table.services().filter(|service| service.engine.is_some());
-    let mut shifts = engines.filter_map(|service| {
+    let mut changes = engines.filter_map(|service| {
         let demand = fleet.demand(&service.name, now);
         fleet.next_role_change(&service.name, demand, now)
     });
-    let shift = shifts.next()?;
-    let facts = fleet.get(shift.key)?.facts.clone();
-    Some((shift, facts))
+    let change = changes.next()?;
+    let facts = fleet.get(change.key)?.facts.clone();
+    Some((change, facts))
 }
 
 fn role_change_time(gw: &Gateway, replica: &ReplicaFacts) -> Span {
@@ -131,7 +131,7 @@
 async fn send_order(
     gw: &Gateway,
     lease: &LeaderLease,
-    shift: &RoleChange,
+    change: &RoleChange,
     replica: &ReplicaFacts,
 ) -> Result<OrderAnswer, CallError> {
     let report = fetch_report(gw, replica).await?;
@@ -143,11 +143,11 @@
     if report.changing {
         return Ok(OrderAnswer::Conflict);
     }
-    if report.role == shift.to {
+    if report.role == change.to {
         return Ok(OrderAnswer::Holds);
     }
     let order = RoleOrder {
-        role: shift.to,
+        role: change.to,
         holder: gw.settings.vm.clone(),
         fence: lease.fence(),
         expected_orders: report.orders,
