--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -193,12 +193,12 @@
 
 /// The refused and suspected requests that this daemon knows of.
 #[derive(Debug)]
-struct KnownContents {
+struct KnownRequests {
     refused: HashMap<ContentHash, Refused>,
     suspected: HashMap<ContentHash, Suspicion>,
 }
 
-impl KnownContents {
+impl KnownRequests {
     fn contains(&self, kind: EntryKind, content: ContentHash) -> bool {
         match kind {
             EntryKind::Refused => self.refused.contains_key(&content),
@@ -232,21 +232,21 @@
 impl StoreSync {
     async fn reconcile(&mut self, gw: &Arc<Gateway>) {
         let now = gw.now();
-        let (contents, expired) = {
+        let (known, expired) = {
             let crashes = &mut gw.fleet().crashes;
             let expired: HashSet<ContentHash> = crashes.expire(now).into_iter().collect();
             (
-                KnownContents { refused: crashes.refused().collect(), suspected: crashes.suspected(now).collect() },
+                KnownRequests { refused: crashes.refused().collect(), suspected: crashes.suspected(now).collect() },
                 expired,
             )
         };
-        self.log_changes(&contents.refused, &expired, now);
+        self.log_changes(&known.refused, &expired, now);
         let stored_entries: Vec<StoredEntry> = {
             let cache = gw.store_cache();
             cache.daemons.values().filter_map(|entry| StoredEntry::parse(&gw.settings.keyspace, entry)).collect()
         };
-        let changes = pending_changes(gw, &contents, &stored_entries, now);
-        self.logged_refusals = contents.refused;
+        let changes = pending_changes(gw, &known, &stored_entries, now);
+        self.logged_refusals = known.refused;
         self.due.retain(|key, _| changes.iter().any(|change| change.key == *key));
         for change in changes {
             self.apply(gw, change, now).await;
@@ -295,11 +295,11 @@
 }
 
 /// The differences between the store and what this daemon knows.
-fn pending_changes(gw: &Gateway, contents: &KnownContents, stored_entries: &[StoredEntry], now: Time) -> Vec<Change> {
+fn pending_changes(gw: &Gateway, known: &KnownRequests, stored_entries: &[StoredEntry], now: Time) -> Vec<Change> {
     let keyspace = &gw.settings.keyspace;
     let not_before = |own: bool, content: ContentHash| if own { now } else { takeover_at(gw, content, now) };
     let mut changes = Vec::new();
-    for (content, refused) in &contents.refused {
+    for (content, refused) in &known.refused {
         let key = EntryKind::Refused.key(keyspace, *content);
         if stored_entries.iter().any(|entry| entry.key == key) {
             continue;
@@ -314,7 +314,7 @@
             not_before: not_before(refused.known_by == KnownBy::Own, *content),
         });
     }
-    for (content, suspicion) in contents.suspicions_to_store(stored_entries) {
+    for (content, suspicion) in known.suspicions_to_store(stored_entries) {
         let key = EntryKind::Suspected.key(keyspace, content);
         let (expect, crashes) = stored_entries
             .iter()
@@ -325,7 +325,7 @@
             changes.push(Change { key, expect, value, not_before: not_before(suspicion.observed_here, content) });
         }
     }
-    let stale = stored_entries.iter().filter(|entry| !contents.contains(entry.kind, entry.content));
+    let stale = stored_entries.iter().filter(|entry| !known.contains(entry.kind, entry.content));
     changes.extend(stale.map(|entry| Change {
         key: entry.key.clone(),
         expect: entry.revision,
