--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -42,7 +42,7 @@
 const STORE_SILENCE_TIMEOUT: Span = Span::millis(600);
 /// Time limit for a peer's response. A large configuration takes some hundred milliseconds on a small link, and other
 /// daemons of the hall ask at the same time.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Minimum interval between two updates. While entries change continuously, each update carries all changes since the
 /// last one instead of a few entries.
 const TRANSFER_INTERVAL: Duration = Duration::from_millis(100);
@@ -112,12 +112,12 @@
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.finished.clone();
     tokio::select! {
-        () = watch(&gw) => {}
+        () = keep_updated(&gw) => {}
         () = stop.cancelled() => {}
     }
 }
 
-async fn watch(gw: &Arc<Gateway>) {
+async fn keep_updated(gw: &Arc<Gateway>) {
     let client = HttpClient::new(Reuse::Fresh);
     loop {
         let _ = tokio::time::timeout(POLL_INTERVAL, gw.peer_ahead.notified()).await;
@@ -211,7 +211,7 @@
 async fn fetch_update(client: &HttpClient, from: SocketAddr, after: i64) -> Result<CacheUpdate, CallError> {
     let url = format!("http://{from}{STATE_PATH}?after={after}");
     let req = Request::get(url).body(Full::default()).map_err(|e| CallError::NotSent(e.to_string()))?;
-    match client.fetch(req, ANSWER_TIMEOUT).await? {
+    match client.fetch(req, RESPONSE_TIMEOUT).await? {
         (StatusCode::OK, packed) => CacheUpdate::unpack(&packed),
         (status, _) => Err(CallError::Lost(format!("status {status}"))),
     }
