--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -34,17 +34,17 @@
     /// The response would be too late.
     TooLate {
         /// Time after which the caller should retry.
-        come_back: Span,
+        retry_after: Span,
     },
     /// The rate limits or retry times of the replicas do not allow another request now.
     ReplicasLimited {
         /// Time after which the caller should retry.
-        come_back: Span,
+        retry_after: Span,
     },
     /// The team has used up its quota.
     OverQuota {
         /// Time until enough quota is available; `None` if it never will be.
-        come_back: Option<Span>,
+        retry_after: Option<Span>,
     },
     /// No owner of the team's quota can be reached.
     QuotaUnavailable,
@@ -137,8 +137,8 @@
 
     fn retry_after(&self, random: u64) -> Option<Span> {
         match self {
-            Self::TooLate { come_back } | Self::ReplicasLimited { come_back } => Some(*come_back),
-            Self::OverQuota { come_back } => come_back.map(|wait| Span(wait.0 + random % RETRY_AFTER_JITTER.0)),
+            Self::TooLate { retry_after } | Self::ReplicasLimited { retry_after } => Some(*retry_after),
+            Self::OverQuota { retry_after } => retry_after.map(|wait| Span(wait.0 + random % RETRY_AFTER_JITTER.0)),
             Self::NoConfiguration
             | Self::KeyUncertain
             | Self::QuotaUnavailable
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -351,7 +351,7 @@
         why: &CallFailure,
         step: &'static str,
     ) {
-        self.gw.metrics.attempt(why.name());
+        self.gw.metrics.failed_call(why.name());
         emit!(
             info,
             TRY_FAILED,
--- a/crates/daemon/src/gateway/ending.rs
+++ b/crates/daemon/src/gateway/ending.rs
@@ -32,7 +32,7 @@
     /// The replica that responded last.
     replica: Arc<str>,
     /// Number of other long answers known to be in progress at the replica when the request was sent.
-    beside: u32,
+    other_long_answers: u32,
     relayed: RelayedEvents,
 }
 
@@ -64,7 +64,8 @@
     pub(super) fn start_stream(&mut self, resp: &UpstreamResponse) {
         let relayed = self.stream.as_ref().map_or_else(|| RelayedEvents::new(self.gw.now()), |stream| stream.relayed);
         let replica = Arc::clone(&resp.replica.id);
-        self.stream = Some(StreamStats { replica, beside: resp.in_flight.sent().other_long_answers, relayed });
+        self.stream =
+            Some(StreamStats { replica, other_long_answers: resp.in_flight.sent().other_long_answers, relayed });
     }
 
     /// Records that another event was relayed; returns a part of the stream when enough has arrived to update
@@ -81,7 +82,7 @@
         self.stream.as_ref().map(|stream| stream.relayed.total()).unwrap_or_default()
     }
 
-    pub(super) const fn set(&mut self, outcome: &'static str, status: u16) {
+    pub(super) const fn set_outcome(&mut self, outcome: &'static str, status: u16) {
         self.outcome = outcome;
         self.status = status;
     }
@@ -108,10 +109,10 @@
             first_ms = self.first_byte_at.map(|at| at.since(self.arrived).as_millis()),
             took_ms = self.gw.now().since(self.arrived).as_millis(),
             replica = stream.map(|stream| &*stream.replica),
-            beside = stream.map(|stream| stream.beside),
+            beside = stream.map(|stream| stream.other_long_answers),
             events = stream.map(|stream| stream.relayed.count() + 1),
             interval_us = interval.map(|interval| interval.0),
-            pause_ms = stream.map(|stream| stream.relayed.longest_gap().as_millis())
+            pause_ms = stream.map(|stream| stream.relayed.longest_interval().as_millis())
         );
     }
 }
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -68,12 +68,12 @@
     ///
     /// # Errors
     /// The refusal, if replicas crash while running it or the deadline passes during the wait.
-    pub(super) async fn check_verdict(&mut self) -> Result<(), Refusal> {
+    pub(super) async fn check_treatment(&mut self) -> Result<(), Refusal> {
         self.trial = None;
         loop {
             let now = self.gw.now();
-            let verdict = self.gw.fleet().treatment(self.content, now);
-            match verdict {
+            let treatment = self.gw.fleet().treatment(self.content, now);
+            match treatment {
                 Treatment::Clear => self.isolation = None,
                 Treatment::Isolated(isolation) => self.isolation = Some(isolation),
                 Treatment::Pending(until) if !self.deadline.is_past(now) => {
@@ -119,6 +119,6 @@
     if left_out {
         emit!(warn, REPLICA_LEFT_OUT, replica = %replica.id, end = "nobody listens");
     }
-    gw.metrics.replica_crash();
+    gw.metrics.lost_request();
     emit!(info, REPLICA_ENDED, request, content = %content, replica = %replica.id, hall = %replica.hall, ends = crashes);
 }
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -60,9 +60,9 @@
     requests: Counter<u64>,
     attempts: Counter<u64>,
     store_calls: Counter<u64>,
-    store_answers: Counter<u64>,
+    store_reads: Counter<u64>,
     peer_messages: Counter<u64>,
-    replica_crashes: Counter<u64>,
+    lost_requests: Counter<u64>,
     usage_reports: Counter<u64>,
     size_orders: Counter<u64>,
     quota_units: Counter<u64>,
@@ -98,9 +98,9 @@
             requests: counter("dahliaseam_route_requests", "Requests that are over, by route and outcome"),
             attempts: counter("dahliaseam_route_attempts", "Tries at replicas that are over, by end"),
             store_calls: counter("dahliaseam_store_requests", "Calls to the key-value service, by what they are for"),
-            store_answers: counter("dahliaseam_store_calls", "Calls that follow the key-value service, by end"),
+            store_reads: counter("dahliaseam_store_calls", "Calls that follow the key-value service, by end"),
             peer_messages: counter("dahliaseam_peer_messages", "Messages to and from other daemons"),
-            replica_crashes: counter("dahliaseam_replica_ends", "Requests that were lost since their replica ended"),
+            lost_requests: counter("dahliaseam_replica_ends", "Requests that were lost since their replica ended"),
             usage_reports: counter("dahliaseam_usage_reports", "Reports of usage that were sent, by answer"),
             size_orders: counter("dahliaseam_size_orders", "Orders of how many engines a hall has, by answer"),
             quota_units: counter("dahliaseam_quota_units", "Units of quotas that requests asked for, by outcome"),
@@ -125,7 +125,7 @@
     }
 
     /// Counts a failed call to a replica.
-    pub(super) fn attempt(&self, end: &'static str) {
+    pub(super) fn failed_call(&self, end: &'static str) {
         self.attempts.add(1, &[KeyValue::new("end", end)]);
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// Counts a finished call that reads or watches the store, or a failed check whether it is reachable again.
-    pub(super) fn store_answer(&self, end: &'static str) {
-        self.store_answers.add(1, &[KeyValue::new("end", end)]);
+    pub(super) fn store_read(&self, end: &'static str) {
+        self.store_reads.add(1, &[KeyValue::new("end", end)]);
     }
 
     /// Counts a datagram sent to or received from another daemon.
@@ -145,8 +145,8 @@
     }
 
     /// Counts a crash of a replica that had a request.
-    pub(super) fn replica_crash(&self) {
-        self.replica_crashes.add(1, &[]);
+    pub(super) fn lost_request(&self) {
+        self.lost_requests.add(1, &[]);
     }
 
     /// Counts a usage report that was sent.
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -15,7 +15,7 @@
     first_at: Time,
     last_at: Time,
     count: u64,
-    longest_gap: Span,
+    longest_interval: Span,
     /// Number of events that were relayed before the current part.
     part_start_count: u64,
     part_start: Time,
@@ -24,11 +24,11 @@
 impl RelayedEvents {
     /// No events yet after the first one, which arrived `now`.
     pub(super) const fn new(now: Time) -> Self {
-        Self { first_at: now, last_at: now, count: 0, longest_gap: Span(0), part_start_count: 0, part_start: now }
+        Self { first_at: now, last_at: now, count: 0, longest_interval: Span(0), part_start_count: 0, part_start: now }
     }
 
     pub(super) fn record(&mut self, now: Time) {
-        self.longest_gap = self.longest_gap.max(now.since(self.last_at));
+        self.longest_interval = self.longest_interval.max(now.since(self.last_at));
         self.last_at = now;
         self.count += 1;
     }
@@ -44,7 +44,7 @@
             events: self.count,
             total: self.count,
             took: self.last_at.since(self.first_at),
-            longest_interval: self.longest_gap,
+            longest_interval: self.longest_interval,
         }
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The longest time between two events.
-    pub(super) const fn longest_gap(&self) -> Span {
-        self.longest_gap
+    pub(super) const fn longest_interval(&self) -> Span {
+        self.longest_interval
     }
 }
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -22,7 +22,7 @@
 
 /// Time limit for an owner's reply, after which another owner is asked. A round trip takes a few milliseconds, and some
 /// tens if a small VM is busy.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// A request for credit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
     let wait_ms = wait.map(Span::as_millis);
     emit!(info, QUOTA_EXCEEDED, request, team = %team.name, units, wait_ms);
     gw.metrics.quota_units("refused", units);
-    Refusal::OverQuota { come_back: wait }
+    Refusal::OverQuota { retry_after: wait }
 }
 
 fn unavailable(gw: &Gateway, request: &str, team: &Team, units: u64, tried: &[u8]) -> Refusal {
@@ -113,7 +113,7 @@
     lock(&gw.quotas.pending_replies).insert(number, tx);
     let packet = Packet::AskCredit(CreditRequest { number, shard, team: team.to_owned(), units });
     peers::send_packet(gw, &packet, &[owner.address]).await;
-    let reply = tokio::time::timeout(ANSWER_TIMEOUT, rx).await;
+    let reply = tokio::time::timeout(REPLY_TIMEOUT, rx).await;
     lock(&gw.quotas.pending_replies).remove(&number);
     reply.ok()?.ok().map(|reply| reply.outcome)
 }
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -122,7 +122,7 @@
     log_entry.record_first_byte();
     match start {
         ResponseStart::Complete(mut head, bytes) => {
-            log_entry.set("answered", head.status.as_u16());
+            log_entry.set_outcome("answered", head.status.as_u16());
             remove_hop_by_hop_headers(&mut head.headers);
             Response::from_parts(head, full(bytes))
         }
@@ -132,7 +132,7 @@
             if req.route.stream {
                 head.headers.remove(header::CONTENT_LENGTH);
             }
-            log_entry.set("caller_left", head.status.as_u16());
+            log_entry.set_outcome("caller_left", head.status.as_u16());
             log_entry.start_stream(&resp);
             let relay = Relay {
                 resumable: req.route.stream && req.route.repeat == Repeat::Allowed,
@@ -237,7 +237,7 @@
             }
             fleet.learn_answer(self.resp.in_flight.sent(), &self.log_entry.relayed(), self.req.gw.now());
         }
-        self.log_entry.set("answered", self.resp.head.status.as_u16());
+        self.log_entry.set_outcome("answered", self.resp.head.status.as_u16());
         Ok((!rest.is_empty()).then_some(rest))
     }
 
@@ -293,7 +293,7 @@
 
     fn fail(&mut self, e: RelayError) -> RelayError {
         self.is_done = true;
-        self.log_entry.set(if e == RelayError::TimedOut { "timed_out" } else { "broke_off" }, 0);
+        self.log_entry.set_outcome(if e == RelayError::TimedOut { "timed_out" } else { "broke_off" }, 0);
         self.resp.in_flight.set_end(StepEnd::Unknown);
         e
     }
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -139,7 +139,7 @@
 }
 
 fn give_up(req: &ActiveRequest, mut log_entry: AccessLogEntry, refusal: &Refusal) -> Response<ResponseBody> {
-    log_entry.set(refusal.name(), refusal.status().as_u16());
+    log_entry.set_outcome(refusal.name(), refusal.status().as_u16());
     refusal.to_response(req.random)
 }
 
@@ -209,7 +209,7 @@
 
     /// Plans the next attempt, or returns why to give up.
     pub(super) async fn next_plan(&mut self) -> Result<Plan, Refusal> {
-        self.check_verdict().await?;
+        self.check_treatment().await?;
         let now = self.gw.now();
         let is_exhausted = self.attempts >= MAX_ATTEMPTS
             || self.gone_replicas >= MAX_GONE_REPLICAS
@@ -255,13 +255,13 @@
                 self.log_plan(&fleet, &plan, now);
                 Ok(plan)
             }
-            Err(PlanError::TooLate { predicted_ms, retry_after: come_back, .. }) => {
-                self.log_too_late(&fleet, predicted_ms, come_back, now);
-                Err(Refusal::TooLate { come_back })
+            Err(PlanError::TooLate { predicted_ms, retry_after, .. }) => {
+                self.log_too_late(&fleet, predicted_ms, retry_after, now);
+                Err(Refusal::TooLate { retry_after })
             }
-            Err(PlanError::RateLimited { retry_after: come_back }) if is_new => {
-                self.log_rate_limited(come_back);
-                Err(Refusal::ReplicasLimited { come_back })
+            Err(PlanError::RateLimited { retry_after }) if is_new => {
+                self.log_rate_limited(retry_after);
+                Err(Refusal::ReplicasLimited { retry_after })
             }
             Err(PlanError::NoReplica) if is_new => Err(Refusal::NoReplica),
             Err(PlanError::NoReplica | PlanError::RateLimited { .. }) => Err(self.final_refusal()),
@@ -318,7 +318,7 @@
         }
     }
 
-    fn log_too_late(&self, fleet: &Fleet, predicted_ms: u64, come_back: Span, now: Time) {
+    fn log_too_late(&self, fleet: &Fleet, predicted_ms: u64, retry_after: Span, now: Time) {
         emit!(
             info,
             REFUSED_EARLY,
@@ -328,18 +328,18 @@
             predicted_ms,
             objective_ms = self.route.objective.as_millis(),
             view_age_ms = fleet.peers_age_ms(now),
-            come_back_ms = come_back.as_millis()
+            come_back_ms = retry_after.as_millis()
         );
     }
 
-    fn log_rate_limited(&self, come_back: Span) {
+    fn log_rate_limited(&self, retry_after: Span) {
         emit!(
             info,
             REFUSED_LIMITED,
             request = self.caller.id,
             route = %self.route.name,
             service = %self.service,
-            come_back_ms = come_back.as_millis()
+            come_back_ms = retry_after.as_millis()
         );
     }
 
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -164,7 +164,7 @@
 
 /// Records that the store answered with its contents up to a revision.
 fn store_answered(gw: &Gateway, revision: i64) {
-    gw.metrics.store_answer("answered");
+    gw.metrics.store_read("answered");
     let now = gw.now();
     let mut cache = gw.store_cache();
     cache.last_answer_at = now;
@@ -179,7 +179,7 @@
 }
 
 fn store_failed(gw: &Gateway, e: &CallError) {
-    gw.metrics.store_answer("failed");
+    gw.metrics.store_read("failed");
     let now = gw.now();
     let mut cache = gw.store_cache();
     if !std::mem::replace(&mut cache.unreachable, true) {
