--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -21,7 +21,8 @@
     NoKey,
     /// The configuration does not contain the key.
     UnknownKey,
-    /// It is not certain that the key is still valid, or that it does not exist yet.
+    /// The configuration may be outdated: a key that it contains may have been withdrawn, or one that it does not
+    /// contain may have been added.
     KeyUncertain,
     /// The head is invalid.
     BadHead(String),
@@ -50,9 +51,9 @@
     QuotaUnavailable,
     /// This daemon is shutting down, and the response would take longer than the time left.
     Stopping,
-    /// Replicas crash while running it. The caller is not told when to retry.
+    /// Replicas crash while running the request. The caller is not told when to retry.
     ReplicasEnded,
-    /// Replicas rejected it, and there is no alternative.
+    /// No replica ran the request in any attempt, and there is no alternative.
     Rejected,
     /// The request may have run, and its response was lost.
     Lost,
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -31,14 +31,14 @@
 pub(super) const MAX_SHORT_RESPONSE_BYTES: usize = 64 << 10;
 /// Time for the rest of a short response after its head.
 pub(super) const SHORT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Further engines that are asked to decode after the first one refused. Another prefill costs an engine some hundred
-/// milliseconds, asking another engine only a round trip.
+/// Maximum number of further engines that are asked to decode if the first one does not start. Another prefill costs an
+/// engine some hundred milliseconds, asking another engine only a round trip.
 const MAX_DECODE_RETRIES: usize = 2;
 /// Number of replicas without a listener after which a request is given up. Nothing is sent to them, and each costs a
 /// round trip; even if a third of all replicas crashed at once, one request in forty million would meet this many in a
 /// row.
 pub(super) const MAX_GONE_REPLICAS: usize = 16;
-/// Priority of requests that are predicted to be late: after all that can still be in time.
+/// Priority of requests that are predicted to be late: they run after all that can still be in time.
 const LATE_PRIORITY: u8 = u8::MAX;
 /// Minimum time left for which sending anything is worthwhile.
 const MIN_SEND_TIME: Span = Span::millis(2);
@@ -281,7 +281,7 @@
                 emit!(info, REPLICA_LEAVING, replica = %replica.id, hall = %replica.hall);
             }
         }
-        // A refusal by another replica does not have to repeat the request identifier.
+        // A rejection by another replica does not have to repeat the request identifier.
         let id_matches = facts.request_id.as_deref().map(|id| id == self.caller.id);
         match (facts.run, id_matches) {
             (_, Some(false)) => Err(CallFailure::Lost("the response belongs to another request".to_owned())),
--- a/crates/daemon/src/gateway/endings.rs
+++ b/crates/daemon/src/gateway/endings.rs
@@ -21,7 +21,7 @@
 /// result.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// A run that tells whether a request crashes replicas. Dropping it ends the run.
+/// A run that serves to find out whether a request crashes replicas. Dropping it ends the trial.
 #[derive(Debug)]
 pub(super) struct Trial {
     gw: Arc<Gateway>,
@@ -107,7 +107,7 @@
 
 async fn record_if_crashed(gw: Arc<Gateway>, content: ContentHash, request: String, replica: ReplicaFacts) {
     let broken_at = gw.now();
-    // If another start of the same replica listens there, the previous process is gone as well.
+    // If a newer start of the replica listens there, the previous process is gone as well.
     if !gw.upstream.is_gone(replica.address).await && !gw.fleet().is_replaced(&replica) {
         return;
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Serving by routes: callers' requests go to the replicas that service discovery knows.
+//! The gateway: routes callers' requests to the replicas that service discovery knows.
 //!
 //! The path of a request:
 //!
@@ -8,7 +8,8 @@
 //! - [`attempt`] makes one attempt; [`reading`] has a prompt prefilled for another engine.
 //! - [`upstream`] keeps the connections to replicas.
 //! - [`relay`] relays the response as it arrives.
-//! - [`endings`] checks whether a replica crashed while it had the request, and [`blamed`] stores what is known of that.
+//! - [`endings`] checks whether a replica crashed while it had the request, and [`blamed`] stores which requests are
+//!   suspected or refused because of such crashes.
 //!
 //! Background tasks and shared parts:
 //!
@@ -21,8 +22,8 @@
 //!   ([`usage`]) and chooses the number of engines in each hall ([`autoscaler`]).
 //! - [`pages`] serves readiness and metrics.
 //! - [`suspension`] detects that the machine was suspended.
-//! - [`passed`] records the events of a stream.
-//! - [`state`] is what these parts share, and [`controller`] starts and stops them.
+//! - [`passed`] records the events that were relayed of a stream.
+//! - [`state`] is the state that these parts share, and [`controller`] starts and stops them.
 
 mod admission;
 mod answer;
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -5,8 +5,8 @@
     time::{Span, Time},
 };
 
-/// Minimum duration of a part of a stream that estimates are updated from: about ten events, so that single pauses do
-/// not distort the pace.
+/// Minimum duration of a part of a stream that estimates are updated from: about ten events, so that a single pause
+/// does not distort the estimated interval.
 const MIN_PART_TIME: Span = Span::millis(500);
 
 /// Events that were relayed after the first event of a stream.
--- a/crates/daemon/src/gateway/request.rs
+++ b/crates/daemon/src/gateway/request.rs
@@ -69,7 +69,7 @@
     pub(super) last_event: Option<String>,
     /// How the request is isolated from others, if replicas crashed while running it.
     pub(super) isolation: Option<Isolation>,
-    /// The current run, if it tells whether the request causes these crashes.
+    /// The current run, if it serves to find out whether the request causes these crashes.
     pub(super) trial: Option<Trial>,
     /// Replicas that are not tried again.
     tried: Vec<ReplicaKey>,
@@ -143,7 +143,8 @@
     refusal.to_response(req.random)
 }
 
-/// Waits until a response is certain enough to be relayed to the caller.
+/// Waits until enough of a response has arrived to relay it. A server error counts as a failure while the request may
+/// be retried.
 async fn start_response(req: &ActiveRequest, mut resp: UpstreamResponse) -> Result<ResponseStart, CallFailure> {
     if req.may_retry() && resp.head.status.is_server_error() {
         let status = resp.head.status.as_u16();
@@ -397,7 +398,7 @@
         self.prefill_delivered |= prefill_done || (failure.in_prefill && failure.why.arrived());
         self.serve_delivered |= !failure.in_prefill && failure.why.arrived();
         if failure.in_prefill && matches!(failure.why, CallFailure::Rejected(_)) {
-            // The first prefill call is free only if the replica accepts it.
+            // The first prefill call is not charged to the retry budget unless the replica rejects it.
             let now = self.gw.now();
             self.gw.fleet().charge_retry(&self.service, &self.gw.retry_budget(), now);
         }
@@ -408,8 +409,8 @@
         }
     }
 
-    /// Whether a replica has certainly or most likely started to run the request in a failed attempt: a plain service
-    /// starts immediately, an engine with the first token.
+    /// Whether a replica certainly or most likely started to run the request in a failed attempt: a plain service
+    /// starts as soon as it has the request, an engine with the first token.
     fn has_started(&self, failure: &AttemptFailure) -> bool {
         let lost = matches!(failure.why, CallFailure::Broke(_) | CallFailure::Lost(_));
         lost && !failure.in_prefill && !self.route.stream
--- a/crates/daemon/src/gateway/sse.rs
+++ b/crates/daemon/src/gateway/sse.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// End of the last complete event, after an empty line.
+/// End of the last complete event, which is after an empty line; the end of the buffer if it exceeds the maximum size.
 fn last_event_end(buf: &[u8]) -> Option<usize> {
     if buf.len() > MAX_EVENT_BYTES {
         return Some(buf.len());
@@ -50,7 +50,7 @@
     end
 }
 
-/// Identifier of the last of some complete events that has one.
+/// The last event identifier that some complete events contain.
 pub(super) fn last_event_id(events: &[u8]) -> Option<String> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! State that is shared by the parts of a daemon that serves by routes.
+//! State that is shared by the parts of the gateway.
 
 use std::{
     net::SocketAddr,
@@ -69,7 +69,7 @@
     pub(super) load_changed: Notify,
     /// Wakes the task that aggregates the hall, when one of its daemons has reported something.
     pub(super) hall_changed: Notify,
-    /// Wakes the task that fetches updates, when a peer has followed the store further.
+    /// Wakes the task that fetches updates, when a peer has a newer revision of the store.
     pub(super) peer_ahead: Notify,
     /// When the daemon started, by its clock and by a clock that does not count suspensions.
     pub(super) started_at: (Time, Instant),
@@ -100,13 +100,13 @@
     no_long_from: AtomicU64,
 }
 
-/// Share of the shutdown time after which no long answer is started. Some take far longer than usual, and one that
-/// starts this late would have to be complete by the end.
+/// Share of the shutdown time after which no long answer is started, even if one usually takes less than the time left.
+/// Some take far longer than usual, and all must be complete before the process exits.
 const LONG_ANSWER_SHARE: f64 = 0.3;
 
-/// Multiple of the usual duration of a long answer that must be left to start one. One in ten takes twice as long,
-/// and one that the exit of the process cuts off is lost; a caller that is refused finds another VM within its latency
-/// objective or soon after.
+/// Multiple of the usual duration of a long answer that must be left to start one. One in ten takes twice as long, and
+/// an answer that the exit of the process cuts off is lost. A caller that is refused finds another VM within its
+/// latency objective or soon after.
 const LONG_ANSWER_FACTOR: f64 = 1.3;
 
 impl Stop {
@@ -193,7 +193,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts routes in force unless newer ones are; returns whether they are in force now.
+    /// Puts routes in force unless these or newer ones already are; returns whether it did.
     pub(super) fn set_table(&self, table: RouteTable) -> bool {
         let mut current = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let is_newer = current.as_ref().is_none_or(|current| table.version > current.version);
@@ -208,7 +208,7 @@
         self.retries.lock().unwrap_or_else(PoisonError::into_inner).terms()
     }
 
-    /// Daemons that may be asked while no others are known.
+    /// Daemons from the settings that may be asked for updates while no daemon is known to be ahead.
     pub(super) fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/daemon/src/gateway/upstream.rs
+++ b/crates/daemon/src/gateway/upstream.rs
@@ -27,7 +27,7 @@
 use crate::clock::Clock;
 
 /// How long an idle connection may be reused. Replicas close idle connections after some seconds, some of them without
-/// notice; well within that time few are lost.
+/// notice. Well within that time, few connections turn out to be closed.
 const MAX_IDLE_TIME: Span = Span::millis(1_500);
 /// Maximum number of idle connections to one replica.
 const MAX_IDLE_PER_REPLICA: usize = 24;
@@ -132,15 +132,15 @@
     }
 
     /// Whether nothing listens at an address any more, so that the process that did is gone. If repeated attempts get
-    /// no response at all, the link may be broken, which says nothing about the process.
+    /// no response at all, the link may be broken, and the process counts as present.
     pub(super) async fn is_gone(&self, address: SocketAddr) -> bool {
         for _ in 0..MAX_PROBES {
             let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
             let mut stream = match connecting.await {
                 Ok(Ok(stream)) => stream,
                 Ok(Err(e)) => return e.kind() == ErrorKind::ConnectionRefused,
-                // A packet may be lost: if one in ten is, one crash in a hundred goes undetected, instead of one in
-                // five.
+                // A packet may be lost. If one in ten is, one crash in a hundred goes undetected with these attempts,
+                // and one in five with a single attempt.
                 Err(_) => continue,
             };
             // A terminating process may have accepted the connection just before.
@@ -210,7 +210,7 @@
     let handshake = Builder::new().max_buf_size(MAX_BUFFER_BYTES).handshake(TokioIo::new(stream));
     let (conn, driver) = handshake.await.map_err(|e| unsent(&e))?;
     tokio::spawn(async move {
-        // Whoever waits for a response on the connection is told how it ended.
+        // The task that waits for a response on the connection gets the error.
         let _ = driver.await;
     });
     Ok(conn)
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -1,4 +1,4 @@
-//! Work at a replica, counted from when it is sent until it is finished.
+//! Calls in flight: the work at a replica, counted from when it is sent until it is finished.
 
 use std::sync::Arc;
 
