--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -33,7 +33,8 @@
 /// Delay before a daemon writes an entry that the daemon which lost the request should have written, and before any
 /// daemon removes an entry.
 const TAKEOVER_DELAY: Span = Span::millis(3_000);
-/// Upper bound of the random extra delay, for each daemon, so that one of the others acts first.
+/// Upper bound of the jitter added to that delay, per daemon: with more daemons it is spread over a longer time, so
+/// that one of them acts before the others.
 const TAKEOVER_JITTER_PER_DAEMON: Span = Span::millis(20);
 /// Delay before a store call that failed, or whose effect is not visible yet, is repeated.
 const RETRY_INTERVAL: Span = Span::millis(1_000);
--- a/crates/daemon/src/gateway/freshness_probe.rs
+++ b/crates/daemon/src/gateway/freshness_probe.rs
@@ -1,8 +1,8 @@
 //! Freshness probes: proofs of how recent the configuration is, requested from other daemons.
 //!
 //! Daemons that watch the store have proofs of their own. Each of the others probes one of these several times a
-//! second, and dates the proof by the time at which it sent the probe. If its proof becomes old, it also asks another
-//! hall and the store.
+//! second, and dates the proof by the time at which it sent the probe. If its proof becomes old, it also probes one
+//! daemon of each other hall and any peer of its own hall, and asks the store itself.
 
 use std::{
     collections::VecDeque,
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -13,14 +13,16 @@
 
 use crate::gateway::answer::Refusal;
 
-/// Fraction (1/n) of the time within which an added key must be known: beyond that age of the proof, an unknown key is
-/// no longer reported as unknown, since a caller that is told so does not retry.
+/// Divides the time within which an added key must be known. If the newest proof is older than the result, a key that
+/// is not in the configuration is refused as uncertain instead of unknown, since a caller that is told that its key is
+/// unknown does not retry.
 const UNKNOWN_KEY_DIVISOR: u64 = 2;
-/// Share of the time for which a withdrawn key may still be accepted, after which a daemon asks the store itself. The
-/// peers of its hall step in before that; while the store is unreachable for all, all of them would call it.
+/// Share of the time for which a withdrawn key may still be accepted. If the newest proof is older, a daemon asks the
+/// store itself. Normally, a peer of its hall has taken over watching the store before that. While the store is
+/// unreachable for all, all daemons call it once their proofs are this old; a high share limits that to long outages.
 const STALE_PROOF_SHARE: f64 = 0.75;
-/// Fraction (1/n) of the time for which a withdrawn key may still be accepted that one watch call to the store may
-/// wait.
+/// Divides the time for which a withdrawn key may still be accepted; the result is how long one watch call to the store
+/// may wait.
 const WATCH_WAIT_DIVISOR: u64 = 8;
 
 /// Authenticates keys.
@@ -70,8 +72,8 @@
         self.settings.is_some()
     }
 
-    /// Longest wait of a watch call to the store. If something changed, its response proves the state at the time of
-    /// the call, and two such calls lie between two proofs.
+    /// Longest wait of a watch call to the store; `None` if it is not limited. A call that returns changes proves the
+    /// state only for the time at which it was made, so that a proof may become as old as two calls take.
     pub(super) fn longest_wait(&self) -> Option<Span> {
         let strict = self.settings.filter(|settings| settings.strict);
         strict.map(|settings| Span(settings.withdrawal_limit().0 / WATCH_WAIT_DIVISOR))
@@ -84,7 +86,7 @@
         bound.is_some_and(|bound| !self.proofs().is_fresh(bound, now))
     }
 
-    /// Time since the configuration in force was certainly the newest.
+    /// Time since the configuration in force was last proved to be the newest.
     pub(super) fn age(&self, now: Time) -> Option<Span> {
         self.proofs().age(now)
     }
--- a/crates/daemon/src/gateway/link.rs
+++ b/crates/daemon/src/gateway/link.rs
@@ -1,7 +1,7 @@
 //! Estimates how long outgoing data waits for this VM's link.
 //!
 //! The link of a small VM needs some tens of milliseconds for a long prompt, which then waits behind others. The
-//! estimate counts the bodies that this daemon sends; everything else is small.
+//! estimate counts the request bodies and the updates that this daemon sends; everything else is small.
 
 use std::sync::{Mutex, PoisonError};
 
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a daemon that serves by routes, exported as Prometheus text.
+//! Metrics of the gateway, exported as Prometheus text.
 
 use opentelemetry::{
     KeyValue,
@@ -139,12 +139,12 @@
         self.store_reads.add(1, &[KeyValue::new("end", end)]);
     }
 
-    /// Counts a datagram sent to or received from another daemon.
+    /// Counts a datagram that was sent to another daemon, or a load report that was received from one.
     pub(super) fn peer_message(&self, direction: &'static str) {
         self.peer_messages.add(1, &[KeyValue::new("way", direction)]);
     }
 
-    /// Counts a crash of a replica that had a request.
+    /// Counts a request that was lost because its replica crashed.
     pub(super) fn lost_request(&self) {
         self.lost_requests.add(1, &[]);
     }
@@ -164,7 +164,7 @@
         self.size_orders.add(1, &[KeyValue::new("answer", answer)]);
     }
 
-    /// Records the time since the configuration in force was certainly the newest.
+    /// Records the time since the configuration in force was last proved to be the newest.
     pub(super) fn proof_age(&self, seconds: f64) {
         self.proof_age.record(seconds, &[]);
     }
--- a/crates/daemon/src/gateway/packet.rs
+++ b/crates/daemon/src/gateway/packet.rs
@@ -23,7 +23,7 @@
         probe: u64,
         /// Revision of the configuration that is in force at the sender.
         revision: i64,
-        /// Microseconds since that configuration was certainly the newest.
+        /// Microseconds since that configuration was last proved to be the newest.
         age_us: u64,
     },
     /// Usage counts of a daemon, for the leader.
--- a/crates/daemon/src/gateway/pages.rs
+++ b/crates/daemon/src/gateway/pages.rs
@@ -1,4 +1,4 @@
-//! HTTP endpoints for the load balancer, other daemons and operators: readiness, state and metrics.
+//! HTTP pages for the load balancer, other daemons and operators: readiness, state and metrics.
 
 use std::sync::Arc;
 
@@ -15,25 +15,25 @@
 
 /// Media type of a packed update.
 const PACKED_MEDIA_TYPE: &str = "application/octet-stream";
-/// Maximum milliseconds that an update may take on the link, including queued data. Callers' prompts wait for at most
-/// this long, and the requesting daemon gets the update sooner from another one that has it by then or has a better
-/// link.
+/// Maximum milliseconds until an update has been sent on the link, including the data queued before it. Callers'
+/// prompts wait for at most this long. If it would take longer, the requesting daemon gets the update sooner from
+/// another one that has it by then or has a better link.
 const MAX_LINK_MS: f64 = 100.0;
 /// Media type of Prometheus text.
 const PROMETHEUS_MEDIA_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Readiness endpoint for the load balancer.
+/// Readiness page for the load balancer.
 pub(super) fn ready(gw: &Arc<Gateway>) -> Router {
     let path = gw.deps.dialect.ready_path();
     Router::new().route(path, get(is_ready)).with_state(Arc::clone(gw))
 }
 
-/// Metrics endpoint for operators.
+/// Metrics page for operators.
 pub(super) fn metrics(gw: &Arc<Gateway>) -> Router {
     Router::new().route("/metrics", get(metrics_text)).with_state(Arc::clone(gw))
 }
 
-/// State endpoint for other daemons: what this daemon has read from the store.
+/// State page for other daemons: updates from what this daemon has read from the store.
 pub(super) fn state(gw: &Arc<Gateway>) -> Router {
     Router::new().route(STATE_PATH, get(update)).with_state(Arc::clone(gw))
 }
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -157,7 +157,7 @@
     gw.store_cache().daemons.get(&leadership::key(gw)).cloned()
 }
 
-/// Records what a daemon published; acknowledges it if it need not be published again.
+/// Records what a daemon published; acknowledges final counts, so that they are not published again.
 pub(super) async fn handle_usage(gw: &Gateway, from: SocketAddr, vm: String, run: u64, window: WindowCounts) {
     let Some(entry) = leader_entry(gw).filter(|entry| entry.value == gw.settings.vm) else {
         return;
@@ -182,7 +182,7 @@
     }
 }
 
-/// Sends the outstanding reports while this daemon is the leader.
+/// Stores and sends the outstanding reports while this daemon is the leader.
 async fn report(gw: &Gateway, config: ReportConfig) {
     let mut state = LeaseScoped::empty();
     loop {
