--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -1,8 +1,8 @@
 //! Autoscaling: orders for the number of engines in each hall, where the configuration lets the system choose it.
 //!
 //! The leader decides ([`pool`]) and stores each order before sending it, so that its successor continues from there.
-//! An order is repeated until it is accepted or refused for good. An accepted order without effect, because engines
-//! were taken away or none were available, is sent again.
+//! An order is repeated until it is accepted or refused. If it has no effect within some time, because engines were
+//! taken away or none were available, it is sent again.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -29,9 +29,9 @@
 
 /// Interval between two passes of the reconcile loop.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
-/// Delay before an order that was not accepted is sent again. Engines may be unavailable for some ten seconds.
+/// Delay before an order that was not settled is sent again. Engines may be unavailable for some ten seconds.
 const RETRY_INTERVAL: Span = Span::millis(2_000);
-/// Added to the start time of an engine before an accepted order without effect is sent again.
+/// Added to the start time of an engine before a settled order without effect is sent again.
 const EFFECT_TIMEOUT: Span = Span::millis(3_000);
 
 /// Stored state of one service.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Needed {
     engines: f64,
-    /// Whether the engines are needed by demand that was observed; otherwise they are only expected to be needed.
+    /// Whether demand was observed that needs the engines; otherwise they are only expected to be needed.
     seen: bool,
 }
 
@@ -59,13 +59,13 @@
 /// Identifies an order: service, hall, and whether it is for reclaimable engines.
 type OrderKey = (Arc<str>, Arc<str>, bool);
 
-/// State of a leader since it took over.
+/// State of the leader, valid under one lease.
 #[derive(Debug, Default)]
 struct Autoscaler {
     revision: i64,
     stored: StoredPools,
     peaks: BTreeMap<Arc<str>, Peak>,
-    /// When an order is to be sent; no entry if it was accepted and has taken effect.
+    /// When each order is to be sent; no entry for an order that is settled and has taken effect.
     due: BTreeMap<OrderKey, Time>,
 }
 
@@ -291,7 +291,7 @@
     ordered.keys().flat_map(keys).collect()
 }
 
-/// Sends one order; returns whether it is settled, that is, accepted or refused for good.
+/// Sends one order; returns whether it is settled, that is, accepted or refused.
 async fn send_order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, key: &OrderKey, desired: u32) -> bool {
     let (service, hall, reclaimable) = key;
     let order = SizeOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a daemon that serves by routes.
+//! Starts and stops the gateway.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -28,11 +28,11 @@
 const BALANCER_DELAY: Duration = Duration::from_millis(3_200);
 /// Part of the stop time that is reserved for the exit of the process itself.
 const EXIT_TIME: Span = Span::millis(400);
-/// Maximum number of connections from operators and the load balancer.
+/// Maximum number of connections to each listener for the load balancer, operators or other daemons.
 const MAX_PAGE_CONNECTIONS: usize = 64;
 /// Idle timeout of these connections.
 const PAGE_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Maximum bytes of the heads of their requests; the HTTP library requires at least this much.
+/// Maximum bytes of a request head on these connections; the HTTP library requires at least this much.
 const MAX_PAGE_HEAD_BYTES: usize = 8 << 10;
 
 /// A running daemon.
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -2,10 +2,10 @@
 //!
 //! One daemon is the leader for everything that the platform accepts from only one at a time: orders to engines, usage
 //! reports and pool sizes. The leader's key expires with its lease, and the revision at which it was written is the
-//! fencing number of its calls. The recipients of these calls need not check that number, so time separates two
-//! leaders: a new leader waits until any call of the previous one has certainly ended. A leader reads its key before
-//! each call, makes no call that its lease does not cover, and each call ends, with its connection, within
-//! [`CALL_TIMEOUT`].
+//! fencing number of its calls. The recipients of these calls need not check that number, so the calls of two leaders
+//! are kept apart in time: a new leader waits until any call of the previous one has certainly ended. A leader reads
+//! its key before each call, makes no call that its lease does not cover, and each call ends, with its connection,
+//! within [`CALL_TIMEOUT`].
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -160,8 +160,8 @@
     let key = key(gw);
     let is_vacant = {
         let cache = gw.store_cache();
-        // Only daemons that watch the store try: otherwise all daemons would request a lease, try, and return it
-        // whenever the leader is lost, or over and over while the store is unreachable.
+        // Only daemons that watch the store try. Otherwise, all of them would request a lease, try, and return it
+        // whenever the leader is lost, and again and again while the store is unreachable.
         cache.watching && !cache.unreachable && cache.is_complete() && cache.daemons.get(&key).is_none()
     };
     if !is_vacant || !(gw.fleet().has_split_engines() || gw.reports_usage() || gw.size_address().is_some()) {
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -36,7 +36,7 @@
 /// Time after an unanswered order in which it may still take effect; engines may execute an order up to twelve seconds
 /// late.
 const LATE_ORDER_TIMEOUT: Span = Span::millis(13_000);
-/// Time after a refused order, or after the role change of an accepted one, until the engine gets another order.
+/// Time after a rejected order, or after the role change of an accepted one, until the engine gets another order.
 const ORDER_BACKOFF: Span = Span::millis(3_000);
 /// Time in addition to the role change itself for which an engine gets no work: running requests finish first.
 const DRAIN_TIME: Span = Span::millis(700);
@@ -136,8 +136,7 @@
 ) -> Result<OrderAnswer, CallError> {
     let report = fetch_report(gw, replica).await?;
     if report.start_time_ms.is_some() && report.start_time_ms != replica.start_time_ms {
-        // An order meant for the previous start of the engine does not apply to this one, whose order count started
-        // again from zero.
+        // The order was meant for the engine's previous replica; the new one counts its orders from zero again.
         return Ok(OrderAnswer::OtherReplica);
     }
     if report.changing {
