--- a/crates/daemon/src/gateway/peer_table.rs
+++ b/crates/daemon/src/gateway/peer_table.rs
@@ -83,8 +83,8 @@
         let heard = self.heard();
         let (hall_peers, others): (Vec<&PeerState>, Vec<&PeerState>) =
             heard.values().filter(|peer| peer.revision > revision).partition(|peer| peer.hall == hall);
-        // The one with the better link of two random candidates: small links are seldom used, but good ones not by
-        // everyone.
+        // Of two random candidates, the one with the better link: small links are seldom used, and the best one is not
+        // used by all.
         let pick = |peers: &[&PeerState]| {
             let candidate = |random: u64| peers.get(random as usize % peers.len().max(1));
             let best =
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -1,10 +1,10 @@
 //! Load reports between daemons: the work that each has in flight, in small datagrams.
 //!
 //! Daemons discover each other through registrations in the store, which expire with a lease, and through the datagrams
-//! themselves. A small number of daemons forms a full mesh. A larger number reports only within each hall, and the
-//! daemon with the best link aggregates its hall: it sends a summary to one daemon of each other hall, chosen at random
-//! each time, which relays it within its own hall. So no daemon needs to know the aggregator of another hall, and if
-//! one is gone only one report is lost.
+//! themselves. A small number of daemons forms a full mesh. With more daemons, each reports only within its hall, and
+//! the daemon with the best link aggregates its hall: it sends a summary to one daemon of each other hall, chosen at
+//! random each time, which relays it within its own hall. So no daemon needs to know the aggregator of another hall,
+//! and a recipient that is gone costs only one report.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -33,8 +33,8 @@
     },
 };
 
-/// Minimum interval between two reports. A prompt takes an engine some tens of milliseconds, so older reports would
-/// send requests of two daemons to the same engine.
+/// Minimum interval between two reports. A prompt takes an engine some tens of milliseconds; with older reports, two
+/// daemons would send requests to the same engine.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
 /// Minimum interval between two reports for each of their recipients; limits the packet rate of a daemon.
 const SEND_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -53,7 +53,7 @@
 /// Takes the cost of a request from its team's quota.
 ///
 /// # Errors
-/// The refusal, if the quota is used up or no owner can be reached.
+/// The refusal, if not enough of the quota is left or no owner can be reached.
 pub(in crate::gateway) async fn take(gw: &Gateway, request: &str, team: &Team, units: u64) -> Result<Credit, Refusal> {
     let Some(terms) = gw.quotas.terms(team) else {
         return Ok(Credit::requested_at(gw.now()));
@@ -127,7 +127,7 @@
 
 pub(in crate::gateway) fn handle_reply(gw: &Gateway, reply: CreditReply) {
     if let Some(tx) = lock(&gw.quotas.pending_replies).remove(&reply.number) {
-        // The request may have moved on to another owner.
+        // The requester may have stopped waiting and asked another owner.
         let _ = tx.send(reply);
     }
 }
--- a/crates/daemon/src/gateway/quota/mod.rs
+++ b/crates/daemon/src/gateway/quota/mod.rs
@@ -1,7 +1,7 @@
 //! Teams' quotas.
 //!
-//! [`credit`] takes the cost of a request from the daemon that owns a shard of its team's quota, and replies to other
-//! daemons that do the same; [`ownership`] keeps every shard owned by some daemon.
+//! [`credit`] requests the cost of a request from the daemon that owns a shard of its team's quota, and replies to such
+//! requests from other daemons; [`ownership`] keeps every shard owned by some daemon.
 
 mod credit;
 mod ownership;
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -35,9 +35,9 @@
 const RENEW_INTERVAL: Span = Span::millis(4_000);
 /// Delay before a failed renewal is retried.
 const RETRY_INTERVAL: Span = Span::millis(500);
-/// Time for which a shard must be free before the first daemon in its order takes it.
+/// Time for which a shard must be free before the daemon that ranks first for it takes it.
 const MIN_FREE_TIME: Span = Span::millis(600);
-/// Additional delay for each further daemon in the order.
+/// Additional delay for each daemon that ranks before this one.
 const RANK_DELAY: Span = Span::millis(400);
 /// Time after a failed call in which no shard is taken.
 const BACKOFF: Span = Span::millis(2_000);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The shards that this daemon should take now, each with the revision of the present claim, or 0.
+/// The shards that this daemon should take now, each with the revision of its present entry, or 0 if there is none.
 fn shards_to_acquire(gw: &Gateway, free_since: &mut HashMap<u8, Time>, now: Time) -> Vec<(u8, i64)> {
     if !gw.store_cache().is_complete() {
         return Vec::new();
@@ -117,8 +117,8 @@
     due
 }
 
-/// Whether a claim names this VM although this daemon does not own the shard: it is from a previous run, or from a call
-/// whose response was lost.
+/// Whether an entry names this VM although this daemon does not own the shard: it is from a previous run, or from a
+/// call whose response was lost.
 fn is_own_stale_entry(gw: &Gateway, shard: u8, entry: &OwnerEntry) -> bool {
     let is_owned = lock(&gw.quotas.owned).contains_key(&shard);
     !is_owned && entry.owner.as_ref().is_some_and(|owner| owner.vm == gw.settings.vm)
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -1,8 +1,8 @@
 //! Updates of the store cache, fetched from peers.
 //!
-//! The store may refuse some VMs while it serves others, and in large deployments only a few daemons watch it. Load
-//! reports tell how far each daemon has followed the store; a daemon that is cut off, or leaves watching to others,
-//! fetches the changes from a peer that is ahead. A peer whose link is busy with other updates says so, and the daemon
+//! The store may be unavailable to some VMs while it serves others, and in large deployments only a few daemons watch
+//! it. Load reports tell up to which revision each daemon has followed the store; a daemon that is cut off, or leaves
+//! watching to others, fetches the changes from a peer that is ahead. A peer whose link is busy says so, and the daemon
 //! asks another one: with each round more daemons have the update.
 //!
 //! Updates are compressed: a configuration with many routes is repetitive text, and small links would need seconds to
@@ -54,7 +54,7 @@
 /// Maximum bytes of an unpacked update: a few times the largest value of the store.
 const MAX_UPDATE_BYTES: u64 = 8 << 20;
 
-/// What a daemon has read from the store.
+/// What a daemon has read from the store: all of it, or the changes after a revision.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct CacheUpdate {
     /// Revision up to which nothing is missing.
--- a/crates/daemon/src/gateway/store_cache.rs
+++ b/crates/daemon/src/gateway/store_cache.rs
@@ -85,7 +85,7 @@
         Ok(bytes)
     }
 
-    /// Records that everything was read at a revision: earlier removals are not known individually.
+    /// Records that everything was read at a revision: which keys were removed before is not known.
     pub(super) fn record_full_read(&mut self, revision: i64) {
         self.replicas.record_full_read(revision);
         self.daemons.record_full_read(revision);
@@ -102,7 +102,7 @@
         if revision <= self.lapsed_up_to { now.max(self.grace_until) } else { now }
     }
 
-    /// Advances to a revision up to which the store was followed.
+    /// Advances to a revision up to which all changes have been applied.
     pub(super) fn advance(&mut self, revision: i64) {
         self.revision = self.revision.max(revision);
     }
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -30,8 +30,8 @@
 /// Time after the store is reachable again in which entries may still lapse because of the outage. A later removal is
 /// intended by its replica, and a daemon that was the only one cut off must not mistake it for a lapse.
 const LAPSE_SETTLE_TIME: Span = Span::millis(300);
-/// Interval between two calls of a watch, so that changes that come together take one call. It is small compared with
-/// the seconds within which a change must be in force.
+/// Delay between two watch calls, so that one call returns changes that come together. It is small compared with the
+/// seconds within which a change must be in force.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between two checks whether peers still watch the store.
 const ELECTION_INTERVAL: Duration = Duration::from_millis(100);
@@ -116,7 +116,7 @@
     }
 }
 
-/// Reads everything; `may_be_old` allows a stale read, if the changes since then are read right after it.
+/// Reads everything. `may_be_old` allows a stale read, for callers that read the changes since then right after it.
 async fn read_all(gw: &Arc<Gateway>, may_be_old: bool) -> Result<(), CallError> {
     gw.metrics.store_call(StoreCall::ReadAll);
     let asked_at = gw.now();
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -14,7 +14,8 @@
 /// Interval between two checks: short compared with the deadlines of callers, and ten checks a second have no
 /// measurable cost.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum difference between the two clocks that counts as a suspension. They are read one after the other.
+/// Minimum difference between the two clocks that counts as a suspension. Smaller ones arise because the clocks are
+/// read one after the other.
 const MIN_SUSPENSION: Span = Span::millis(50);
 
 /// Detects suspensions until the daemon shuts down.
