--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -120,7 +120,7 @@
             Self::BadHead(why) => format!("{}: {why}\n", self.name()),
             _ => format!("{}\n", self.name()),
         };
-        let mut resp = Response::new(full(Bytes::from(text)));
+        let mut resp = Response::new(full_body(Bytes::from(text)));
         *resp.status_mut() = self.status();
         let headers = resp.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -162,7 +162,7 @@
 }
 
 /// A body that is complete.
-pub(super) fn full(bytes: Bytes) -> ResponseBody {
+pub(super) fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
--- a/crates/daemon/src/gateway/freshness_probe.rs
+++ b/crates/daemon/src/gateway/freshness_probe.rs
@@ -70,10 +70,16 @@
         let now = gw.now();
         let is_stale = gw.keys.is_proof_stale(now);
         if is_stale != was_stale {
-            emit!(info, PROOF_OLD, old = is_stale, age_ms = gw.keys.age_ms(now), revision = gw.store_cache().revision);
+            emit!(
+                info,
+                PROOF_OLD,
+                old = is_stale,
+                age_ms = gw.keys.proof_age_ms(now),
+                revision = gw.store_cache().revision
+            );
             was_stale = is_stale;
         }
-        if let Some(age) = gw.keys.age(now) {
+        if let Some(age) = gw.keys.proof_age(now) {
             gw.metrics.proof_age(age.as_seconds());
         }
         let (watching, unreachable) = {
@@ -91,7 +97,7 @@
 
 fn recipients(gw: &Gateway, now: Time) -> Vec<SocketAddr> {
     let mut recipients: Vec<SocketAddr> = gw.peers.watcher(gw.hall, gw.random(), now).into_iter().collect();
-    if gw.keys.age(now).is_none_or(|age| age > OTHER_HALLS_AFTER) {
+    if gw.keys.proof_age(now).is_none_or(|age| age > OTHER_HALLS_AFTER) {
         recipients.extend(gw.peers.one_of_each_hall(gw.hall, gw.random()));
         recipients.extend(gw.peers.any_hall_peer(gw.hall, gw.random()));
     }
@@ -101,7 +107,7 @@
 /// Replies to a probe.
 pub(super) async fn handle_probe(gw: &Gateway, from: SocketAddr, probe: u64) {
     let now = gw.now();
-    if let Some(proof) = gw.keys.newest() {
+    if let Some(proof) = gw.keys.newest_proof() {
         let packet = Packet::Proof { probe, revision: proof.revision, age_us: now.since(proof.at).0 };
         peers::send_packet(gw, &packet, &[from]).await;
     }
@@ -110,6 +116,6 @@
 /// Handles the reply to a probe.
 pub(super) fn handle_proof(gw: &Gateway, probe: u64, revision: i64, age: Span) {
     if let Some(sent_at) = gw.probes.sent_at(probe) {
-        gw.keys.record(Proof { revision, at: sent_at - age });
+        gw.keys.record_proof(Proof { revision, at: sent_at - age });
     }
 }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -74,7 +74,7 @@
 
     /// Longest wait of a watch call to the store; `None` if it is not limited. A call that returns changes proves the
     /// state only for the time at which it was made, so that a proof may become as old as two calls take.
-    pub(super) fn longest_wait(&self) -> Option<Span> {
+    pub(super) fn max_watch_wait(&self) -> Option<Span> {
         let strict = self.settings.filter(|settings| settings.strict);
         strict.map(|settings| Span(settings.withdrawal_limit().0 / WATCH_WAIT_DIVISOR))
     }
@@ -87,16 +87,16 @@
     }
 
     /// Time since the configuration in force was last proved to be the newest.
-    pub(super) fn age(&self, now: Time) -> Option<Span> {
+    pub(super) fn proof_age(&self, now: Time) -> Option<Span> {
         self.proofs().age(now)
     }
 
     /// That age in milliseconds, for logs.
-    pub(super) fn age_ms(&self, now: Time) -> Option<u64> {
-        self.age(now).map(Span::as_millis)
+    pub(super) fn proof_age_ms(&self, now: Time) -> Option<u64> {
+        self.proof_age(now).map(Span::as_millis)
     }
 
-    pub(super) fn record(&self, proof: Proof) {
+    pub(super) fn record_proof(&self, proof: Proof) {
         self.proofs().record(proof);
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// The newest proof, for other daemons.
-    pub(super) fn newest(&self) -> Option<Proof> {
+    pub(super) fn newest_proof(&self) -> Option<Proof> {
         self.proofs().newest()
     }
 
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -94,13 +94,13 @@
 }
 
 /// Prefix of the registration keys; the rest of a key is the name of the VM.
-pub(super) fn prefix(gw: &Gateway) -> String {
+pub(super) fn registration_prefix(gw: &Gateway) -> String {
     format!("{}daemons/", gw.settings.keyspace)
 }
 
 /// Key of the registration of a VM's daemon.
 pub(super) fn registration_key(gw: &Gateway, vm: &str) -> String {
-    format!("{}{vm}", prefix(gw))
+    format!("{}{vm}", registration_prefix(gw))
 }
 
 /// Publishes and receives reports until the daemon shuts down.
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -108,7 +108,7 @@
             continue;
         }
         let since = *free_since.entry(shard).or_insert(now);
-        let vms = vms.get_or_insert_with(|| gw.peers.registered_vms(&peers::prefix(gw)));
+        let vms = vms.get_or_insert_with(|| gw.peers.registered_vms(&peers::registration_prefix(gw)));
         let Some(rank) = rank(shard, &gw.settings.vm, vms) else { continue };
         if (since + MIN_FREE_TIME + Span(RANK_DELAY.0 * rank)).is_past(now) {
             due.push((shard, 0));
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -93,7 +93,7 @@
                     uncached = step.prefill.uncached,
                     held = step.prefill.cached,
                     copied = step.copy_from.is_some(),
-                    alone = in_flight.was_alone(),
+                    alone = in_flight.had_no_prefill(),
                     expected_ms = (step.wait_ms + step.work_ms) as u64,
                     took_us = in_flight.age().0
                 );
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -16,7 +16,7 @@
 use crate::{
     emit,
     gateway::{
-        answer::{ResponseBody, full, remove_hop_by_hop_headers},
+        answer::{ResponseBody, full_body, remove_hop_by_hop_headers},
         attempt::{CallFailure, UpstreamResponse},
         ending::AccessLogEntry,
         request::ActiveRequest,
@@ -124,7 +124,7 @@
         ResponseStart::Complete(mut head, bytes) => {
             log_entry.set_outcome("answered", head.status.as_u16());
             remove_hop_by_hop_headers(&mut head.headers);
-            Response::from_parts(head, full(bytes))
+            Response::from_parts(head, full_body(bytes))
         }
         ResponseStart::Stream(resp, events, first) => {
             let mut head = copy_head(&resp);
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -60,7 +60,7 @@
         set_watching(gw, true);
         let wait = gw
             .keys
-            .longest_wait()
+            .max_watch_wait()
             .map_or(election.next_wait(timing), |longest| election.next_wait(timing).min(longest));
         match poll(gw, is_initialized, wait).await {
             Ok(()) => {
@@ -132,7 +132,7 @@
 /// Records that the store has reported all changes of the configuration up to `at`.
 fn record_proof(gw: &Gateway, at: Time) {
     let revision = gw.store_cache().newest_configuration;
-    gw.keys.record(Proof { revision, at });
+    gw.keys.record_proof(Proof { revision, at });
 }
 
 async fn poll_changes(gw: &Arc<Gateway>, wait: Span) -> Result<(), CallError> {
--- a/crates/daemon/src/gateway/upstream.rs
+++ b/crates/daemon/src/gateway/upstream.rs
@@ -80,7 +80,7 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConn {
     conn: Conn,
     expires_at: Time,
 }
@@ -88,7 +88,7 @@
 /// Connections to all replicas.
 pub(super) struct Upstream {
     clock: Arc<dyn Clock>,
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConn>>>,
 }
 
 impl fmt::Debug for Upstream {
@@ -161,7 +161,7 @@
         let mut idle = self.lock();
         let conns = idle.entry(address).or_default();
         if conns.len() < MAX_IDLE_PER_REPLICA {
-            conns.push(Idle { conn, expires_at });
+            conns.push(IdleConn { conn, expires_at });
         }
     }
 
@@ -192,7 +192,7 @@
         None
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<Idle>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConn>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -200,7 +200,7 @@
 fn next_step(gw: &Gateway, config: ReportConfig, reporter: &mut Reporter) -> Step {
     let now_ms = wall_millis();
     let latest_ms = (config.windows.due_ms as f64 * MAX_WAIT_SHARE) as u64;
-    let vms = gw.peers.registered_vms(&peers::prefix(gw));
+    let vms = gw.peers.registered_vms(&peers::registration_prefix(gw));
     let mut ledger = gw.usage.ledger();
     ledger.prune(config.windows.window_at(now_ms));
     reporter.next_step(now_ms, latest_ms, |window| ledger.is_complete(window, vms.iter().map(String::as_str)))
--- a/crates/daemon/src/gateway/work.rs
+++ b/crates/daemon/src/gateway/work.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether the replica had no other prompt to prefill.
-    pub(super) const fn was_alone(&self) -> bool {
+    pub(super) const fn had_no_prefill(&self) -> bool {
         self.sent.had_no_prefill
     }
 
