--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -188,7 +188,7 @@
         if needed > 0.0 {
             peak.observe(needed, now);
         } else if !known.is_some_and(|known| known.seen) {
-            // Before any demand is observed, the engines that the operators configured show what they expect.
+            // Before any demand is observed, the number of engines that the operators configured counts as expected.
             let configured = current.values().map(|hall| f64::from(hall.staying)).sum();
             peak.set_expected(known.map_or(configured, |known| known.engines), now);
         }
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -36,9 +36,10 @@
 /// Time after an unanswered order in which it may still take effect; engines may execute an order up to twelve seconds
 /// late.
 const LATE_ORDER_TIMEOUT: Span = Span::millis(13_000);
-/// Time after a rejected order, or after the role change of an accepted one, until the engine gets another order.
+/// Time after an order that the engine did not accept, or after the role change of an accepted one, until the engine
+/// gets another order.
 const ORDER_BACKOFF: Span = Span::millis(3_000);
-/// Time in addition to the role change itself for which an engine gets no work: running requests finish first.
+/// Time in addition to the role change itself for which an engine gets no requests: running ones finish first.
 const DRAIN_TIME: Span = Span::millis(700);
 /// Maximum bytes of an engine's response.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
--- a/crates/daemon/src/gateway/passed.rs
+++ b/crates/daemon/src/gateway/passed.rs
@@ -1,4 +1,4 @@
-//! Relayed events of a stream, and the time between them.
+//! Relayed events of a stream, and the intervals between them.
 
 use dahliaseam_core::{
     fleet::StreamPart,
@@ -65,7 +65,7 @@
         Some(part)
     }
 
-    /// The longest time between two events.
+    /// The longest interval between two events.
     pub(super) const fn longest_interval(&self) -> Span {
         self.longest_interval
     }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -140,7 +140,8 @@
     fleet.set_rate_limit_share(rank, time_of_day.since(now), now);
 }
 
-/// Publishes summaries of the hall to other halls whenever one of its daemons has reported a change.
+/// Publishes summaries of the hall to other halls whenever one of its daemons has reported, and at least once in
+/// [`MAX_PUBLISH_INTERVAL`].
 async fn aggregate(gw: &Gateway) {
     let mut number = 0;
     loop {
--- a/crates/daemon/src/gateway/quota/mod.rs
+++ b/crates/daemon/src/gateway/quota/mod.rs
@@ -1,7 +1,7 @@
 //! Teams' quotas.
 //!
-//! [`credit`] requests the cost of a request from the daemon that owns a shard of its team's quota, and replies to such
-//! requests from other daemons; [`ownership`] keeps every shard owned by some daemon.
+//! [`credit`] obtains credit for a request from the daemon that owns a shard of its team's quota, and grants credit
+//! from this daemon's own shards to others; [`ownership`] keeps every shard owned by some daemon.
 
 mod credit;
 mod ownership;
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -37,8 +37,8 @@
 pub(super) const STATE_PATH: &str = "/state";
 /// Interval between two checks whether an update is needed.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence of the store after which a peer is asked. The store itself responds within milliseconds, and its data is
-/// newer.
+/// Silence of the store after which a peer is asked. Before that the store is preferred: it responds within
+/// milliseconds, and its data is newer.
 const STORE_SILENCE_TIMEOUT: Span = Span::millis(600);
 /// Time limit for a peer's response. A large configuration takes some hundred milliseconds on a small link, and other
 /// daemons of the hall ask at the same time.
--- a/crates/daemon/src/gateway/upstream.rs
+++ b/crates/daemon/src/gateway/upstream.rs
@@ -38,7 +38,7 @@
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle time after which TCP keepalive probes start, and the interval between them.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time in which a terminating process closes a connection that it has just accepted; a round trip takes a few
+/// Time within which a connection closes that a terminating process has just accepted; a round trip takes a few
 /// milliseconds.
 const EXIT_CLOSE_TIMEOUT: Duration = Duration::from_millis(15);
 /// Number of connection attempts to a replica that does not respond, or closes connections immediately, before it
@@ -143,7 +143,7 @@
                 // and one in five with a single attempt.
                 Err(_) => continue,
             };
-            // A terminating process may have accepted the connection just before.
+            // A terminating process may still have accepted the connection; if so, it closes immediately.
             let closed = tokio::time::timeout(EXIT_CLOSE_TIMEOUT, stream.read(&mut [0; 1])).await;
             if closed.is_err() {
                 return false;
