--- a/crates/core/tests/endings/main.rs
+++ b/crates/core/tests/endings/main.rs
@@ -17,7 +17,7 @@
 mod world;
 
 /// Maximum number of sends of a fatal request, over all daemons, later than `REPORT_BOUND` after its third crash.
-const MAX_LATE_SENDS: usize = 3;
+const MAX_LATE_ATTEMPTS: usize = 3;
 
 /// Consecutive seeds; the environment variable `TIMES` multiplies their number for long manual runs.
 fn seeds(from: u64, count: u64) -> Range<u64> {
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 struct Totals {
     runs: usize,
-    late_sends: usize,
+    late_attempts: usize,
     crashes: usize,
     other_requests: usize,
     lost_three_engines: usize,
@@ -42,7 +42,7 @@
     for scenario in scenarios {
         let outcome = Simulation::run(scenario);
         totals.runs += 1;
-        totals.late_sends = totals.late_sends.max(outcome.late_sends.iter().copied().max().unwrap_or(0));
+        totals.late_attempts = totals.late_attempts.max(outcome.late_attempts.iter().copied().max().unwrap_or(0));
         totals.crashes = totals.crashes.max(outcome.crashes.iter().copied().max().unwrap_or(0));
         totals.other_requests += outcome.other_requests;
         totals.lost_three_engines += outcome.lost_three_engines;
@@ -50,7 +50,7 @@
         totals.longest_refusal_ms = totals.longest_refusal_ms.max(outcome.longest_refusal_ms);
     }
     println!("{label}: {totals:?}");
-    assert!(totals.late_sends <= MAX_LATE_SENDS, "{label}: {totals:?}");
+    assert!(totals.late_attempts <= MAX_LATE_ATTEMPTS, "{label}: {totals:?}");
     totals
 }
 
@@ -118,7 +118,7 @@
     Scenario {
         engines: 5,
         queries_per_second: 600.0,
-        query_attempts: (6, (2, 20)),
+        query_sends: (6, (2, 20)),
         fatal_requests: 2,
         ..Scenario::new(seed, 8)
     }
@@ -135,8 +135,8 @@
 /// as many harmless requests are refused, more in some kinds and fewer in others.
 #[test]
 fn the_bound_holds_with_and_without_isolation_and_trials() {
-    let busy = Scenario { queries_per_second: 600.0, query_attempts: (6, (2, 20)), ..Scenario::new(0, 8) };
-    let kinds = [
+    let busy = Scenario { queries_per_second: 600.0, query_sends: (6, (2, 20)), ..Scenario::new(0, 8) };
+    let scenarios = [
         ("crowded", crowded(0)),
         ("three at once", Scenario { fatal_requests: 3, ..busy }),
         (
@@ -152,10 +152,10 @@
         ("cut off", Scenario { cut_off: true, fatal_requests: 2, ..Scenario::new(0, 8) }),
         ("popular", Scenario { fatal_requests: 2, popular_share: 0.8, engines: 6, queries_per_second: 150.0, ..busy }),
     ];
-    for (label, kind) in kinds {
+    for (label, scenario) in scenarios {
         for (isolate_suspects, run_trials) in [(true, true), (false, true), (false, false)] {
             let label = format!("{label}, isolation: {isolate_suspects}, trials: {run_trials}");
-            simulate(&label, seeds(900, 2).map(|seed| Scenario { seed, isolate_suspects, run_trials, ..kind }));
+            simulate(&label, seeds(900, 2).map(|seed| Scenario { seed, isolate_suspects, run_trials, ..scenario }));
         }
     }
 }
--- a/crates/core/tests/endings/rules.rs
+++ b/crates/core/tests/endings/rules.rs
@@ -27,23 +27,23 @@
     now
 }
 
-fn verdict(tracker: &mut CrashTracker, content: ContentHash, now: Time) -> Treatment {
+fn treatment(tracker: &mut CrashTracker, content: ContentHash, now: Time) -> Treatment {
     tracker.treatment(content, 8, false, now)
 }
 
 fn is_refused(tracker: &mut CrashTracker, content: ContentHash, now: Time) -> bool {
-    matches!(verdict(tracker, content, now), Treatment::Refused(_))
+    matches!(treatment(tracker, content, now), Treatment::Refused(_))
 }
 
 fn is_isolated(tracker: &mut CrashTracker, content: ContentHash, now: Time) -> bool {
-    matches!(verdict(tracker, content, now), Treatment::Isolated(_))
+    matches!(treatment(tracker, content, now), Treatment::Isolated(_))
 }
 
 #[test]
 fn one_crash_changes_nothing_and_two_isolate_the_request() {
     let mut tracker = CrashTracker::default();
     let now = crash_replicas(&mut tracker, &[FATAL], &["a"], START);
-    assert_eq!(verdict(&mut tracker, FATAL, now), Treatment::Clear);
+    assert_eq!(treatment(&mut tracker, FATAL, now), Treatment::Clear);
     let now = crash_replicas(&mut tracker, &[FATAL], &["b"], now);
     assert!(is_isolated(&mut tracker, FATAL, now));
 }
@@ -53,19 +53,19 @@
     let mut tracker = CrashTracker::default();
     let after = crash_replicas(&mut tracker, &[FATAL], &["a", "b", "c"], START);
     let third = after - CRASH_INTERVAL;
-    let Treatment::Pending(until) = verdict(&mut tracker, FATAL, third) else {
+    let Treatment::Pending(until) = treatment(&mut tracker, FATAL, third) else {
         panic!("the request is judged before peer reports are due");
     };
     assert!(until <= after);
     assert!(is_refused(&mut tracker, FATAL, after));
-    assert_eq!(verdict(&mut tracker, OTHER, after), Treatment::Clear);
+    assert_eq!(treatment(&mut tracker, OTHER, after), Treatment::Clear);
 }
 
 #[test]
 fn repeated_reports_of_one_crash_count_once() {
     let mut tracker = CrashTracker::default();
     let now = crash_replicas(&mut tracker, &[FATAL], &["a", "a", "a", "a"], START);
-    assert_eq!(verdict(&mut tracker, FATAL, now), Treatment::Clear);
+    assert_eq!(treatment(&mut tracker, FATAL, now), Treatment::Clear);
 }
 
 #[test]
@@ -88,7 +88,7 @@
     }
     let now = crash_replicas(&mut tracker, &[FATAL], &["d"], now);
     assert!(is_refused(&mut tracker, FATAL, now));
-    assert_eq!(verdict(&mut tracker, OTHER, now), Treatment::Clear);
+    assert_eq!(treatment(&mut tracker, OTHER, now), Treatment::Clear);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let now = now + CRASH_INTERVAL;
     there.apply_notes(&here.due_notes(Recipients::HallPeers, 8, now), true, now);
     for tracker in [&mut here, &mut there] {
-        assert_eq!(verdict(tracker, OTHER, now), Treatment::Clear);
+        assert_eq!(treatment(tracker, OTHER, now), Treatment::Clear);
         assert!(is_refused(tracker, FATAL, now), "no other request ran on these replicas");
     }
 }
@@ -122,7 +122,7 @@
     let now = crash_replicas(&mut here, &[FATAL], &["a", "b", "c"], START);
     assert!(is_refused(&mut here, FATAL, now));
     there.apply_notes(&here.due_notes(Recipients::HallPeers, 8, now), true, now);
-    let Treatment::Refused(refused) = verdict(&mut there, FATAL, now) else {
+    let Treatment::Refused(refused) = treatment(&mut there, FATAL, now) else {
         panic!("the refusal was reported");
     };
     assert_eq!((refused.crashes, refused.known_by), (3, KnownBy::Peer));
@@ -139,9 +139,9 @@
     let later = now + Span::millis(60_000);
     here.expire(later);
     here.apply_notes(&there.due_notes(Recipients::HallPeers, 8, later), true, later);
-    assert_eq!(verdict(&mut here, FATAL, later), Treatment::Clear);
+    assert_eq!(treatment(&mut here, FATAL, later), Treatment::Clear);
     there.apply_notes(&here.due_notes(Recipients::HallPeers, 8, later), true, later);
-    assert_eq!(verdict(&mut there, FATAL, later), Treatment::Clear);
+    assert_eq!(treatment(&mut there, FATAL, later), Treatment::Clear);
 }
 
 #[test]
@@ -205,7 +205,7 @@
         let later = crash_replicas(&mut here, &[FATAL], &["d"], later);
         there.apply_notes(&here.due_notes(Recipients::HallPeers, 2, later), true, later);
         for tracker in [&mut here, &mut there] {
-            let Treatment::Refused(refused) = verdict(tracker, FATAL, later) else {
+            let Treatment::Refused(refused) = treatment(tracker, FATAL, later) else {
                 panic!("one more crash is enough");
             };
             assert_eq!(refused.until.since(refused.since), RETENTION, "{offset_ms} ms apart");
@@ -234,7 +234,7 @@
     assert!(is_isolated(&mut there, FATAL, now));
     let mut expiring = there.clone();
     expiring.expire(now + suspicion.time_left);
-    assert_eq!(verdict(&mut expiring, FATAL, now + suspicion.time_left), Treatment::Clear);
+    assert_eq!(treatment(&mut expiring, FATAL, now + suspicion.time_left), Treatment::Clear);
     let now = crash_replicas(&mut there, &[FATAL], &["c"], now);
     assert!(is_refused(&mut there, FATAL, now));
     assert_eq!(there.suspected(now).count(), 0, "it is refused and no longer just suspected");
@@ -276,7 +276,7 @@
     assert!(tracker.lift(FATAL, removed));
     let later = removed + Span::millis(5);
     assert!(!tracker.apply_stored_refusal(FATAL, 3, later.since(now), RETENTION, later));
-    assert_eq!(verdict(&mut tracker, FATAL, later), Treatment::Clear);
+    assert_eq!(treatment(&mut tracker, FATAL, later), Treatment::Clear);
     let newer = later + CRASH_INTERVAL;
     assert!(
         tracker.apply_stored_refusal(FATAL, 3, Span::millis(1), RETENTION, newer),
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Sends of each fatal request later than [`REPORT_BOUND`] after its third crash.
-    pub late_sends: Vec<usize>,
+    pub late_attempts: Vec<usize>,
     /// Engines that each fatal request crashed.
     pub crashes: Vec<usize>,
     /// Harmless requests.
@@ -71,9 +71,9 @@
     kind: Kind,
     content: ContentHash,
     /// Attempts that its caller has left, including this one.
-    attempts_left: usize,
+    sends_left: usize,
     /// Tries at engines in this attempt.
-    tries: usize,
+    attempts: usize,
     engines_lost: usize,
 }
 
@@ -139,7 +139,7 @@
             messages: Vec::new(),
             third_crash: HashMap::new(),
             outcome: Outcome {
-                late_sends: vec![0; scenario.fatal_requests],
+                late_attempts: vec![0; scenario.fatal_requests],
                 crashes: vec![0; scenario.fatal_requests],
                 ..Outcome::default()
             },
@@ -153,8 +153,8 @@
                 let request = CallerRequest {
                     kind: Kind::Fatal(fatal),
                     content,
-                    attempts_left: usize::MAX,
-                    tries: 0,
+                    sends_left: usize::MAX,
+                    attempts: 0,
                     engines_lost: 0,
                 };
                 simulation.arrivals.push((start + Span::millis(2_000), request));
@@ -194,9 +194,9 @@
                 };
                 let content = ContentHash(rendezvous(self.scenario.seed ^ 0x5eed, number));
                 self.outcome.other_requests += 1;
-                let attempts_left = self.scenario.query_attempts.0;
+                let sends_left = self.scenario.query_sends.0;
                 self.arrivals
-                    .push((self.now, CallerRequest { kind, content, attempts_left, tries: 0, engines_lost: 0 }));
+                    .push((self.now, CallerRequest { kind, content, sends_left, attempts: 0, engines_lost: 0 }));
             }
         }
         let now = self.now;
@@ -207,7 +207,7 @@
             if self.down_until[daemon].is_past(self.now) {
                 self.handle_request(request, daemon);
             } else {
-                self.schedule_retry(request);
+                self.schedule_caller_retry(request);
             }
         }
     }
@@ -219,25 +219,25 @@
         match self.daemons[daemon].treatment(request.content, daemons, cut_off, self.now) {
             Treatment::Pending(until) => self.arrivals.push((until, request)),
             Treatment::Refused(refused) => self.handle_refusal(request, refused.until),
-            verdict => {
-                let is_isolated = matches!(verdict, Treatment::Isolated(_));
-                let is_whole = matches!(verdict, Treatment::Isolated(apart) if apart.single_replica);
+            treatment => {
+                let is_isolated = matches!(treatment, Treatment::Isolated(_));
+                let is_single_replica = matches!(treatment, Treatment::Isolated(isolation) if isolation.single_replica);
                 let by_content = is_isolated && self.scenario.isolate_suspects;
                 let Some(engine) = self.choose_engine(&request, by_content) else {
-                    return self.schedule_retry(request);
+                    return self.schedule_caller_retry(request);
                 };
-                request.tries += 1;
+                request.attempts += 1;
                 if let Kind::Fatal(fatal) = request.kind
                     && self.third_crash.get(&fatal).is_some_and(|at| (*at + REPORT_BOUND).is_past(self.now))
                 {
-                    self.outcome.late_sends[fatal] += 1;
+                    self.outcome.late_attempts[fatal] += 1;
                 }
                 let duration = match request.kind {
                     Kind::Fatal(_) => self.random_span(40, 130),
                     Kind::Query => self.random_span(20, 120),
                     Kind::Chat => self.random_span(3_000, 10_000),
                 };
-                if self.scenario.run_trials && is_whole {
+                if self.scenario.run_trials && is_single_replica {
                     self.daemons[daemon].begin_trial(request.content, self.now);
                 }
                 self.runs.push(Run { request, daemon, engine, ends_at: self.now + duration });
@@ -269,18 +269,18 @@
             self.outcome.wrongly_refused += 1;
             self.outcome.longest_refusal_ms = self.outcome.longest_refusal_ms.max(until.since(self.now).as_millis());
         }
-        self.schedule_retry(request);
+        self.schedule_caller_retry(request);
     }
 
     /// The caller got an unsuccessful answer and may retry.
-    fn schedule_retry(&mut self, mut request: CallerRequest) {
-        request.attempts_left -= usize::from(request.attempts_left != usize::MAX);
-        request.tries = 0;
-        if request.attempts_left > 0 {
-            let (from, to) = if request.attempts_left == usize::MAX {
+    fn schedule_caller_retry(&mut self, mut request: CallerRequest) {
+        request.sends_left -= usize::from(request.sends_left != usize::MAX);
+        request.attempts = 0;
+        if request.sends_left > 0 {
+            let (from, to) = if request.sends_left == usize::MAX {
                 self.scenario.fatal_retry_ms
             } else {
-                self.scenario.query_attempts.1
+                self.scenario.query_sends.1
             };
             let wait = self.random_span(from, to);
             self.arrivals.push((self.now + wait, request));
@@ -330,13 +330,17 @@
                 self.outcome.lost_three_engines += 1;
             }
             // A daemon does not retry a chat.
-            let max_tries = if request.kind == Kind::Chat { 1 } else { 2 };
-            if request.tries < max_tries { self.recheck(request, run.daemon) } else { self.schedule_retry(request) }
+            let max_attempts = if request.kind == Kind::Chat { 1 } else { 2 };
+            if request.attempts < max_attempts {
+                self.schedule_daemon_retry(request, run.daemon);
+            } else {
+                self.schedule_caller_retry(request);
+            }
         }
     }
 
     /// The request stays at its daemon, which first checks the replica.
-    fn recheck(&mut self, request: CallerRequest, daemon: usize) {
+    fn schedule_daemon_retry(&mut self, request: CallerRequest, daemon: usize) {
         let at = self.now + DETECTION_DELAY;
         self.runs.push(Run { request, daemon, engine: usize::MAX, ends_at: at });
     }
