--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -21,7 +21,7 @@
 const LENGTH: Time = Time(14_000_000);
 const TOLERANCE: Tolerance = Tolerance { window: Span::millis(2_000), excess_share: 0.02, slack: 10_000.0 };
 /// Tolerance at which a bucket holds the whole burst.
-const ROOMY: Tolerance = Tolerance { slack: 60_000.0, ..TOLERANCE };
+const WHOLE_BURST_TOLERANCE: Tolerance = Tolerance { slack: 60_000.0, ..TOLERANCE };
 const QUOTA: Quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 60_000.0, burst: 60_000.0 };
 
 /// Fault put into the protocol, to show that the check detects it.
@@ -58,7 +58,7 @@
     tolerance: Tolerance,
     now: Time,
     mutation: Mutation,
-    lossy: bool,
+    has_faults: bool,
     /// Probability of a long message delay.
     delay_probability: f64,
     /// Whether daemons back off from an owner that did not answer; the bound must not depend on it.
@@ -71,7 +71,7 @@
     clients: Vec<QuotaClient>,
     /// Until when a daemon is cut off from the other daemons, and from the store.
     partitioned_until: [(Time, Time); DAEMONS],
-    paused: [Time; DAEMONS],
+    paused_until: [Time; DAEMONS],
     pending: HashMap<u64, (usize, u64, Vec<u8>)>,
     events: BinaryHeap<std::cmp::Reverse<(Time, u64, Event)>>,
     number: u64,
@@ -81,12 +81,12 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, mutation: Mutation, lossy: bool, tolerance: Tolerance) -> Self {
+    fn new(seed: u64, mutation: Mutation, has_faults: bool, tolerance: Tolerance) -> Self {
         let mut simulation = Self {
             rng: SmallRng::seed_from_u64(seed),
             now: Time(0),
             mutation,
-            lossy,
+            has_faults,
             delay_probability: if seed.is_multiple_of(2) { 0.0 } else { 0.3 },
             backs_off: seed.is_multiple_of(3),
             restarts_only: seed.is_multiple_of(5),
@@ -95,7 +95,7 @@
             owners: Vec::new(),
             clients: (0..DAEMONS).map(|_| QuotaClient::default()).collect(),
             partitioned_until: [(Time(0), Time(0)); DAEMONS],
-            paused: [Time(0); DAEMONS],
+            paused_until: [Time(0); DAEMONS],
             pending: HashMap::new(),
             events: BinaryHeap::new(),
             number: 0,
@@ -106,7 +106,7 @@
         for shard in simulation.terms.shards_of(TEAM) {
             simulation.push(Span::default(), Event::TakeOver { shard });
         }
-        if lossy {
+        if has_faults {
             simulation.push(Span::millis(500), Event::InjectFault);
         }
         simulation
@@ -144,7 +144,7 @@
         match event {
             Event::Request { daemon, cost } => {
                 self.requests += 1;
-                self.next(daemon, cost, Vec::new());
+                self.request_credit(daemon, cost, Vec::new());
             }
             Event::Ask { shard, from, to, asked, cost, number } => self.on_ask(shard, (from, to), asked, cost, number),
             Event::Answer { shard, to, asked, number, granted, left } => {
@@ -157,7 +157,7 @@
         }
     }
 
-    fn next(&mut self, daemon: usize, cost: u64, mut tried: Vec<u8>) {
+    fn request_credit(&mut self, daemon: usize, cost: u64, mut tried: Vec<u8>) {
         let tie_breaker = self.rng.random();
         let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker };
         match self.clients[daemon].next_step(&need, &tried, |_| true, self.now) {
@@ -165,8 +165,9 @@
                 // The question may go to the present owner or to a former one.
                 let owners: Vec<usize> =
                     self.owners.iter().filter(|(of, _)| *of == shard).map(|(_, owner)| owner.daemon).collect();
-                let late = if self.lossy && self.rng.random_bool(0.5) { 0 } else { owners.len().saturating_sub(1) };
-                let Some(to) = owners.get(late).copied() else { return };
+                let index =
+                    if self.has_faults && self.rng.random_bool(0.5) { 0 } else { owners.len().saturating_sub(1) };
+                let Some(to) = owners.get(index).copied() else { return };
                 tried.push(shard);
                 self.number += 1;
                 let number = self.number;
@@ -184,24 +185,24 @@
             return;
         }
         let copies = match self.rng.random_range(0..100) {
-            _ if !self.lossy => 1,
+            _ if !self.has_faults => 1,
             0..2 => 0,
             2..6 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = self.lossy && self.rng.random_bool(self.delay_probability);
+            let late = self.has_faults && self.rng.random_bool(self.delay_probability);
             let delay = self.rng.random_range(if late { 100..4_000 } else { 1..4 });
-            let paused = self.paused[to].since(self.now);
-            self.push(Span::millis(delay).max(paused), event(self.now));
+            let pause_left = self.paused_until[to].since(self.now);
+            self.push(Span::millis(delay).max(pause_left), event(self.now));
         }
     }
 
     fn on_ask(&mut self, shard: u8, (from, to): (usize, usize), asked: Time, cost: u64, number: u64) {
         let (terms, now, mutation) = (self.terms, self.now, self.mutation);
         let owners = self.owners.iter_mut().rev();
-        let mut mine = owners.filter(|(of, owner)| *of == shard && owner.daemon == to).map(|(_, owner)| owner);
-        let Some(owner) = mine.next().filter(|owner| owner.authority.holds(now) || mutation == Mutation::IgnoresLease)
+        let mut own = owners.filter(|(of, owner)| *of == shard && owner.daemon == to).map(|(_, owner)| owner);
+        let Some(owner) = own.next().filter(|owner| owner.authority.holds(now) || mutation == Mutation::IgnoresLease)
         else {
             return;
         };
@@ -219,7 +220,7 @@
         if granted && Credit::requested_at(asked).is_usable(self.now) {
             self.spent.push((self.now, cost));
         } else if !granted {
-            self.next(daemon, cost, tried);
+            self.request_credit(daemon, cost, tried);
         }
     }
 
@@ -229,21 +230,21 @@
             if self.backs_off {
                 self.clients[daemon].mark_unavailable(shard, self.now);
             }
-            self.next(daemon, cost, tried);
+            self.request_credit(daemon, cost, tried);
         }
     }
 
     fn renew(&mut self, shard: u8) {
         let now = self.now;
-        let (partitioned_until, paused) = (self.partitioned_until, self.paused);
-        let answered = self.rng.random_bool(if self.lossy { 0.8 } else { 1.0 });
-        let delay = Span::millis(self.rng.random_range(1..if self.lossy { 300 } else { 5 }));
+        let (partitioned_until, paused_until) = (self.partitioned_until, self.paused_until);
+        let answered = self.rng.random_bool(if self.has_faults { 0.8 } else { 1.0 });
+        let delay = Span::millis(self.rng.random_range(1..if self.has_faults { 300 } else { 5 }));
         let Some((_, owner)) = self.owners.iter_mut().rev().find(|(of, _)| *of == shard) else { return };
         if owner.lease_ends.is_past(now) {
             let after = Span::millis(200);
             return self.push(after, Event::TakeOver { shard });
         }
-        let reaches = partitioned_until[owner.daemon].1.is_past(now) && paused[owner.daemon].is_past(now);
+        let reaches = partitioned_until[owner.daemon].1.is_past(now) && paused_until[owner.daemon].is_past(now);
         if reaches {
             owner.lease_ends = owner.lease_ends.max(now + delay + LEASE);
             if answered {
@@ -255,7 +256,7 @@
 
     fn take_over(&mut self, shard: u8) {
         let daemon = self.rng.random_range(0..DAEMONS);
-        if !self.partitioned_until[daemon].1.is_past(self.now) || !self.paused[daemon].is_past(self.now) {
+        if !self.partitioned_until[daemon].1.is_past(self.now) || !self.paused_until[daemon].is_past(self.now) {
             return self.push(Span::millis(200), Event::TakeOver { shard });
         }
         let since = if self.mutation == Mutation::FullAtTakeover { Time(0) } else { self.now };
@@ -278,7 +279,7 @@
             _ if self.restarts_only => self.restart(at),
             0 => self.partitioned_until[at].0 = until,
             1 => self.partitioned_until[at].1 = until,
-            2 => self.paused[at] = until,
+            2 => self.paused_until[at] = until,
             _ => self.restart(at),
         }
         let after = Span::millis(self.rng.random_range(100..800));
@@ -298,7 +299,7 @@
 
     /// Maximum usage in any window.
     fn max_window_usage(&self) -> f64 {
-        let mut most = 0;
+        let mut max_usage = 0;
         let mut sum = 0;
         let mut first = 0;
         for (at, cost) in &self.spent {
@@ -307,9 +308,9 @@
                 sum -= self.spent[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            max_usage = max_usage.max(sum);
         }
-        most as f64
+        max_usage as f64
     }
 }
 
@@ -326,9 +327,9 @@
     let seeds = 200 * std::env::var("TIMES").ok().and_then(|times| times.parse().ok()).unwrap_or(1);
     let mut served = 0.0;
     for seed in 0..seeds {
-        let most = max_window_usage_of_run(seed, Mutation::None);
-        assert!(most <= allowed, "seed {seed}: {most} of {allowed}");
-        served += most / seeds as f64;
+        let max_usage = max_window_usage_of_run(seed, Mutation::None);
+        assert!(max_usage <= allowed, "seed {seed}: {max_usage} of {allowed}");
+        served += max_usage / seeds as f64;
     }
     println!("{served:.0} of {allowed:.0} units in the fullest window, mean of {seeds} seeds");
 }
@@ -367,7 +368,7 @@
 fn team_below_limit_is_rarely_refused_with_skewed_load() {
     let (mut requests, mut refused) = (0, 0);
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, Mutation::None, false, ROOMY);
+        let mut simulation = Simulation::new(seed, Mutation::None, false, WHOLE_BURST_TOLERANCE);
         simulation.add_requests(0.8, Time(3_000_000));
         simulation.run();
         requests += simulation.requests;
@@ -389,7 +390,7 @@
 
 #[test]
 fn shard_limits_keep_window_bound_for_any_tolerance() {
-    let life_s = 0.75;
+    let credit_ttl_s = 0.75;
     for (excess_share, slack, rate, burst) in
         [(0.0, 0.0, 10.0, 1.0), (0.0, 0.0, 10.0, 40.0), (0.1, 140_000.0, 36_000.0, 36_000.0), (0.5, 0.0, 0.0, 5.0)]
     {
@@ -397,8 +398,8 @@
             let tolerance = Tolerance { window: Span::millis(8_000), excess_share, slack };
             let quota = Quota { unit, rate, burst };
             let terms = ShardTerms::split(&quota, &tolerance);
-            let most = (terms.depth + terms.rate * (8.0 + life_s)) * terms.count as f64;
-            assert!(most <= tolerance.allowed(&quota), "{terms:?} {quota:?}");
+            let max_usage = (terms.depth + terms.rate * (8.0 + credit_ttl_s)) * terms.count as f64;
+            assert!(max_usage <= tolerance.allowed(&quota), "{terms:?} {quota:?}");
             assert!(terms.depth > 0.0, "{terms:?} {quota:?}");
             assert_eq!(terms.shards_of(TEAM).len(), terms.count);
         }
