--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -58,7 +58,7 @@
     decode: Option<Step>,
     prompt: Prompt,
     tokens: u32,
-    counts: bool,
+    is_counted: bool,
 }
 
 struct Simulation {
@@ -96,9 +96,9 @@
         let per_ms = load * ENGINES_PER_ROLE as f64 / MEAN_PREFILL_MS;
         while now.since(start).as_seconds() < SECONDS {
             now = now + Span::millis(1);
-            let counts = now.since(start).as_seconds() > WARM_UP;
+            let is_counted = now.since(start).as_seconds() > WARM_UP;
             if self.rng.random_bool(per_ms.min(1.0)) {
-                self.arrive(counts, now);
+                self.arrive(is_counted, now);
             }
             for engine in 0..self.queues.len() {
                 self.advance(engine, now);
@@ -106,7 +106,7 @@
         }
     }
 
-    fn arrive(&mut self, counts: bool, now: Time) {
+    fn arrive(&mut self, is_counted: bool, now: Time) {
         self.arrivals += 1;
         let own = lognormal(&mut self.rng, 2_890.0, 1.0).clamp(50.0, 18_300.0) as u32;
         let subject = self.rng.random_range(0..SUBJECTS);
@@ -133,7 +133,7 @@
             Ok(Plan::Disaggregated { prefill, decode }) => (prefill, Some(decode)),
             Ok(Plan::Single(step)) => (step, None),
             Err(_) => {
-                if counts {
+                if is_counted {
                     self.served.push((tokens, false));
                 }
                 return;
@@ -141,7 +141,7 @@
         };
         let sent = self.fleet.begin_step(step.key, &step, Some(&prompt), now).expect("the replica is known");
         let queue = self.queues.iter_mut().find(|(key, ..)| *key == step.key).expect("the replica has a queue");
-        queue.1.push(QueuedPrompt { sent, step, decode, prompt, tokens, counts });
+        queue.1.push(QueuedPrompt { sent, step, decode, prompt, tokens, is_counted });
     }
 
     /// Advances one engine: prompts that can be in time are processed before late ones, each in order of arrival.
@@ -169,7 +169,7 @@
         self.fleet.prefill_ended(&mut finished.sent, StepEnd::Done, now);
         self.fleet.end_step(&finished.sent, StepEnd::Done, now);
         let in_time = now.since(finished.sent.sent_at) < CALLER_TIMEOUT;
-        if finished.counts {
+        if finished.is_counted {
             self.served.push((finished.tokens, in_time));
         }
         if let Some(decode) = finished.decode
@@ -191,8 +191,8 @@
 
 /// Actual duration of a prefill.
 fn actual_prefill_ms(prefill: PrefillWork) -> f64 {
-    let (uncached, held) = (f64::from(prefill.uncached), f64::from(prefill.cached));
-    5.0 + uncached / 307.0 + 0.147 * uncached * (held + uncached / 2.0) / 1e6
+    let (uncached, cached) = (f64::from(prefill.uncached), f64::from(prefill.cached));
+    5.0 + uncached / 307.0 + 0.147 * uncached * (cached + uncached / 2.0) / 1e6
 }
 
 fn lognormal(rng: &mut SmallRng, mean: f64, spread: f64) -> f64 {
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -28,7 +28,7 @@
 /// Slots of each engine.
 const SLOTS: u32 = 96;
 /// Milliseconds between two events of an answer without others on the engine.
-const ALONE_MS: f64 = 44.0;
+const BASE_INTERVAL_MS: f64 = 44.0;
 /// Milliseconds that each other answer adds.
 const MS_PER_ANSWER: f64 = 0.34;
 /// Maximum number of events of an answer.
@@ -62,7 +62,7 @@
     /// Number of long answers that start per second.
     per_second: f64,
     /// Whether callers estimate the length of their answers.
-    has_guesses: bool,
+    has_hints: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -120,8 +120,8 @@
         self.arrivals_so_far += 1;
         let parts = [(1, 50), (1_000 + self.arrivals_so_far, 100)];
         let events = answer_events(&mut self.rng);
-        let guess = self.arrivals.has_guesses.then(|| caller_guess(&mut self.rng, events));
-        let prompt = Prompt::new("m", parts.into_iter(), 150, MAX_TOKENS).with_output_hint(guess);
+        let hint = self.arrivals.has_hints.then(|| caller_hint(&mut self.rng, events));
+        let prompt = Prompt::new("m", parts.into_iter(), 150, MAX_TOKENS).with_output_hint(hint);
         let draw = self.rng.random();
         let req = RouteRequest {
             time_left: CALLER_TIMEOUT,
@@ -154,7 +154,7 @@
         }
         for answer in &mut self.running {
             let others = f64::from(answers[answer.engine]);
-            let interval_ms = self.slowness[answer.engine] * (ALONE_MS + MS_PER_ANSWER * others);
+            let interval_ms = self.slowness[answer.engine] * (BASE_INTERVAL_MS + MS_PER_ANSWER * others);
             answer.events_done += TICK.as_millis_f64() / interval_ms;
             if now.since(answer.last_report.1) >= REPORT_INTERVAL {
                 answer.learn(&mut self.fleet, now);
@@ -209,13 +209,13 @@
 }
 
 /// A caller's estimate of an answer's tokens: the median is right, a third are off by half or more.
-fn caller_guess(rng: &mut SmallRng, events: f64) -> u32 {
+fn caller_hint(rng: &mut SmallRng, events: f64) -> u32 {
     (events * f64::from(MAX_TOKENS) / MAX_EVENTS * (0.5 * standard_normal(rng)).exp()) as u32
 }
 
 #[test]
 fn the_longest_answers_end_in_time_when_some_engines_are_slow() {
-    let arrivals = Arrivals { per_second: 36.0, has_guesses: false };
+    let arrivals = Arrivals { per_second: 36.0, has_hints: false };
     for seed in 0..5 {
         let mut simulation = Simulation::new(&[1.0, 1.3, 1.0, 1.0, 1.3, 1.0], arrivals, seed);
         simulation.run();
@@ -230,7 +230,7 @@
 /// ones. Without estimates 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
 #[test]
 fn likely_short_answers_leave_the_fast_engines_to_long_ones() {
-    let arrivals = Arrivals { per_second: 48.0, has_guesses: true };
+    let arrivals = Arrivals { per_second: 48.0, has_hints: true };
     for seed in 0..5 {
         let mut simulation = Simulation::new(&[1.3, 1.0, 1.3, 1.0, 1.3], arrivals, seed);
         simulation.run();
--- a/crates/core/tests/fleet/pool.rs
+++ b/crates/core/tests/fleet/pool.rs
@@ -146,8 +146,10 @@
             running.staying = running.staying.min(next.staying);
             running.reclaimable = running.reclaimable.min(next.reclaimable);
             let starting = |is_reclaimable| {
-                self.starting.iter().filter(|(_, engine_hall, k)| engine_hall == hall && *k == is_reclaimable).count()
-                    as u32
+                self.starting
+                    .iter()
+                    .filter(|(_, engine_hall, reclaimable)| engine_hall == hall && *reclaimable == is_reclaimable)
+                    .count() as u32
             };
             let missing_staying = next.staying - (running.staying + starting(false)).min(next.staying);
             let missing_reclaimable = next.reclaimable - (running.reclaimable + starting(true)).min(next.reclaimable);
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -16,7 +16,7 @@
 /// Length of the windows in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 /// Time within which all daemons must respect a newly stated limit, in milliseconds.
-const CONTACT_MS: u64 = 3_000;
+const PROPAGATION_BOUND_MS: u64 = 3_000;
 
 /// Maximum number of requests to a replica in one window.
 fn allowed(limit: f64) -> usize {
@@ -89,7 +89,7 @@
         for limit in [0.5, 1.0, 2.5, 4.4, 7.3, 11.0, 60.0] {
             let mut daemons = Daemons::new(count, limit);
             daemons.run(0, 20_000, tick_ms);
-            let max_requests = daemons.max_in_window(CONTACT_MS);
+            let max_requests = daemons.max_in_window(PROPAGATION_BOUND_MS);
             assert!(
                 max_requests <= allowed(limit),
                 "{count} daemons, {limit} per second: {max_requests} of {}",
@@ -138,7 +138,7 @@
             }
             listed = next;
         }
-        let max_requests = daemons.max_in_window(CONTACT_MS);
+        let max_requests = daemons.max_in_window(PROPAGATION_BOUND_MS);
         assert!(
             max_requests <= allowed(limit),
             "seed {seed}, {limit} per second: {max_requests} of {}",
@@ -162,7 +162,7 @@
                     daemons.send(rank, ms);
                 }
             }
-            let max_requests = daemons.max_in_window(CONTACT_MS);
+            let max_requests = daemons.max_in_window(PROPAGATION_BOUND_MS);
             assert!(
                 max_requests <= allowed(limit),
                 "{count} daemons, {limit} per second: {max_requests} of {}",
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -19,7 +19,7 @@
 
 const ID: &str = "a";
 
-fn start(start_time_ms: u64) -> ReplicaFacts {
+fn facts_of_start(start_time_ms: u64) -> ReplicaFacts {
     ReplicaFacts { start_time_ms: Some(start_time_ms), ..crate::facts(ID, Role::Decode) }
 }
 
@@ -40,7 +40,7 @@
 
 /// The report of a daemon that has load on the given start.
 fn report_with_load(start_time_ms: u64) -> LoadReport {
-    let mut fleet = fleet_with(start(start_time_ms));
+    let mut fleet = fleet_with(facts_of_start(start_time_ms));
     let key = fleet.key(ID).expect("the replica is known");
     fleet.begin_step(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now());
     fleet.own_report(now())
@@ -48,22 +48,22 @@
 
 #[test]
 fn the_state_of_a_replica_is_discarded_when_it_restarts() {
-    let mut fleet = fleet_with(ReplicaFacts { draining: true, ..start(1_000) });
+    let mut fleet = fleet_with(ReplicaFacts { draining: true, ..facts_of_start(1_000) });
     let key = fleet.key(ID).expect("the replica is known");
     let sent =
         fleet.begin_step(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("the replica is known");
-    fleet.mark_unreachable(&start(1_000), now());
+    fleet.mark_unreachable(&facts_of_start(1_000), now());
     fleet.start_role_change(key, Role::Prefill, now() + Span::millis(9_000));
     fleet.hold_orders_until(key, now() + Span::millis(9_000));
-    assert!(fleet.put(start(5_000), 2), "the entry belongs to a new start");
+    assert!(fleet.put(facts_of_start(5_000), 2), "the entry belongs to a new start");
     let new_key = fleet.key(ID).expect("the replica is known");
     assert_ne!(new_key, key, "nothing planned for the previous start applies to the new one");
     let replica = fleet.get(new_key).expect("the replica is known");
     assert!(replica.is_open(now()) && replica.health.is_available(now()) && replica.orders_held_until.is_past(now()));
     assert_eq!((replica.active(), held_tokens(&fleet)), (0, 0));
     assert!(fleet.get(key).is_none());
-    assert!(fleet.is_replaced(&start(1_000)) && !fleet.is_replaced(&start(5_000)));
-    assert!(!fleet.mark_unreachable(&start(1_000), now()), "that was the previous start");
+    assert!(fleet.is_replaced(&facts_of_start(1_000)) && !fleet.is_replaced(&facts_of_start(5_000)));
+    assert!(!fleet.mark_unreachable(&facts_of_start(1_000), now()), "that was the previous start");
     // Requests that were active end without affecting the new start.
     assert!(!fleet.end_step(&sent, StepEnd::Silent, now()));
     let replica = fleet.get(new_key).expect("the replica is known");
@@ -98,17 +98,17 @@
             daemons: 1,
         };
         let mut arrivals = vec![
-            Arrival::Entry(start(1_000), 3),
-            Arrival::Entry(start(1_000), 5),
+            Arrival::Entry(facts_of_start(1_000), 3),
+            Arrival::Entry(facts_of_start(1_000), 5),
             Arrival::Removed(7),
-            Arrival::Entry(start(5_000), 9),
+            Arrival::Entry(facts_of_start(5_000), 9),
             Arrival::Peer(id(1, 1), old.clone()),
             Arrival::Peer(id(2, 1), new.clone()),
         ];
         // A daemon that copies the store's contents from a peer may receive an entry of the older start at a newer
         // revision than it has seen.
         if rng.random_bool(0.5) {
-            arrivals.push(Arrival::Entry(start(1_000), 10));
+            arrivals.push(Arrival::Entry(facts_of_start(1_000), 10));
         }
         arrivals.shuffle(&mut rng);
         let mut fleet = fleet();
