--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -179,8 +179,8 @@
         replaced && !self.in_flight.iter().any(|order| order.by == *process)
     }
 
-    fn apply(&mut self, step: &Event) {
-        match step {
+    fn apply(&mut self, event: &Event) {
+        match event {
             Event::AcquireLease(n) => {
                 self.epoch += 1;
                 self.holders[*n].lease_epoch = Some(self.epoch);
@@ -261,9 +261,9 @@
 
     fn release_custody(&mut self, n: usize) {
         let holder = &self.holders[n];
-        let free = holder.pending_order.is_none() && !self.in_flight.iter().any(|order| order.by == holder.me);
+        let is_idle = holder.pending_order.is_none() && !self.in_flight.iter().any(|order| order.by == holder.me);
         if holder.lease_epoch.is_none()
-            && free
+            && is_idle
             && let Some(next) = release(&self.record, &holder.me)
         {
             self.record = next;
@@ -298,9 +298,9 @@
 
 fn run_events(fencing: Fencing, events: &[Event]) -> Result<usize, TestCaseError> {
     let mut simulation = Simulation::new(fencing);
-    for step in events {
-        simulation.apply(step);
-        prop_assert!(simulation.engine.violations.is_empty(), "{:?} after {step:?}", simulation.engine.violations);
+    for event in events {
+        simulation.apply(event);
+        prop_assert!(simulation.engine.violations.is_empty(), "{:?} after {event:?}", simulation.engine.violations);
     }
     Ok(simulation.engine.taken)
 }
@@ -336,14 +336,14 @@
         let mut simulation = Simulation::new(fencing);
         simulation.apply(&Event::AcquireLease(0));
         for _ in 0..8 {
-            for step in [
+            for event in [
                 Event::ReadRecord(0),
                 Event::ReadStatus(0),
                 Event::TakeStep(0, OrderKind::SetRole(Role::Decode), false),
                 Event::SendPending(0, true),
                 Event::FinishChange,
             ] {
-                simulation.apply(&step);
+                simulation.apply(&event);
             }
         }
         assert_eq!(simulation.engine.status.role, Role::Decode);
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -180,8 +180,8 @@
         let mut driver = Driver::default();
         let mut closed = Vec::new();
         let mut now = START;
-        for step in events {
-            match step {
+        for event in events {
+            match event {
                 Event::Submit(repeatable, millis) => {
                     if let Ok(key) = dispatcher.submit("t", spec(pool, repeatable, now, millis), now) {
                         driver.repeatable.insert(key, repeatable);
--- a/crates/core/tests/engine_model.rs
+++ b/crates/core/tests/engine_model.rs
@@ -204,22 +204,22 @@
 }
 
 #[test]
-fn a_callers_guess_bounds_the_events_of_nine_in_ten_answers() {
+fn a_callers_hint_bounds_the_events_of_nine_in_ten_answers() {
     let mut rng = SmallRng::seed_from_u64(2);
     let mut pace = AnswerPace::default();
     pace.learn_finished(200, 12_000);
     for _ in 0..2_000 {
         // An event has 60 tokens, and nine in ten answers are no longer than 1.8 times the guess.
-        let guess = rng.random_range(600..6_000);
+        let hint = rng.random_range(600..6_000);
         let factor = rng.random_range(0.0..2.0);
-        pace.learn_hint((f64::from(guess) / 60.0 * factor) as u64, Some(guess));
+        pace.learn_hint((f64::from(hint) / 60.0 * factor) as u64, Some(hint));
     }
-    let likely = |output, guess| {
-        let prompt = Prompt::new("m", std::iter::empty(), 100, output).with_output_hint(guess);
+    let likely = |output, hint| {
+        let prompt = Prompt::new("m", std::iter::empty(), 100, output).with_output_hint(hint);
         pace.likely_max_events(&prompt, false).expect("the event limit is known")
     };
-    let guessed = likely(12_000, Some(3_000));
-    assert!((80.0..100.0).contains(&guessed), "{guessed} events for a guess of 50");
+    let hinted = likely(12_000, Some(3_000));
+    assert!((80.0..100.0).contains(&hinted), "{hinted} events for a hint of 50");
     for max in [likely(12_000, Some(60_000)), likely(12_000, None)] {
         assert!((max - 200.0).abs() < 0.1, "{max}: no more than the maximum");
     }
--- a/crates/core/tests/member.rs
+++ b/crates/core/tests/member.rs
@@ -84,16 +84,16 @@
     /// However probes, silences and restarts interleave: after one full round of probes between all members,
     /// all believe that all are alive, under their latest start numbers.
     #[test]
-    fn beliefs_converge_after_faults(steps in prop::collection::vec((0..4_usize, 0..4_usize, 0..4_u8), 1..200)) {
+    fn beliefs_converge_after_faults(events in prop::collection::vec((0..4_usize, 0..4_usize, 0..4_u8), 1..200)) {
         let mut tables: Vec<_> = (0..4).map(|n| table(n, 4)).collect();
         let mut now = Time(1);
-        for (from, to, what) in steps {
+        for (from, to, event) in events {
             now = now + Span::millis(700);
             if from == to {
                 continue;
             }
             let key = tables[from].others().find(|(_, m)| m.contact == contact(to)).map(|(k, _)| k);
-            match (what, key) {
+            match (event, key) {
                 (0, Some(key)) => tables[from].record_unreached(key, now),
                 (1, _) => {
                     let start = tables[to].me().start + 1;
--- a/crates/core/tests/proof.rs
+++ b/crates/core/tests/proof.rs
@@ -171,9 +171,9 @@
 fn send(rng: &mut SmallRng, in_flight: &mut Vec<InFlight>, now_ms: u64, at: usize, acknowledged: &[u64], asked: Time) {
     if at < 2 {
         // The store reads its state some time after the request, and its answer takes some time.
-        let looked_ms = now_ms + delay(rng);
-        let revision = revision_at(acknowledged, looked_ms);
-        let arrives_ms = looked_ms + delay(rng);
+        let read_ms = now_ms + delay(rng);
+        let revision = revision_at(acknowledged, read_ms);
+        let arrives_ms = read_ms + delay(rng);
         in_flight.push(InFlight { arrives_ms, to: at, payload: Payload::Configuration { revision } });
         in_flight.push(InFlight { arrives_ms, to: at, payload: Payload::StoreAnswer { asked, revision } });
     } else {
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -19,22 +19,23 @@
         let mut expected: BTreeMap<(u64, String), u64> = BTreeMap::new();
         let mut messages = Vec::new();
         for _ in 0..200 {
-            let at = rng.random_range(0..counters.len());
+            let daemon = rng.random_range(0..counters.len());
             let window = rng.random_range(10..13);
             let team = &teams[rng.random_range(0..2)];
-            counters[at].count(window, team);
+            counters[daemon].count(window, team);
             *expected.entry((window, team.to_string())).or_default() += 1;
             if rng.random_bool(0.3) {
-                messages.push((at, counters[at].unacknowledged(10, 13, 0)));
+                messages.push((daemon, counters[daemon].unacknowledged(10, 13, 0)));
             }
         }
-        messages.extend(counters.iter().enumerate().map(|(at, counter)| (at, counter.unacknowledged(10, 13, 13))));
+        messages
+            .extend(counters.iter().enumerate().map(|(daemon, counter)| (daemon, counter.unacknowledged(10, 13, 13))));
         let again = messages.clone();
         messages.extend(again);
         messages.shuffle(&mut rng);
-        for (at, windows) in messages {
+        for (daemon, windows) in messages {
             for window in windows {
-                ledger.record(&format!("vm-{at}"), 7, window);
+                ledger.record(&format!("vm-{daemon}"), 7, window);
             }
         }
         for window in 10..13 {
--- a/crates/core/tests/watcher_election.rs
+++ b/crates/core/tests/watcher_election.rs
@@ -187,8 +187,8 @@
     hall.run(Span::seconds(5.0));
     let before = hall.calls;
     hall.run(Span::seconds(20.0));
-    let a_second = (hall.calls - before) / 20;
-    assert!(a_second <= 30, "{a_second} calls per second");
+    let calls_per_second = (hall.calls - before) / 20;
+    assert!(calls_per_second <= 30, "{calls_per_second} calls per second");
     hall.set_store_answers(true);
     hall.run(Span::seconds(3.0));
     assert!(hall.is_watched(), "the hall watches again within the time allowed");
