--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -40,7 +40,7 @@
     probes: Arc<AtomicU64>,
 }
 
-fn refused<T>() -> RpcResult<T> {
+fn not_implemented<T>() -> RpcResult<T> {
     Err(ErrorObjectOwned::owned(1, "not implemented", None::<()>))
 }
 
@@ -67,11 +67,11 @@
     }
 
     async fn config(&self) -> RpcResult<Option<Document>> {
-        refused()
+        not_implemented()
     }
 
     async fn marks(&self, _: Marks) -> RpcResult<MarksAnswer> {
-        refused()
+        not_implemented()
     }
 
     async fn all_marks(&self) -> RpcResult<Vec<Marks>> {
@@ -87,7 +87,7 @@
     }
 
     async fn status(&self) -> RpcResult<VmStatus> {
-        refused()
+        not_implemented()
     }
 }
 
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -63,7 +63,7 @@
     .expect("the settings are valid");
     let outside = Outside::real(&settings);
     let daemon = Controller::start(settings, outside).await.expect("the daemon starts");
-    set_list(&vms, &peer).await;
+    set_vm_list(&vms, &peer).await;
     let changes = [
         change(ResourceKind::Version, "v", json!({ "model": "m", "artifact": "a" })),
         change(ResourceKind::Model, "m", json!({ "version": "v" })),
@@ -87,7 +87,7 @@
     Deployment { daemon, address, engine, _kv: kv, _vms: vms }
 }
 
-async fn set_list(vms: &VmList, peer: &str) {
+async fn set_vm_list(vms: &VmList, peer: &str) {
     let list = json!([
         { "vm": "entry-1", "hall": "h", "address": peer, "part": "entry" },
         { "vm": "vm-e", "hall": "h", "part": "endpoint" },
--- a/crates/daemon/tests/listener.rs
+++ b/crates/daemon/tests/listener.rs
@@ -15,7 +15,7 @@
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn terms() -> ConnectionLimits {
+fn limits() -> ConnectionLimits {
     ConnectionLimits { connections: 100, head_timeout: Duration::from_secs(1), max_head_bytes: 16 << 10 }
 }
 
@@ -32,7 +32,7 @@
     let closing = CancellationToken::new();
     closing.cancel();
     let handler = |_| async { Response::new(Body::from("done")) };
-    let serving = serve_with(listener, handler, terms, closing.clone(), closing);
+    let serving = serve_with(listener, handler, limits, closing.clone(), closing);
     tokio::time::timeout(TIMEOUT, serving).await.expect("the listener ends in time");
     let answered = callers.iter_mut().filter_map(|caller| read(caller).ok()).filter(|text| text.contains("done"));
     assert_eq!(answered.count(), callers.len());
