--- a/crates/core/tests/endings/main.rs
+++ b/crates/core/tests/endings/main.rs
@@ -1,7 +1,7 @@
 //! Requests that crash every replica that runs them, and requests that merely run beside them.
 //!
-//! Guards against engines that crash one after the other during one request, whose caller retries at any daemon while
-//! no daemon knows of the crashes that others saw. The platform's tests have an end-to-end test of this.
+//! Guards against one request that crashes engine after engine because its caller retries at any daemon, and no daemon
+//! knows of the crashes that the others saw. The platform's tests have an end-to-end test of this.
 
 use std::ops::Range;
 
@@ -16,7 +16,8 @@
 mod setting;
 mod world;
 
-/// Maximum number of sends of a fatal request, over all daemons, later than `REPORT_BOUND` after its third crash.
+/// Maximum number of attempts of a fatal request at engines later than `REPORT_BOUND` after its third crash, over all
+/// daemons.
 const MAX_LATE_ATTEMPTS: usize = 3;
 
 /// Consecutive seeds; the environment variable `TIMES` multiplies their number for long manual runs.
@@ -37,6 +38,7 @@
     longest_refusal_ms: u64,
 }
 
+/// Runs all scenarios and asserts that each stays within [`MAX_LATE_ATTEMPTS`].
 fn simulate(label: &str, scenarios: impl Iterator<Item = Scenario>) -> Totals {
     let mut totals = Totals::default();
     for scenario in scenarios {
@@ -92,7 +94,7 @@
 }
 
 /// Popular look-ups of many callers have the same content. When all replicas of a small service crash together, each
-/// of these contents was running on all of them and must not be refused for long.
+/// such content may have been running on all of them, and must not be refused for long.
 #[test]
 fn popular_requests_are_served_after_unrelated_engine_outages() {
     for outage in [Outage::Rack, Outage::Rolling, Outage::Flap] {
@@ -124,15 +126,16 @@
     }
 }
 
-/// Guards against a request that ran beside two fatal ones being refused first, at three crashes, and so hiding the
-/// fatal request that caused two of them. That one crashed five more engines, and was sent four times after the bound.
+/// Guards against a wrong refusal that hides a fatal request. A request that ran beside two fatal ones was refused
+/// first, after three crashes, and thereby explained the two crashes that one of the fatal requests had caused. That
+/// one crashed five more engines, and there were four attempts of it after the bound.
 #[test]
 fn a_fatal_request_hidden_by_a_wrong_refusal_is_found_at_its_next_crashes() {
     simulate("hidden", (781..782).map(crowded));
 }
 
-/// The bound does not depend on isolation or on trials. With 200 seeds of each kind it is met without either, and about
-/// as many harmless requests are refused, more in some kinds and fewer in others.
+/// The bound does not depend on isolation or on trials. With 200 seeds of each of these scenarios it is met without
+/// either, and about as many harmless requests are refused, more in some scenarios and fewer in others.
 #[test]
 fn the_bound_holds_with_and_without_isolation_and_trials() {
     let busy = Scenario { queries_per_second: 600.0, query_sends: (6, (2, 20)), ..Scenario::new(0, 8) };
@@ -160,12 +163,12 @@
     }
 }
 
-/// Few engines, full of queries whose callers retry at once and often: most queries that ran beside a fatal request
+/// Few engines are full of queries whose callers retry at once and often. Most queries that ran beside a fatal request
 /// are retried, and many run beside it again.
 #[test]
 fn requests_that_repeatedly_share_engines_with_a_fatal_one_are_served() {
     let totals = simulate("crowded", seeds(700, 30).map(crowded));
-    // With five engines, of which four crash, some requests have no other engine.
+    // Four of the five engines crash, so some requests have no other engine to run on.
     assert!(totals.lost_three_engines > 100 && totals.wrongly_refused * 50 <= totals.lost_three_engines, "{totals:?}");
     assert_few_wrong_refusals(&totals, 1);
 }
--- a/crates/core/tests/endings/rules.rs
+++ b/crates/core/tests/endings/rules.rs
@@ -11,7 +11,7 @@
 
 const FATAL: ContentHash = ContentHash(1);
 const OTHER: ContentHash = ContentHash(2);
-/// Time between two crashes, in which the reports of the first arrive.
+/// Time between two crashes, long enough for the reports of the first to arrive.
 const CRASH_INTERVAL: Span = Span::millis(200);
 const START: Time = Time(1_000_000_000);
 
@@ -112,7 +112,7 @@
     there.apply_notes(&here.due_notes(Recipients::HallPeers, 8, now), true, now);
     for tracker in [&mut here, &mut there] {
         assert_eq!(treatment(tracker, OTHER, now), Treatment::Clear);
-        assert!(is_refused(tracker, FATAL, now), "no other request ran on these replicas");
+        assert!(is_refused(tracker, FATAL, now), "no other suspect is left");
     }
 }
 
@@ -179,8 +179,8 @@
     }
 }
 
-/// Guards against records that never expire: a daemon received a record that it had just removed from one that removed
-/// it a moment later, took it as new, and the two sent it back and forth for ever. Found by reading the code.
+/// Guards against records that never expire: a daemon that had just removed a record received it again from a daemon
+/// that removed it a moment later, and took it as new, so that the two sent it back and forth for ever.
 #[test]
 fn a_suspicion_expires_while_daemons_exchange_notes() {
     for offset_ms in EXPIRY_OFFSETS_MS {
@@ -191,8 +191,8 @@
     }
 }
 
-/// Guards against a refusal that expires twice: each daemon on which it had expired received it again from one on which
-/// it had not, and counted two expiries.
+/// Guards against a refusal that expires twice, which doubles the period of the next one: each daemon on which it had
+/// expired received it again from one on which it had not, and counted two expiries.
 #[test]
 fn a_refusal_expires_once_while_daemons_exchange_notes() {
     for offset_ms in EXPIRY_OFFSETS_MS {
@@ -206,7 +206,7 @@
         there.apply_notes(&here.due_notes(Recipients::HallPeers, 2, later), true, later);
         for tracker in [&mut here, &mut there] {
             let Treatment::Refused(refused) = treatment(tracker, FATAL, later) else {
-                panic!("one more crash is enough");
+                panic!("one more crash refuses the request again");
             };
             assert_eq!(refused.until.since(refused.since), RETENTION, "{offset_ms} ms apart");
         }
@@ -242,7 +242,7 @@
 
 /// Guards against counting a crash twice: entries in the store have wall-clock times, and a machine's clock may be
 /// seconds ahead. Each crash that peers reported as well then counted twice, and a request with two crashes was
-/// refused. Found by reading the code.
+/// refused.
 #[test]
 fn a_crash_that_store_and_peers_date_differently_counts_once() {
     let mut here = CrashTracker::default();
@@ -260,13 +260,13 @@
     let mut there = here.clone();
     there.apply_notes(&store_first.due_notes(Recipients::HallPeers, 8, now), true, now);
     for tracker in [&mut store_first, &mut peers_first, &mut there] {
-        assert!(is_isolated(tracker, FATAL, now + CRASH_INTERVAL), "two crashes, no more");
+        assert!(is_isolated(tracker, FATAL, now + CRASH_INTERVAL), "there were only two crashes");
     }
 }
 
-/// Guards against an outdated store entry renewing a refusal: two daemons had lost the request and both wrote its
-/// entry, an operator removed the first entry, and the second one refused the request again. Seen in 3 of 60 runs
-/// beside other runs.
+/// Guards against a store entry that renews a refusal after an operator lifted it: two daemons had each lost the
+/// request in a crash and both wrote its entry, an operator removed the first entry, and the second one refused the
+/// request again. This happened in 3 of 60 test runs that ran at the same time as others.
 #[test]
 fn a_store_entry_older_than_its_removal_refuses_nothing() {
     let mut tracker = CrashTracker::default();
@@ -289,7 +289,7 @@
     let mut tracker = CrashTracker::default();
     let now = crash_replicas(&mut tracker, &[FATAL], &["a", "b"], START);
     assert!(matches!(tracker.treatment(FATAL, 1, true, now), Treatment::Refused(_)));
-    assert!(is_isolated(&mut tracker, FATAL, now), "the daemon hears others again");
+    assert!(is_isolated(&mut tracker, FATAL, now), "a daemon that receives reports again only isolates the request");
 }
 
 #[test]
--- a/crates/core/tests/endings/setting.rs
+++ b/crates/core/tests/endings/setting.rs
@@ -24,13 +24,13 @@
     pub queries_per_second: f64,
     /// Share of the queries that have one of ten contents, such as popular look-ups without a body.
     pub popular_share: f64,
-    /// Attempts of a harmless caller until it gives up, and the range of milliseconds between them.
+    /// Number of times that a caller sends a query before it gives up, and the range of milliseconds between them.
     pub query_sends: (usize, (u64, u64)),
     /// Engine crashes that no request causes.
     pub outage: Outage,
-    /// Whether requests during which two engines crashed are isolated.
+    /// Whether requests during which two engines crashed are isolated from each other.
     pub isolate_suspects: bool,
-    /// Whether each daemon runs an ambiguous request only once at a time.
+    /// Whether each daemon runs an ambiguous request only once at a time, as a trial.
     pub run_trials: bool,
     pub duration: Span,
 }
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -1,9 +1,9 @@
 //! Simulation of daemons, engines and callers without a network, where some requests crash the engines that run them.
 //!
-//! The figures are those observed: twelve engines of 48 slots; queries that take 20 to 120 ms, whose callers make two
-//! attempts with two tries at engines each; chats that take three to ten seconds; a fatal request that crashes an
-//! engine 40 to 130 ms after it starts there, and is retried 30 to 150 ms after its answer, at any daemon; engines
-//! that are back after 2.5 to 3.5 s. Messages take 2 to 12 ms.
+//! By default there are twelve engines of 48 slots. Queries take 20 to 120 ms; their callers send them at most twice,
+//! and each time a daemon makes at most two attempts. Chats take three to ten seconds. A fatal request crashes an
+//! engine 40 to 130 ms after it starts there, and its caller retries at any daemon 30 to 150 ms after the answer. An
+//! engine is back 2.5 to 3.5 s after a crash. Messages take 2 to 12 ms.
 
 use std::collections::HashMap;
 
@@ -20,15 +20,15 @@
 
 use crate::setting::{Outage, Scenario};
 
-/// Time after the third crash in which all daemons must know of the request.
+/// Time after the third crash within which all daemons must know of the request.
 pub const REPORT_BOUND: Span = Span::millis(3_000);
-/// Maximum number of daemons that all report to each other.
+/// Maximum number of daemons in a deployment in which all report to each other.
 const MAX_FULL_MESH_DAEMONS: usize = 24;
 /// Number of halls of a larger deployment.
 const HALLS: usize = 3;
-/// Time between two messages of a daemon for each of its peers, but at least [`MIN_SEND_INTERVAL_US`].
+/// Time between two reports of a daemon for each peer that it has, but at least [`MIN_SEND_INTERVAL_US`] in total.
 const SEND_INTERVAL_PER_PEER_US: u64 = 1_000;
-/// Minimum time between two messages of a daemon.
+/// Minimum time between two reports of a daemon.
 const MIN_SEND_INTERVAL_US: u64 = 10_000;
 /// Time between two summaries from one hall to another.
 const HALL_SUMMARY_INTERVAL: Span = Span::millis(20);
@@ -44,7 +44,7 @@
 /// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Sends of each fatal request later than [`REPORT_BOUND`] after its third crash.
+    /// Attempts of each fatal request later than [`REPORT_BOUND`] after its third crash.
     pub late_attempts: Vec<usize>,
     /// Engines that each fatal request crashed.
     pub crashes: Vec<usize>,
@@ -65,22 +65,24 @@
     Chat,
 }
 
-/// A caller's request, over all its attempts.
+/// A caller's request, over all the times that it is sent.
 #[derive(Clone, Debug)]
 struct CallerRequest {
     kind: Kind,
     content: ContentHash,
-    /// Attempts that its caller has left, including this one.
+    /// Number of times that its caller may send it, including this time.
     sends_left: usize,
-    /// Tries at engines in this attempt.
+    /// Attempts at engines since its caller last sent it.
     attempts: usize,
     engines_lost: usize,
 }
 
+/// An attempt in progress, or the wait of a daemon before the next one.
 #[derive(Clone, Debug)]
 struct Run {
     request: CallerRequest,
     daemon: usize,
+    /// `usize::MAX` during a wait.
     engine: usize,
     ends_at: Time,
 }
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Handle a request at a daemon, on arrival or after a failed try.
+    /// Handles a request at a daemon, on arrival or after a failed attempt.
     fn handle_request(&mut self, mut request: CallerRequest, daemon: usize) {
         let cut_off = self.scenario.cut_off && daemon == 0 && self.scenario.daemons > 1;
         let daemons = if cut_off { 1 } else { self.scenario.daemons };
@@ -272,7 +274,7 @@
         self.schedule_caller_retry(request);
     }
 
-    /// The caller got an unsuccessful answer and may retry.
+    /// Lets the caller of an unsuccessful request retry if it has not given up.
     fn schedule_caller_retry(&mut self, mut request: CallerRequest) {
         request.sends_left -= usize::from(request.sends_left != usize::MAX);
         request.attempts = 0;
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Crash an engine; each daemon detects it by the requests that it has there.
+    /// Crashes an engine; a daemon detects the crash if it has requests there.
     fn crash_engine(&mut self, engine: usize) {
         let replica = self.replica_id(engine);
         let lost: Vec<Run> = self.runs.extract_if(.., |run| run.engine == engine).collect();
@@ -339,7 +341,7 @@
         }
     }
 
-    /// The request stays at its daemon, which first checks the replica.
+    /// Lets a daemon retry a request after it has detected the crash.
     fn schedule_daemon_retry(&mut self, request: CallerRequest, daemon: usize) {
         let at = self.now + DETECTION_DELAY;
         self.runs.push(Run { request, daemon, engine: usize::MAX, ends_at: at });
@@ -413,7 +415,7 @@
             let notes = self.daemons[daemon].due_notes(Recipients::HallPeers, self.scenario.daemons, self.now);
             self.send(daemon, &peers, &notes, false, false);
         }
-        // The first daemon of each hall sends the summary of the hall to the others.
+        // The first daemon of each hall sends the summary of its hall to the other halls.
         if halls > 1 && (self.now.0 / 1_000).is_multiple_of(HALL_SUMMARY_INTERVAL.as_millis()) {
             for hall in 0..halls {
                 let notes = self.daemons[hall].due_notes(Recipients::OtherHalls, self.scenario.daemons, self.now);
