--- a/crates/core/tests/proof.rs
+++ b/crates/core/tests/proof.rs
@@ -8,7 +8,7 @@
 
 /// Time after which a withdrawn key must have no effect.
 const BOUND: Span = Span::millis(5_000);
-/// Number of simulated event orders.
+/// Number of simulated runs.
 const SEEDS: u64 = 10_000;
 /// True time simulated per run, in milliseconds.
 const LENGTH_MS: u64 = 20_000;
@@ -20,7 +20,7 @@
     let (asked, wait) = (Time(1_000_000), Span::millis(600));
     assert_eq!(proved_at(asked, wait, false, asked + wait), asked + wait);
     assert_eq!(proved_at(asked, wait, true, asked + wait), asked);
-    // The wait ended early.
+    // A wait that ended early proves nothing after the request.
     assert_eq!(proved_at(asked, wait, false, asked + Span::millis(599)), asked);
 }
 
@@ -239,13 +239,14 @@
         assert!(result.max_delay_ms <= BOUND.as_millis(), "seed {seed}: {} ms after a withdrawal", result.max_delay_ms);
         requests_run += result.requests_run;
     }
-    // Most of the thousand steps of five daemons per run must have a proof, or the test shows nothing.
+    // Five daemons make a thousand steps per run. On average 2,000 of these 5,000 steps must run a request, or the test
+    // shows nothing.
     assert!(requests_run > SEEDS * 2_000, "only {requests_run} requests ran");
 }
 
-/// Checks that the simulation finds the fault if answers are not dated by their requests.
+/// Checks that the simulation detects the fault of dating answers by their arrival.
 #[test]
 fn dating_answers_by_arrival_violates_bound() {
     let late = (0..SEEDS / 10).filter(|seed| run(*seed, Dating::Arrived).max_delay_ms > BOUND.as_millis()).count();
-    assert!(late > 0, "no run showed the fault");
+    assert!(late > 0, "no run exceeded the bound");
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -24,7 +24,7 @@
 const WHOLE_BURST_TOLERANCE: Tolerance = Tolerance { slack: 60_000.0, ..TOLERANCE };
 const QUOTA: Quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 60_000.0, burst: 60_000.0 };
 
-/// Fault put into the protocol, to show that the check detects it.
+/// Defect put into the protocol, to show that the check detects it.
 #[derive(Clone, Copy, PartialEq)]
 enum Mutation {
     None,
@@ -58,18 +58,19 @@
     tolerance: Tolerance,
     now: Time,
     mutation: Mutation,
+    /// Whether messages are lost, duplicated and delayed, and faults are injected.
     has_faults: bool,
     /// Probability of a long message delay.
     delay_probability: f64,
     /// Whether daemons back off from an owner that did not answer; the bound must not depend on it.
     backs_off: bool,
-    /// Whether restarts of owners are the only faults.
+    /// Whether restarts of daemons are the only injected faults.
     restarts_only: bool,
     terms: ShardTerms,
     /// Includes former owners, which continue until they notice that they lost the lease.
     owners: Vec<(u8, Owner)>,
     clients: Vec<QuotaClient>,
-    /// Until when a daemon is cut off from the other daemons, and from the store.
+    /// Times until which each daemon is cut off from the other daemons, and from the store.
     partitioned_until: [(Time, Time); DAEMONS],
     paused_until: [Time; DAEMONS],
     pending: HashMap<u64, (usize, u64, Vec<u8>)>,
@@ -162,7 +163,7 @@
         let need = CreditNeed { team: TEAM, terms: &self.terms, cost, tie_breaker };
         match self.clients[daemon].next_step(&need, &tried, |_| true, self.now) {
             CreditStep::Ask(shard) => {
-                // The question may go to the present owner or to a former one.
+                // The request for credit may go to the present owner or to a former one.
                 let owners: Vec<usize> =
                     self.owners.iter().filter(|(of, _)| *of == shard).map(|(_, owner)| owner.daemon).collect();
                 let index =
@@ -286,7 +287,7 @@
         self.push(after, Event::InjectFault);
     }
 
-    /// The next run takes over its own shards at once, under the same lease.
+    /// Restarts a daemon, whose next run takes over its shards at once, under the same lease.
     fn restart(&mut self, daemon: usize) {
         let now = self.now;
         let mutation = self.mutation;
@@ -331,7 +332,7 @@
         assert!(max_usage <= allowed, "seed {seed}: {max_usage} of {allowed}");
         served += max_usage / seeds as f64;
     }
-    println!("{served:.0} of {allowed:.0} units in the fullest window, mean of {seeds} seeds");
+    println!("{served:.0} of {allowed:.0} units in the window with the highest usage, mean of {seeds} seeds");
 }
 
 #[test]
@@ -345,7 +346,7 @@
     }
 }
 
-/// Answers that wait while their daemon is suspended all arrive when it resumes.
+/// Answers that arrive while their daemon is suspended are all received at once when it resumes.
 #[test]
 fn credit_received_after_suspension_is_not_spent() {
     let terms = ShardTerms::split(&QUOTA, &TOLERANCE);
@@ -377,7 +378,7 @@
     assert!(refused * 200 < requests, "{refused} of {requests} requests refused");
 }
 
-/// Over a long time a team that asks for more than its quota gets its rate, and hardly less.
+/// Over a long time, a team that asks for more than its quota gets no more than its rate, and hardly less.
 #[test]
 fn team_above_limit_gets_its_rate() {
     let mut simulation = Simulation::new(1, Mutation::None, false, TOLERANCE);
