--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -94,9 +94,9 @@
     assert!(!plan(&fleet).expect("a plan exists").is_late());
 }
 
-/// Guards against large prompts that are always refused. With slow engines their prefill alone takes longer than the
-/// objective, even without load; requests whose prediction exceeded half of the time that their caller waits were
-/// then never served. At two thirds of that time they must be served, at nine tenths they are refused.
+/// Guards against large prompts that are always refused. On slow engines their prefill alone takes longer than the
+/// objective, even without load, and requests that were predicted to take more than half of the time that their caller
+/// waits were never served. At two thirds of that time they must be served, at nine tenths they are refused.
 #[test]
 fn a_large_prompt_is_served_late_if_its_prefill_takes_two_thirds_of_the_time_its_caller_waits() {
     let fleet = fleet_with(&[("r", Role::Prefill), ("w", Role::Decode)]);
@@ -179,9 +179,9 @@
 }
 
 /// Guards against prefill that delays long answers which are late already. Two decode engines have eight long answers
-/// each, which have reached 200 events; one of the engines takes half as long again for each event, so its answers
-/// end too late as it is. As long as no single pause was too long, both received prompts, and each prompt took time
-/// in which those events could have been generated.
+/// each, which have reached 200 events. One engine takes half as long again for each event, so its answers end too late
+/// even without prefill. Both engines received prompts as long as no single pause was too long, and each prompt took
+/// time in which events of those answers could have been generated.
 #[test]
 fn no_prefill_goes_to_an_engine_whose_long_answers_are_late() {
     let mut fleet = fleet_with(&[("usual", Role::Decode), ("slow", Role::Decode)]);
@@ -209,15 +209,15 @@
         let plan = fleet.choose(&RouteRequest { draw, ..req(Some(&short), &[]) }, after).expect("a plan exists");
         assert_eq!(id(&fleet, plan.prefill_step().key), "usual");
     }
-    // It is prefilled there if no other engine can do it.
+    // The prompt is prefilled there if no other engine can do it.
     fleet.mark_removed("usual", 2, after);
     let plan = fleet.choose(&req(Some(&short), &[]), after).expect("a plan exists");
     assert_eq!(id(&fleet, plan.prefill_step().key), "slow");
 }
 
 /// Guards against requests that go to all other halls alike, whatever their distance. With six halls in three
-/// regions, the latency to another region is forty times that to the nearest hall, and requests went to any of the
-/// five other halls although all engines were idle.
+/// regions, the latency to another region is forty times that to the nearest hall, and requests went to each of the
+/// five other halls equally often although all engines were idle.
 #[test]
 fn a_distant_hall_is_chosen_only_if_it_saves_more_than_its_latency() {
     let mut fleet = fleet();
--- a/crates/core/tests/fleet/discovery.rs
+++ b/crates/core/tests/fleet/discovery.rs
@@ -109,6 +109,6 @@
     let ejections = sent.iter().filter(|sent| fleet.end_step(sent, StepEnd::Silent, now())).count();
     assert_eq!(ejections, 1);
     assert!(fleet.choose(&req(None, &[]), now()).is_err());
-    // The first ejection is short, however many calls were active.
+    // The first ejection is short, however many steps failed at the same time.
     assert!(fleet.choose(&req(None, &[]), now() + Span::millis(600)).is_ok());
 }
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -1,15 +1,15 @@
 //! Prompts of all sizes that exceed the prefill capacity.
 //!
-//! Guards against large prompts that are refused far more often than others. Of the largest tenth of the prompts less
-//! than half as many were served as of all, on days on which prefill engines were taken away. A prompt was started if
-//! the work queued before it and its own prefill could be in time together. Small prompts, whose own prefill is
-//! short, filled the queue to the point where no large prompt could be in time, and late prompts had no time left for
-//! their prefill. On such a day 0.77 of the smallest quarter were served and 0.18 of the largest tenth; at each size
-//! all were in time or refused, none late.
+//! Guards against large prompts that are refused far more often than others. On days on which prefill engines were
+//! taken away, the share of the largest tenth of the prompts that was served was less than half of that of all prompts.
+//! A prompt was started if the work queued before it and its own prefill could be in time together. Small prompts,
+//! whose own prefill is short, filled the queue to the point where no large prompt could be in time, and late prompts
+//! had no time left for their prefill. On one such day 0.77 of the smallest quarter were served and 0.18 of the largest
+//! tenth; prompts of all sizes were either in time or refused, and none was late.
 //!
 //! The load: three prefill and three decode engines, prompts with a mean of 2,890 tokens of their own after a mean of
 //! 3,780 shared ones (lognormal with a spread of 1.0 and 0.7, as on that day), a prefill rate of 307 tokens per
-//! millisecond, and 1.3 to 2.2 times as many prompts as the engines can prefill, as after half of them left.
+//! millisecond, and 1.3 to 2.2 times as many prompts as the engines can prefill, as after half of the engines left.
 
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
 
 use crate::{SERVICE, facts, fleet, now, req, standard_normal};
 
-/// Time within which the first event meets the objective.
+/// Time within which the first event must arrive to meet the objective.
 const OBJECTIVE: Span = Span::millis(200);
 /// Time that a caller waits.
 const CALLER_TIMEOUT: Span = Span::millis(2_000);
@@ -44,8 +44,8 @@
 /// Seconds at the start that are not counted.
 const WARM_UP: f64 = 10.0;
 /// Minimum share of the large prompts that must be served, relative to that of all: the users' requirement. Without a
-/// discount for large prompts it was 0.11 to 0.51 here. Balancing sizes up to 0.75 cost 0.06 and 0.08 of the worth on
-/// two of ten simulated days, up to 0.6 it cost at most 0.035.
+/// discount for large prompts it was 0.11 to 0.51 here. Raising it to 0.75 cost 0.06 and 0.08 of the value of
+/// all answers on two of ten days, raising it to 0.6 cost at most 0.035.
 const MIN_RELATIVE_SHARE: f64 = 0.5;
 /// Mean milliseconds of prefill for a prompt, which determines the load.
 const MEAN_PREFILL_MS: f64 = 20.6;
@@ -58,6 +58,7 @@
     decode: Option<Step>,
     prompt: Prompt,
     tokens: u32,
+    /// Whether it arrived after the warm-up.
     is_counted: bool,
 }
 
@@ -65,6 +66,7 @@
     fleet: Fleet,
     /// The queue of each engine, and the time at which its current prefill ends.
     queues: Vec<(ReplicaKey, Vec<QueuedPrompt>, Option<Time>)>,
+    /// Size in tokens of each counted prompt, and whether it was served before its caller's time-out.
     served: Vec<(u32, bool)>,
     rng: SmallRng,
     arrivals: u64,
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Shares that were served: of the largest tenth, of the fifth below it, and of all.
+    /// Shares of the prompts that were served: of the largest tenth, of the fifth below it, and of all.
     fn shares(&mut self) -> (f64, f64, f64) {
         self.served.sort_unstable_by_key(|(tokens, _)| std::cmp::Reverse(*tokens));
         let share = |part: &[(u32, bool)]| part.iter().filter(|(_, served)| *served).count() as f64 / part.len() as f64;
@@ -207,8 +209,9 @@
             simulation.run(load);
             let (largest, below, all) = simulation.shares();
             println!("load {load}, seed {seed}: largest {largest:.2}, below {below:.2}, all {all:.2}");
-            let shares =
-                || format!("load {load}, seed {seed}: {largest:.2} and {below:.2} of the largest, of all {all:.2}");
+            let shares = || {
+                format!("load {load}, seed {seed}: served {largest:.2} and {below:.2} of the largest, {all:.2} of all")
+            };
             assert!(largest > MIN_RELATIVE_SHARE * all && below > MIN_RELATIVE_SHARE * all, "{}", shares());
             assert!(all > min_share, "{}", shares());
         }
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -1,14 +1,15 @@
 //! A constant load of long answers on engines of different speed.
 //!
-//! Guards against the longest answers being cut off by their callers' time limit. Of the longest tenth of the answers
-//! less than half as many were served as of all: they were started at once and reached the limit with nine tenths of
-//! their events forwarded. Long answers were packed on few engines, up to 0.8 of the slots, whether or not the last
-//! event would be in time there, and slow engines were treated like any other. 73 of 74 such answers were on the
-//! engines that are 1.3 times as slow, at 70 to 89 ms per event, where the longest answers allow 67 to 70.
+//! Guards against the longest answers being cut off by their callers' time limit. The share of the longest tenth of the
+//! answers that was served was less than half of that of all answers: they were started at once and reached the limit
+//! with nine tenths of their events forwarded. Long answers were packed on few engines, up to 0.8 of the slots, whether
+//! or not the last event would be in time there, and slow engines were treated like any other. 73 of 74 answers that
+//! were cut off were on the engines that are 1.3 times as slow, at 70 to 89 ms per event, where the longest answers
+//! allow 67 to 70.
 //!
 //! The load: six engines, two of them slow, and 36 long answers per second, as many as all engines can handle at 60
 //! ms per event. The time per event by the number of answers on an engine, and the sizes of answers (lognormal,
-//! limited to 214 events), are as measured in that case.
+//! limited to 214 events), are those of that case.
 
 use std::sync::Arc;
 
@@ -27,9 +28,9 @@
 
 /// Slots of each engine.
 const SLOTS: u32 = 96;
-/// Milliseconds between two events of an answer without others on the engine.
+/// Base interval between two events of an answer, in milliseconds.
 const BASE_INTERVAL_MS: f64 = 44.0;
-/// Milliseconds that each other answer adds.
+/// Milliseconds by which each answer on an engine increases the interval.
 const MS_PER_ANSWER: f64 = 0.34;
 /// Maximum number of events of an answer.
 const MAX_EVENTS: f64 = 214.0;
@@ -52,7 +53,7 @@
     events: f64,
     events_done: f64,
     deadline: Time,
-    /// Number of events that were forwarded when the fleet last learned from the stream, and the time of that.
+    /// Number of events when the fleet last learned from the stream, and the time of that.
     last_report: (f64, Time),
 }
 
@@ -61,7 +62,7 @@
 struct Arrivals {
     /// Number of long answers that start per second.
     per_second: f64,
-    /// Whether callers estimate the length of their answers.
+    /// Whether callers give hints of the length of their answers.
     has_hints: bool,
 }
 
@@ -74,7 +75,7 @@
 /// Engines, and a daemon's view of them.
 struct Simulation {
     fleet: Fleet,
-    /// Intervals of each engine in proportion to the usual ones.
+    /// Interval between events on each engine, relative to a usual engine.
     slowness: Vec<f64>,
     arrivals: Arrivals,
     running: Vec<Answer>,
@@ -202,13 +203,13 @@
     }
 }
 
-/// Number of events of an answer, distributed as measured: lognormal with a mean of 90 events and a spread of 0.84.
+/// Number of events of an answer: lognormal with a mean of 90 events and a spread of 0.84.
 fn answer_events(rng: &mut SmallRng) -> f64 {
     let spread: f64 = 0.84;
     (90.5 * (spread * standard_normal(rng) - spread * spread / 2.0).exp()).clamp(1.0, MAX_EVENTS)
 }
 
-/// A caller's estimate of an answer's tokens: the median is right, a third are off by half or more.
+/// A caller's hint of an answer's tokens: the median is right, a third are off by half or more.
 fn caller_hint(rng: &mut SmallRng, events: f64) -> u32 {
     (events * f64::from(MAX_TOKENS) / MAX_EVENTS * (0.5 * standard_normal(rng)).exp()) as u32
 }
@@ -225,9 +226,9 @@
     }
 }
 
-/// Answers are requested at twice the rate that the engines can handle at the pace the longest answers need. If
-/// callers estimate their lengths, the probably short answers fill the slow engines and leave the others to long
-/// ones. Without estimates 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
+/// Answers are requested at twice the rate that the engines can handle at the pace that the longest answers need. If
+/// callers give hints of the lengths, the answers that are probably short fill the slow engines and leave the others to
+/// long ones. Without hints 0.33 to 0.48 of the longest tenth are served here, with them 0.6 to 0.8.
 #[test]
 fn likely_short_answers_leave_the_fast_engines_to_long_ones() {
     let arrivals = Arrivals { per_second: 48.0, has_hints: true };
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -58,7 +58,7 @@
     short_id("hall-1")
 }
 
-/// Identifies a report of a daemon in the same hall.
+/// Identifies a report from a daemon in the same hall.
 pub(crate) fn report_id(sender: u64, number: u64) -> ReportId {
     ReportId { source: Source::Daemon(sender), sender, number, hall: hall_hash(), daemons: 1 }
 }
--- a/crates/core/tests/fleet/many_replicas.rs
+++ b/crates/core/tests/fleet/many_replicas.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against a selection whose cost grows with the number of replicas. It examined all of them several times, so
 //! that a daemon with an eighth of a core took tens of milliseconds for each request while the engines were idle. A
-//! sample must still find the engine that holds a prompt, and avoid engines that are busy.
+//! selection from a sample must still find the engine that has a prompt cached, and avoid busy engines.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -57,7 +57,7 @@
     assert!(busiest <= 4, "{busiest} of 1,000 requests at one of 1,000 replicas");
 }
 
-/// A removed replica is not a candidate, even if it is recorded as a holder of the prompt.
+/// A removed replica is not a candidate, even if it was recorded to have the prompt cached.
 #[test]
 fn removed_replicas_are_not_chosen() {
     let mut fleet = large_fleet(Role::Decode);
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -86,8 +86,8 @@
         |sender, number| ReportId { source: Source::Hall(hall_hash()), sender, number, hall: hall_hash(), daemons };
     far.apply_report(summary(9, 5), &report, now());
     assert_eq!((active_at_a(&far), far.daemons()), (63, 4));
-    // The load of a single daemon of that hall is already contained in the summary; an older summary, and one of the
-    // own hall, are ignored.
+    // The summary already contains the load of each daemon of that hall; an older summary, and one of the own hall,
+    // are ignored.
     far.apply_report(report_id(1, 2), &load_at_a(2), now());
     far.apply_report(summary(9, 4), &load_at_a(1), now());
     relay.apply_report(summary(9, 6), &load_at_a(1), now());
--- a/crates/core/tests/fleet/pool.rs
+++ b/crates/core/tests/fleet/pool.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Only staying engines are ordered if there are no reclaimable ones, if these are hardly cheaper, or if all are in
-/// one hall.
+/// Only staying engines are ordered if there are no reclaimable ones, if reclaimable ones are hardly cheaper, or if
+/// there is only one hall.
 #[test]
 fn reclaimable_engines_are_ordered_only_if_they_are_cheaper_overall() {
     let staying =
@@ -72,8 +72,8 @@
     assert!((peak.at(at(80)) - 40.0).abs() < 1e-9);
 }
 
-/// Guards against keeping ninety engines for an expected demand that needs forty: the expectation must end once the
-/// averages have settled.
+/// Guards against keeping ninety engines for an expected demand if forty suffice: the expected demand must no longer
+/// count once the averages have settled.
 #[test]
 fn observed_demand_replaces_expected_demand() {
     let at = |seconds: u64| Time(seconds * 1_000_000);
@@ -85,7 +85,7 @@
     peak.observe(80.0, at(10));
     assert!((peak.at(at(12)) - 90.0).abs() < 1e-9, "the averages have not settled yet");
     peak.observe(40.0, at(18));
-    assert!((peak.at(at(18)) - 40.0).abs() < 1e-9, "the first figures are not held");
+    assert!((peak.at(at(18)) - 40.0).abs() < 1e-9, "the first observation is not held");
     let mut next = Peak::expected(90.0, at(20));
     next.observe(40.0, at(21));
     assert!((next.at(at(22)) - 90.0).abs() < 1e-9);
@@ -105,9 +105,9 @@
     scaling: Scaling,
     ordered: PoolSize,
     running: PoolSize,
-    /// Engines that are starting: the time at which they are ready, their hall, and whether they are reclaimable.
+    /// Engines that are starting: the second at which they are ready, their hall, and whether they are reclaimable.
     starting: Vec<(u64, Arc<str>, bool)>,
-    /// Time until which a hall has no reclaimable engines.
+    /// Second until which a hall has no reclaimable engines.
     unavailable_until_s: BTreeMap<Arc<str>, u64>,
     orders: usize,
 }
@@ -195,8 +195,8 @@
     assert!(platform.orders <= 12, "{} orders", platform.orders);
 }
 
-/// All reclaimable engines of one hall are taken away at the peak and those of another soon after, and no
-/// replacements are available. Nine tenths of the demand must be served in each second, and the pool must recover
+/// All reclaimable engines of one hall are taken away at the peak and those of another soon after, and replacements
+/// are unavailable for a while. Nine tenths of the demand must be served in each second, and the pool must recover
 /// later.
 #[test]
 fn two_reclaims_without_replacements_leave_enough_engines() {
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -23,7 +23,7 @@
     (1.5 * limit * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
 
-/// Daemons that send to one replica whenever its limit lets them.
+/// Daemons that send to one replica whenever its limit allows it.
 struct Daemons {
     fleets: Vec<Fleet>,
     limit: Option<f64>,
@@ -47,7 +47,7 @@
         now() + Span::millis(ms)
     }
 
-    /// Sends a request from one daemon if the limit lets it; it is answered immediately.
+    /// Sends a request from one daemon if the limit allows it; it is answered immediately.
     fn send(&mut self, daemon: usize, ms: u64) -> bool {
         let fleet = &mut self.fleets[daemon];
         let time = Self::time(ms);
@@ -192,7 +192,7 @@
     fleet.set_rate_limit(&facts("a", Role::Plain), limit, Daemons::time(sent_ms), Daemons::time(ms))
 }
 
-/// Guards against lifting a limit because of a delayed answer that predates it.
+/// Guards against a limit that is lifted by the delayed response to a request from before the limit was stated.
 #[test]
 fn only_an_answer_to_a_later_request_lifts_a_rate_limit() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
@@ -235,7 +235,7 @@
     set_limit(&mut here, Some(1.0), 0, 0);
     exchange(&mut here, &mut peer, &mut far, 10);
     assert!(!accepts(&mut peer, 11) && !accepts(&mut far, 11));
-    // An answer to the peer lifts the limit while `here` still reports the older one.
+    // A response to the peer lifts the limit while `here` still reports the older one.
     set_limit(&mut peer, None, 1_000, 1_020);
     for ms in (1_030..3_000).step_by(100) {
         exchange(&mut here, &mut peer, &mut far, ms);
@@ -271,7 +271,7 @@
     assert!(retry_after >= Span::millis(60) && retry_after <= Span::millis(660), "{retry_after:?}");
 }
 
-/// Guards against a later answer that shortens the retry time, and against a restarted replica that inherits it.
+/// Guards against a later response that shortens the retry time, and against a restarted replica that inherits it.
 #[test]
 fn a_replica_gets_no_requests_before_its_retry_time() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -98,8 +98,8 @@
 
 /// Guards against decode engines that are overloaded while prefill engines are idle. Few engines decode and many
 /// prefill: streams of some seconds fill the decode engines until the longest reach their callers' time limit, while
-/// two thirds of the others have nothing to prefill. By slots alone, a quarter of which are in use, neither side
-/// lacks engines.
+/// two thirds of the prefill engines are idle. Judged by slots alone, a quarter of which are in use, neither role lacks
+/// engines.
 #[test]
 fn idle_prefill_engines_become_decode_engines_if_answers_are_too_slow() {
     let roles: Vec<(String, Role)> =
@@ -143,7 +143,7 @@
     }
 }
 
-/// Answers of less than a thousand tokens can occupy their slots for seconds, as observed on their engines.
+/// Answers of less than a thousand tokens can occupy their slots for seconds, which is learned from their streams.
 #[test]
 fn answers_are_classified_as_long_by_their_duration() {
     let mut fleet = fleet_with(&[("d1", Role::Decode), ("d2", Role::Decode)]);
@@ -159,9 +159,8 @@
     assert!(!is_long(&fleet, &short));
 }
 
-/// Engines that occasionally pause for three times the usual interval: an answer whose events are 60 ms apart on
-/// average then pauses for 180 ms, and the more answers an engine has, the fewer of them stay within a pause of 250
-/// ms.
+/// Engines occasionally pause for four times the usual interval: an answer whose events are 60 ms apart on average then
+/// pauses for 240 ms, and the more answers an engine has, the fewer of them stay within a pause of 250 ms.
 #[test]
 fn engines_with_long_pauses_are_given_fewer_answers() {
     let next_role = |factor: u64| {
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -1,7 +1,7 @@
 //! Replicas that restart under the same identifier.
 //!
-//! By the users' requirements, a restarted replica has none of its earlier state, its counters start anew, and its
-//! start time distinguishes two starts. State recorded for one start must be discarded with it, in whatever order the
+//! By the users' requirements, a restarted replica has none of its earlier state, its counters start at zero, and its
+//! start time distinguishes two starts. State recorded for one start must be discarded with it, in whatever order
 //! updates arrive.
 
 use dahliaseam_core::{
