--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -11,14 +11,14 @@
 
 const HOLDERS: usize = 3;
 
-/// Model of an engine's reaction to orders.
+/// Model of an engine that receives orders.
 #[derive(Debug)]
 struct Engine {
     fencing: Fencing,
     fence: Fence,
     status: EngineStatus,
     pending_role: Option<Role>,
-    /// Numbers of the last order accepted before a crash. The engine forgets them, the check does not.
+    /// Epoch and sequence number of the last order taken before a crash. The engine forgets them, the check does not.
     last_before_crash: (u64, u64),
     taken: usize,
     violations: Vec<String>,
@@ -62,7 +62,7 @@
         }
         let last = self.last_before_crash.max((self.status.epoch, self.status.sequence));
         if (order.epoch, order.sequence) < last {
-            self.violations.push(format!("{order:?} accepted after {last:?}"));
+            self.violations.push(format!("{order:?} taken after {last:?}"));
         }
         self.taken += 1;
         (self.status.epoch, self.status.sequence) = (order.epoch, order.sequence);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A process has surely terminated if a later run has replaced it and none of its messages is in flight.
+    /// Whether a process has certainly terminated: a later run has replaced it and none of its messages is in flight.
     fn is_terminated(&self, process: &Incarnation) -> bool {
         let replaced = self.holders.iter().any(|h| h.me.vm == process.vm && h.me.start > process.start);
         replaced && !self.in_flight.iter().any(|order| order.by == *process)
@@ -218,14 +218,14 @@
 
     fn take_step(&mut self, n: usize, wanted: &OrderKind, answer_lost: bool) {
         let holder = &self.holders[n];
-        // The daemon takes no other step while an order may still be in flight, and sends a pending order
+        // As in the daemon, no other step is taken while an order may still be in flight, and a pending order is sent
         // first.
         let own_in_flight = self.in_flight.iter().any(|order| order.by == holder.me);
         if own_in_flight || holder.pending_order.is_some() {
             return;
         }
-        // As in the daemon, a known record is used until a write fails or a step has to wait, and the status
-        // may be as old as the last look at it.
+        // As in the daemon, a known record is used until a write fails or a step has to wait, and the status may be as
+        // old as the last read of it.
         let (record, revision) = holder.record.clone().unwrap_or_else(|| (self.record.clone(), self.revision));
         let status = holder.status.clone().unwrap_or_else(|| self.engine.status.clone());
         let custodian_terminated = record.custodian.as_ref().is_some_and(|c| *c != holder.me && self.is_terminated(c));
@@ -305,7 +305,7 @@
     Ok(simulation.engine.taken)
 }
 
-/// Number of cases with a fixed seed, so that each run gives the same verdict.
+/// Configures the number of cases and a fixed seed, so that each run has the same result.
 fn fixed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -329,7 +329,7 @@
     }
 }
 
-/// Guards against empty runs above: without failures a whole role change completes.
+/// Guards against simulations in which no order is ever taken: without failures, a role change completes.
 #[test]
 fn role_change_completes_without_failures() {
     for fencing in [Fencing::Checks, Fencing::Ignores] {
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -91,12 +91,13 @@
             refused = Some(why);
         }
     }
-    let (why, at) = refused.expect("the share is a quarter of 8 requests per second, with a burst of two seconds");
+    let (why, at) =
+        refused.expect("the share is a quarter of 8 requests per second, with a burst of two seconds' requests");
     assert_eq!(why, Refusal::TeamLimit);
     assert!(at > START);
     assert!(
         dispatcher.submit("t", spec(pool, true, at, 9_000), at).is_ok(),
-        "the request is accepted at the given time"
+        "the request is accepted at the time given with the refusal"
     );
 }
 
@@ -133,7 +134,7 @@
     ]
 }
 
-/// The driver's knowledge of each request: its attempts, and whether one is running.
+/// What the test knows of each request, to check the dispatcher's actions.
 #[derive(Default)]
 struct Driver {
     sends: HashMap<RequestKey, usize>,
--- a/crates/core/tests/engine_model.rs
+++ b/crates/core/tests/engine_model.rs
@@ -13,7 +13,8 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// True prefill time of an engine: milliseconds per prefill, per thousand tokens and per million pairs.
+/// True prefill time of an engine: milliseconds per prefill, per thousand uncached tokens and per million token pairs
+/// in the attention.
 #[derive(Clone, Copy, Debug)]
 struct Engine {
     name: &'static str,
@@ -41,8 +42,8 @@
     PrefillWork { uncached: size(rng), cached: if rng.random_bool(0.5) { size(rng) } else { 0 } }
 }
 
-/// Minimum milliseconds that an error is relative to: timers are no finer, and no decision depends on shorter
-/// prefills.
+/// Minimum duration in milliseconds to which an error is relative: timers are no finer, and no decision depends on
+/// shorter prefills.
 const MIN_ERROR_BASE_MS: f64 = 5.0;
 
 /// Relative errors of 500 predictions after a hundred observations, sorted.
@@ -209,7 +210,7 @@
     let mut pace = AnswerPace::default();
     pace.learn_finished(200, 12_000);
     for _ in 0..2_000 {
-        // An event has 60 tokens, and nine in ten answers are no longer than 1.8 times the guess.
+        // An event has 60 tokens, and nine in ten answers are no longer than 1.8 times the hint.
         let hint = rng.random_range(600..6_000);
         let factor = rng.random_range(0.0..2.0);
         pace.learn_hint((f64::from(hint) / 60.0 * factor) as u64, Some(hint));
@@ -219,16 +220,16 @@
         pace.likely_max_events(&prompt, false).expect("the event limit is known")
     };
     let hinted = likely(12_000, Some(3_000));
-    assert!((80.0..100.0).contains(&hinted), "{hinted} events for a hint of 50");
+    assert!((80.0..100.0).contains(&hinted), "{hinted} events for a hint of 50 events");
     for max in [likely(12_000, Some(60_000)), likely(12_000, None)] {
-        assert!((max - 200.0).abs() < 0.1, "{max}: no more than the maximum");
+        assert!((max - 200.0).abs() < 0.1, "{max} events, not the maximum");
     }
 }
 
-/// Guards against a fit that diverges when all observations have the same size, as in a soak whose prompts were all of
-/// one size: within 300 ms transfers that took 20 ms were predicted to take 2,071 ms, and everything was refused as
-/// too late until the end. Such observations cannot separate the weights, so the uncertainty grew without bound in one
-/// direction while each weight was clipped alone, which moved the weights away from the observations.
+/// Guards against a fit that diverges when all observations have the same size, as in a soak test whose prompts were
+/// all of one size: within 300 ms, transfers that took 20 ms were predicted to take 2,071 ms, and all requests were
+/// refused as too late until the end. Such observations cannot separate the weights, whose uncertainty grew without
+/// bound in one direction. Clipping each weight on its own then moved the weights away from the observations.
 #[test]
 fn identical_observations_keep_the_fit_stable() {
     for seed in 0..20 {
--- a/crates/core/tests/member.rs
+++ b/crates/core/tests/member.rs
@@ -44,7 +44,7 @@
         table.record_unreached(key, at);
         let _ = table.next_probe_target(late);
         assert_eq!(believed_health(table, 2), Health::Dead);
-        // Sends the update about the death until it is no longer queued.
+        // Takes updates until the one about the death is no longer sent.
         for _ in 0..100 {
             let _ = table.take_updates();
         }
@@ -73,7 +73,7 @@
     assert!(tables[0].is_terminated(&process), "a later run answers in its place");
 }
 
-/// Fixed seed, so that each run gives the same verdict.
+/// Configures a fixed seed, so that each run has the same result.
 fn fixed_config() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(20_261_202), failure_persistence: None, ..ProptestConfig::default() }
 }
@@ -81,8 +81,8 @@
 proptest! {
     #![proptest_config(fixed_config())]
 
-    /// However probes, silences and restarts interleave: after one full round of probes between all members,
-    /// all believe that all are alive, under their latest start numbers.
+    /// However probes, silences and restarts interleave, all members believe that all are alive after one full round of
+    /// probes between them.
     #[test]
     fn beliefs_converge_after_faults(events in prop::collection::vec((0..4_usize, 0..4_usize, 0..4_u8), 1..200)) {
         let mut tables: Vec<_> = (0..4).map(|n| table(n, 4)).collect();
--- a/crates/core/tests/revision_table.rs
+++ b/crates/core/tests/revision_table.rs
@@ -1,4 +1,4 @@
-//! Copies of a store that are updated by its changes.
+//! Copies of a store that are kept up to date by its changes.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -40,9 +40,9 @@
     }
 }
 
-/// Guards against a history of removals that is too short: when thousands of engines are replaced within
-/// seconds, there are three times as many removals as were once remembered, and after that all entries were
-/// sent to each daemon at each change.
+/// Guards against a history of removals that is too short: when thousands of engines were replaced within seconds,
+/// there were three times as many removals as the history held, and from then on all entries were sent to each daemon
+/// at each change.
 #[test]
 fn replacing_most_entries_keeps_removal_history() {
     let mut table = RevisionTable::default();
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -82,7 +82,7 @@
 }
 
 impl Environment {
-    /// Carries out a step of a leader; `lost` loses the answer.
+    /// Carries out a step of a leader; `lost` tells whether its answer is lost.
     fn perform(&mut self, seed: u64, reporter: &mut Reporter, step: Step, counts: u64, lost: bool) {
         match step {
             Step::Wait => {}
@@ -110,7 +110,7 @@
     }
 }
 
-/// Leaders fail at any step and answers get lost; each leader has counted something else.
+/// Leaders fail at any step and answers get lost; each leader has different counts.
 #[test]
 fn reports_of_one_window_never_differ_across_leaders() {
     for seed in 0..10_000 {
@@ -126,7 +126,7 @@
             let lost = rng.random_bool(0.2);
             environment.perform(seed, &mut leader.1, step, leader.0, lost);
         }
-        // Windows whose report was due, except those that a leader could not report in time.
+        // The windows whose reports were due, except a few that a leader could not report in time.
         assert!(environment.accepted.len() >= 17, "seed {seed}: only {} windows", environment.accepted.len());
     }
 }
--- a/crates/core/tests/watcher_election.rs
+++ b/crates/core/tests/watcher_election.rs
@@ -1,8 +1,8 @@
 //! Election of the store watchers in a hall of many daemons.
 //!
-//! Sixty daemons of one hall start together with a store that has no changes, is unreachable, answers only some
-//! of them, or loses its watchers. The tests bound the number of calls and the times. Reports between daemons
-//! are as old as in a hall of that size (60 to 400 ms).
+//! Sixty daemons of one hall start together. The store has no changes, is unreachable, answers only some of the
+//! daemons, or loses its watchers. The tests limit the number of calls and the time until the store is watched. Reports
+//! between daemons are as old as in a hall of that size (60 to 400 ms).
 
 use dahliaseam_core::{
     time::{Span, Time},
@@ -28,8 +28,9 @@
     store_answers: bool,
     election: Election,
     watching: bool,
-    /// When the store last answered it; `reports` holds what the others are told of that, and when.
+    /// When the store last answered it.
     answered_at: Option<Time>,
+    /// Its reports: the time of each, and the time of the store's last answer if it watches.
     reports: Vec<(Time, Option<Time>)>,
     next_check: Time,
     /// When the running call ends.
@@ -157,7 +158,7 @@
     let before = hall.calls;
     hall.run(Span::seconds(60.0));
     assert_eq!(hall.watching(), vec![FAST_LINKS - 2, FAST_LINKS - 1]);
-    // Each call of a watcher takes its wait and the pause after it.
+    // Each call of a watcher takes the time that it waits for changes, and is followed by a pause.
     let calls = hall.calls - before;
     assert!(calls <= WATCHERS * 27, "{calls} calls in a minute");
 }
@@ -191,7 +192,7 @@
     assert!(calls_per_second <= 30, "{calls_per_second} calls per second");
     hall.set_store_answers(true);
     hall.run(Span::seconds(3.0));
-    assert!(hall.is_watched(), "the hall watches again within the time allowed");
+    assert!(hall.is_watched(), "the hall watches the store again within 3 s");
     hall.run(Span::seconds(4.0));
     assert_eq!(hall.watching().len(), WATCHERS);
 }
