--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -147,11 +147,12 @@
     send(&list, "/vms", "PUT", &serde_json::Value::Null).await;
     wait_until("it continues with its majority", async || node.standing() == Standing::GoOn).await;
 
-    // The peer reports a newer configuration that it does not hand over.
+    // The peer reports a newer generation, but does not hand the configuration over.
     generation.store(99, Ordering::SeqCst);
     wait_until("it is cut off", async || node.standing() == Standing::CutOff).await;
     let before = probes.load(Ordering::SeqCst);
-    wait_until("the peer is probed further", async || probes.load(Ordering::SeqCst) > before + 5).await;
+    wait_until("the peer is probed more than five times again", async || probes.load(Ordering::SeqCst) > before + 5)
+        .await;
     assert_eq!(node.standing(), Standing::CutOff, "answers alone do not make it ready");
     let _ = server.stop();
     daemon.abort();
--- a/crates/daemon/tests/delivery.rs
+++ b/crates/daemon/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of the pieces of a response while its attempt may be stopped at any moment.
+//! Delivery of the pieces of an answer while its attempt may be stopped at any moment.
 
 use std::task::Poll;
 
@@ -18,10 +18,10 @@
     Assembly::new(REQUEST.to_owned(), 0)
 }
 
-/// Guards against lost words in a response that is reported as complete. A piece counted as delivered before the
-/// caller's queue had room for it; the attempt was stopped while it waited for room, because its engine changed its
-/// role, and the next attempt resumed after that piece. With a pause of 2 ms at that place, each of four runs lost
-/// words.
+/// Guards against lost words in an answer that is reported as complete. A piece counted as delivered before the
+/// caller's queue had room for it. The attempt was stopped while it waited for room, because its engine changed its
+/// role, and the next attempt resumed after that piece. With a pause of 2 ms between counting and queueing, each of
+/// four runs lost words.
 #[tokio::test]
 async fn a_piece_whose_delivery_was_cancelled_does_not_count_as_delivered() {
     let (tx, mut rx) = mpsc::channel(1);
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -103,7 +103,7 @@
 
 /// Sends raw bytes and reads until the other side closes.
 async fn send_raw(address: &str, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+    let mut stream = TcpStream::connect(address).await.expect("the address accepts connections");
     let _ = stream.write_all(bytes).await;
     let mut buf = Vec::new();
     let _ = tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut buf)).await;
@@ -185,8 +185,8 @@
     let deployment = start().await;
     let body = r#"{"model":"m","prompt":"long","max_tokens":1000,"stream":true}"#;
     let bytes = post("/v1/completions", "x-dahliaseam-kind: chat\r\n", body);
-    let mut stream = TcpStream::connect(&deployment.address).await.expect("it listens");
-    stream.write_all(bytes.as_bytes()).await.expect("it is open");
+    let mut stream = TcpStream::connect(&deployment.address).await.expect("the daemon accepts connections");
+    stream.write_all(bytes.as_bytes()).await.expect("the connection is open");
     let mut buf = [0; 64];
     let read = stream.read(&mut buf).await.expect("the stream begins");
     assert!(read > 0);
--- a/crates/daemon/tests/listener.rs
+++ b/crates/daemon/tests/listener.rs
@@ -23,17 +23,17 @@
 #[tokio::test]
 async fn connections_pending_when_the_listener_closes_are_served() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     // Nothing is accepted until this test awaits.
     let mut callers: Vec<CallerStream> = (0..20).map(|_| CallerStream::connect(address).expect("it listens")).collect();
     for caller in &mut callers {
-        caller.write_all(REQUEST).expect("it is sent");
+        caller.write_all(REQUEST).expect("the request is sent");
     }
     let closing = CancellationToken::new();
     closing.cancel();
     let handler = |_| async { Response::new(Body::from("done")) };
     let serving = serve_with(listener, handler, limits, closing.clone(), closing);
-    tokio::time::timeout(TIMEOUT, serving).await.expect("the listener ends in time");
+    tokio::time::timeout(TIMEOUT, serving).await.expect("the listener stops within the time-out");
     let answered = callers.iter_mut().filter_map(|caller| read(caller).ok()).filter(|text| text.contains("done"));
     assert_eq!(answered.count(), callers.len());
 }
