--- a/crates/core/tests/endings/main.rs
+++ b/crates/core/tests/endings/main.rs
@@ -120,7 +120,7 @@
     Scenario {
         engines: 5,
         queries_per_second: 600.0,
-        query_sends: (6, (2, 20)),
+        harmless_sends: (6, (2, 20)),
         fatal_requests: 2,
         ..Scenario::new(seed, 8)
     }
@@ -138,7 +138,7 @@
 /// either, and about as many harmless requests are refused, more in some scenarios and fewer in others.
 #[test]
 fn the_bound_holds_with_and_without_isolation_and_trials() {
-    let busy = Scenario { queries_per_second: 600.0, query_sends: (6, (2, 20)), ..Scenario::new(0, 8) };
+    let busy = Scenario { queries_per_second: 600.0, harmless_sends: (6, (2, 20)), ..Scenario::new(0, 8) };
     let scenarios = [
         ("crowded", crowded(0)),
         ("three at once", Scenario { fatal_requests: 3, ..busy }),
--- a/crates/core/tests/endings/setting.rs
+++ b/crates/core/tests/endings/setting.rs
@@ -25,7 +25,7 @@
     /// Share of the queries that have one of ten contents, such as popular look-ups without a body.
     pub popular_share: f64,
     /// Number of times that a caller sends a query before it gives up, and the range of milliseconds between them.
-    pub query_sends: (usize, (u64, u64)),
+    pub harmless_sends: (usize, (u64, u64)),
     /// Engine crashes that no request causes.
     pub outage: Outage,
     /// Whether requests during which two engines crashed are isolated from each other.
@@ -61,7 +61,7 @@
             fatal_retry_ms: (30, 150),
             queries_per_second: 150.0,
             popular_share: 0.0,
-            query_sends: (2, (30, 150)),
+            harmless_sends: (2, (30, 150)),
             outage: Outage::None,
             isolate_suspects: true,
             run_trials: true,
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -196,7 +196,7 @@
                 };
                 let content = ContentHash(rendezvous(self.scenario.seed ^ 0x5eed, number));
                 self.outcome.other_requests += 1;
-                let sends_left = self.scenario.query_sends.0;
+                let sends_left = self.scenario.harmless_sends.0;
                 self.arrivals
                     .push((self.now, CallerRequest { kind, content, sends_left, attempts: 0, engines_lost: 0 }));
             }
@@ -282,7 +282,7 @@
             let (from, to) = if request.sends_left == usize::MAX {
                 self.scenario.fatal_retry_ms
             } else {
-                self.scenario.query_sends.1
+                self.scenario.harmless_sends.1
             };
             let wait = self.random_span(from, to);
             self.arrivals.push((self.now + wait, request));
--- a/crates/core/tests/fleet/rate_limits.rs
+++ b/crates/core/tests/fleet/rate_limits.rs
@@ -122,13 +122,13 @@
         let limit = [1.0, 4.4, 10.0][seed as usize % 3];
         let mut daemons = Daemons::new(16, limit);
         let clocks: Vec<Span> = (0..16).map(|_| Span::millis(rng.random_range(0..100))).collect();
-        let mut listed = 8;
+        let mut registered = 8;
         for start_ms in (0..30_000).step_by(1_000) {
-            let next = if rng.random_bool(0.3) { rng.random_range(6..=16) } else { listed };
+            let next = if rng.random_bool(0.3) { rng.random_range(6..=16) } else { registered };
             let learned: Vec<u64> = (0..16).map(|_| start_ms + rng.random_range(0..400)).collect();
             for ms in (start_ms..start_ms + 1_000).step_by(10) {
-                for rank in 0..next.max(listed) {
-                    let known = if ms >= learned[rank] { next } else { listed };
+                for rank in 0..next.max(registered) {
+                    let known = if ms >= learned[rank] { next } else { registered };
                     daemons.fleets[rank].set_registered_daemons(known);
                     daemons.fleets[rank].set_rate_limit_share(rank, clocks[rank], Daemons::time(ms));
                     if rank < known {
@@ -136,7 +136,7 @@
                     }
                 }
             }
-            listed = next;
+            registered = next;
         }
         let max_requests = daemons.max_in_window(PROPAGATION_BOUND_MS);
         assert!(
--- a/crates/core/tests/fleet/starts.rs
+++ b/crates/core/tests/fleet/starts.rs
@@ -23,7 +23,7 @@
     ReplicaFacts { start_time_ms: Some(start_time_ms), ..crate::facts(ID, Role::Decode) }
 }
 
-fn fleet_with(facts: ReplicaFacts) -> Fleet {
+fn fleet_with_facts(facts: ReplicaFacts) -> Fleet {
     let mut fleet = fleet();
     fleet.put(facts, 1);
     fleet
@@ -40,7 +40,7 @@
 
 /// The report of a daemon that has load on the given start.
 fn report_with_load(start_time_ms: u64) -> LoadReport {
-    let mut fleet = fleet_with(facts_of_start(start_time_ms));
+    let mut fleet = fleet_with_facts(facts_of_start(start_time_ms));
     let key = fleet.key(ID).expect("the replica is known");
     fleet.begin_step(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now());
     fleet.own_report(now())
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_state_of_a_replica_is_discarded_when_it_restarts() {
-    let mut fleet = fleet_with(ReplicaFacts { draining: true, ..facts_of_start(1_000) });
+    let mut fleet = fleet_with_facts(ReplicaFacts { draining: true, ..facts_of_start(1_000) });
     let key = fleet.key(ID).expect("the replica is known");
     let sent =
         fleet.begin_step(key, &step(key, 50.0, true), Some(&prompt(7, 7, 10)), now()).expect("the replica is known");
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_replica_without_a_start_time_is_supported() {
-    let mut fleet = fleet_with(crate::facts(ID, Role::Decode));
+    let mut fleet = fleet_with_facts(crate::facts(ID, Role::Decode));
     let key = fleet.key(ID).expect("the replica is known");
     assert!(!fleet.put(crate::facts(ID, Role::Decode), 2));
     assert_eq!(fleet.key(ID), Some(key));
@@ -90,7 +90,7 @@
     let (old, new) = (report_with_load(1_000), report_with_load(5_000));
     for seed in 0..10_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let id = |sender: u64, number| ReportId {
+        let report_id = |sender: u64, number| ReportId {
             source: Source::Daemon(sender),
             sender,
             number,
@@ -102,8 +102,8 @@
             Arrival::Entry(facts_of_start(1_000), 5),
             Arrival::Removed(7),
             Arrival::Entry(facts_of_start(5_000), 9),
-            Arrival::Peer(id(1, 1), old.clone()),
-            Arrival::Peer(id(2, 1), new.clone()),
+            Arrival::Peer(report_id(1, 1), old.clone()),
+            Arrival::Peer(report_id(2, 1), new.clone()),
         ];
         // A daemon that copies the store's contents from a peer may receive an entry of the older start at a newer
         // revision than it has seen.
@@ -123,8 +123,8 @@
         assert_eq!(fleet.get(key).expect("the replica is known").facts.start_time_ms, Some(5_000), "seed {seed}");
         assert!(fleet.get(key).expect("the replica is known").is_open(now()), "seed {seed}");
         // A peer's load on the previous start does not count; its load on the present start is reported repeatedly.
-        fleet.apply_report(id(1, 2), &old, now());
-        fleet.apply_report(id(2, 2), &new, now());
+        fleet.apply_report(report_id(1, 2), &old, now());
+        fleet.apply_report(report_id(2, 2), &new, now());
         assert_eq!(active(&fleet), 1, "seed {seed}");
     }
 }
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -115,7 +115,7 @@
 async fn a_daemon_stays_cut_off_until_it_has_a_known_newer_configuration() {
     let kv = Kv::start("127.0.0.1:0").await.expect("a free port");
     let vms = VmList::start("127.0.0.1:0").await.expect("a free port");
-    let (kv_address, list) = (kv.server().address().to_string(), vms.server().address().to_string());
+    let (kv_address, vm_list_address) = (kv.server().address().to_string(), vms.server().address().to_string());
     let (peer_address, stand_in_address) = (free_address(), free_address());
     let contact = Contact { vm: "entry-2".into(), hall: "h".into(), address: stand_in_address.clone() };
     let (generation, probes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
@@ -125,7 +125,7 @@
     let settings: Settings = serde_json::from_value(json!({
         "vm": "entry-1", "hall": "h", "keyspace": "/catch-up/", "caller_address": free_address(),
         "operator_address": free_address(), "peer_address": peer_address,
-        "kv_address": kv_address, "vm_list_address": list,
+        "kv_address": kv_address, "vm_list_address": vm_list_address,
         "peer_secret": "a-secret-of-this-test", "operator_token": "a-token-of-this-test",
         "timing": { "list_ms": 50, "probe_ms": 50, "confirm_ms": 500, "stop_grace_ms": 50 },
     }))
@@ -136,7 +136,7 @@
         { "vm": "entry-1", "hall": "h", "address": peer_address, "part": "entry" },
         { "vm": "entry-2", "hall": "h", "address": stand_in_address, "part": "entry" },
     ]);
-    send(&list, "/vms", "PUT", &entries).await;
+    send(&vm_list_address, "/vms", "PUT", &entries).await;
     let node = Arc::clone(daemon.node());
     let team = Change { kind: ResourceKind::Team, name: "t".into(), based_on: None, spec: Some(json!({ "rate": 1 })) };
     wait_until("the change is accepted", async || configure::change(&node, std::slice::from_ref(&team)).await.is_ok())
@@ -144,7 +144,7 @@
 
     // The platform is unreachable and the peer has no newer configuration, so the daemon continues.
     send(&kv_address, "/fault", "POST", &json!({ "down": true })).await;
-    send(&list, "/vms", "PUT", &serde_json::Value::Null).await;
+    send(&vm_list_address, "/vms", "PUT", &serde_json::Value::Null).await;
     wait_until("it continues with its majority", async || node.standing() == Standing::GoOn).await;
 
     // The peer reports a newer generation, but does not hand the configuration over.
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -92,13 +92,13 @@
         { "vm": "entry-1", "hall": "h", "address": peer, "part": "entry" },
         { "vm": "vm-e", "hall": "h", "part": "endpoint" },
     ]);
-    let url = vms.server().address().to_string();
+    let address = vms.server().address().to_string();
     let body = list.to_string();
     let text = format!(
         "PUT /vms HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
         body.len()
     );
-    assert!(send_raw(&url, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
+    assert!(send_raw(&address, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
 }
 
 /// Sends raw bytes and reads until the other side closes.
