--- a/crates/core/tests/endings/setting.rs
+++ b/crates/core/tests/endings/setting.rs
@@ -24,7 +24,8 @@
     pub queries_per_second: f64,
     /// Share of the queries that have one of ten contents, such as popular look-ups without a body.
     pub popular_share: f64,
-    /// Number of times that a caller sends a query before it gives up, and the range of milliseconds between them.
+    /// Number of times that a caller sends a harmless request before it gives up, and the range of milliseconds between
+    /// them.
     pub harmless_sends: (usize, (u64, u64)),
     /// Engine crashes that no request causes.
     pub outage: Outage,
--- a/crates/core/tests/endings/world.rs
+++ b/crates/core/tests/endings/world.rs
@@ -1,9 +1,9 @@
 //! Simulation of daemons, engines and callers without a network, where some requests crash the engines that run them.
 //!
 //! By default there are twelve engines of 48 slots. Queries take 20 to 120 ms; their callers send them at most twice,
-//! and each time a daemon makes at most two attempts. Chats take three to ten seconds. A fatal request crashes an
-//! engine 40 to 130 ms after it starts there, and its caller retries at any daemon 30 to 150 ms after the answer. An
-//! engine is back 2.5 to 3.5 s after a crash. Messages take 2 to 12 ms.
+//! and each time a daemon makes at most two attempts. Chats take three to ten seconds, and a daemon makes only one
+//! attempt of each. A fatal request crashes an engine 40 to 130 ms after it starts there, and its caller retries at any
+//! daemon 30 to 150 ms after the answer. An engine is back 2.5 to 3.5 s after a crash. Messages take 2 to 12 ms.
 
 use std::collections::HashMap;
 
--- a/crates/core/tests/fleet/large_prompts.rs
+++ b/crates/core/tests/fleet/large_prompts.rs
@@ -66,7 +66,7 @@
     fleet: Fleet,
     /// The queue of each engine, and the time at which its current prefill ends.
     queues: Vec<(ReplicaKey, Vec<QueuedPrompt>, Option<Time>)>,
-    /// Size in tokens of each counted prompt, and whether it was served before its caller's time-out.
+    /// Size in tokens of each counted prompt, and whether it was served before its caller's timeout.
     served: Vec<(u32, bool)>,
     rng: SmallRng,
     arrivals: u64,
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -22,7 +22,8 @@
         (0..12).map(|n| (format!("e{n}"), if n < 4 { Role::Prefill } else { Role::Decode })).collect();
     let roles: Vec<(&str, Role)> = roles.iter().map(|(id, role)| (id.as_str(), *role)).collect();
     let mut fleet = fleet_with(&roles);
-    // Ten slots each: 25 short answers require more than three engines, and about twice as many are kept.
+    // Each engine has ten slots, of which only a share counts: 25 short answers require more than three engines, and
+    // about twice as many are kept.
     let demand = Demand { prefill: 9.0, slots: 25.0, ..Demand::default() };
     let mut changed = 0;
     let mut at = now();
--- a/crates/daemon/tests/listener.rs
+++ b/crates/daemon/tests/listener.rs
@@ -33,7 +33,7 @@
     closing.cancel();
     let handler = |_| async { Response::new(Body::from("done")) };
     let serving = serve_with(listener, handler, limits, closing.clone(), closing);
-    tokio::time::timeout(TIMEOUT, serving).await.expect("the listener stops within the time-out");
+    tokio::time::timeout(TIMEOUT, serving).await.expect("the listener stops within the timeout");
     let answered = callers.iter_mut().filter_map(|caller| read(caller).ok()).filter(|text| text.contains("done"));
     assert_eq!(answered.count(), callers.len());
 }
