--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -15,7 +15,7 @@
 use dahliaseam_wire::resource::{Change, ResourceKind};
 use dahliaseamd::{
     configuration::configure,
-    controller::{Controller, Outside},
+    controller::{Controller, Dependencies},
 };
 use futures_util::future::join_all;
 use serde_json::{Value, json};
@@ -119,8 +119,8 @@
             "peer_secret": "quick-start-secret", "operator_token": "quick-start-token",
             "timing": { "probe_ms": 100, "list_ms": 200, "observe_ms": 200, "stop_grace_ms": 500 },
         }))?;
-        let outside = Outside::real(&settings);
-        daemons.push(Controller::start(settings, outside).await?);
+        let deps = Dependencies::real(&settings);
+        daemons.push(Controller::start(settings, deps).await?);
     }
     let endpoints = ENGINES.iter().map(|(name, _)| *name).chain(["till-1", "till-2"]);
     list.extend(endpoints.map(|name| json!({ "vm": name, "hall": "oslo-1", "part": "endpoint" })));
--- a/crates/daemon/src/bin/dahliaseamd/main.rs
+++ b/crates/daemon/src/bin/dahliaseamd/main.rs
@@ -7,7 +7,7 @@
 
 use dahliaseam_settings::settings::Settings;
 use dahliaseamd::{
-    controller::{Controller, Outside},
+    controller::{Controller, Dependencies},
     error::{StartError, report},
     telemetry::Telemetry,
 };
@@ -39,8 +39,8 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| StartError::Telemetry(e.to_string()))?;
     let settings = Settings::load(&app.settings)?;
     let telemetry = Telemetry::start(&settings)?;
-    let outside = Outside::real(&settings);
-    let daemon = Controller::start(settings, outside).await?;
+    let deps = Dependencies::real(&settings);
+    let daemon = Controller::start(settings, deps).await?;
     tokio::select! {
         _ = term.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -59,7 +59,7 @@
 
 /// External dependencies of a daemon, which tests can replace with fakes.
 #[derive(Debug)]
-pub struct Outside {
+pub struct Dependencies {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The key-value service.
@@ -68,7 +68,7 @@
     pub vm_list: Arc<dyn VmList>,
 }
 
-impl Outside {
+impl Dependencies {
     /// The real dependencies, with the addresses from the settings.
     #[must_use]
     pub fn real(settings: &Settings) -> Self {
@@ -95,11 +95,11 @@
     ///
     /// # Errors
     /// Why the daemon cannot start.
-    pub async fn start(settings: Settings, outside: Outside) -> Result<Self, StartError> {
+    pub async fn start(settings: Settings, deps: Dependencies) -> Result<Self, StartError> {
         settings.check()?;
         let caller_listener = bind("caller_address", &settings.caller_address).await?;
         let operator_listener = bind("operator_address", &settings.operator_address).await?;
-        let node = Arc::new(new_node(settings, outside)?);
+        let node = Arc::new(new_node(settings, deps)?);
         let peer = peer_server::start(Arc::clone(&node)).await?;
         let limits = node.settings.limits;
         let (begun, closing, finished) =
@@ -160,8 +160,8 @@
     TcpListener::bind(address).await.map_err(|e| StartError::Bind(what, address.to_owned(), e))
 }
 
-fn new_node(settings: Settings, outside: Outside) -> Result<Node, StartError> {
-    let now = outside.clock.now();
+fn new_node(settings: Settings, deps: Dependencies) -> Result<Node, StartError> {
+    let now = deps.clock.now();
     // The wall clock orders the runs of a VM that is replaced under the same name.
     let start = wall_millis();
     let me = Incarnation { vm: settings.vm.clone(), start };
@@ -177,10 +177,10 @@
         ..MemberSettings::default()
     };
     Ok(Node {
-        clock: outside.clock,
+        clock: deps.clock,
         identity: Identity::new(me),
-        kv: outside.kv,
-        vm_list: outside.vm_list,
+        kv: deps.kv,
+        vm_list: deps.vm_list,
         dispatcher: SharedDispatcher::new(settings.policy.policy(), seed, now),
         members: Mutex::new(Members::new(members, contact, start, seed)),
         peers: PeerClients::default(),
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -20,7 +20,7 @@
 };
 use dahliaseamd::{
     configuration::configure,
-    controller::{Controller, Outside},
+    controller::{Controller, Dependencies},
 };
 use jsonrpsee::{
     core::{RpcResult, async_trait},
@@ -130,8 +130,8 @@
         "timing": { "list_ms": 50, "probe_ms": 50, "confirm_ms": 500, "stop_grace_ms": 50 },
     }))
     .expect("the settings are valid");
-    let outside = Outside::real(&settings);
-    let daemon = Controller::start(settings, outside).await.expect("the daemon starts");
+    let deps = Dependencies::real(&settings);
+    let daemon = Controller::start(settings, deps).await.expect("the daemon starts");
     let entries = json!([
         { "vm": "entry-1", "hall": "h", "address": peer_address, "part": "entry" },
         { "vm": "entry-2", "hall": "h", "address": stand_in_address, "part": "entry" },
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -7,7 +7,7 @@
 use dahliaseam_wire::resource::{Change, ResourceKind};
 use dahliaseamd::{
     configuration::configure,
-    controller::{Controller, Outside},
+    controller::{Controller, Dependencies},
 };
 use serde_json::{Value, json};
 use stand_ins::{
@@ -61,8 +61,8 @@
         "timing": { "list_ms": 50, "probe_ms": 50, "stop_grace_ms": 50 },
     }))
     .expect("the settings are valid");
-    let outside = Outside::real(&settings);
-    let daemon = Controller::start(settings, outside).await.expect("the daemon starts");
+    let deps = Dependencies::real(&settings);
+    let daemon = Controller::start(settings, deps).await.expect("the daemon starts");
     set_list(&vms, &peer).await;
     let changes = [
         change(ResourceKind::Version, "v", json!({ "model": "m", "artifact": "a" })),
