--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -82,7 +82,7 @@
 
 /// A running daemon.
 #[derive(Debug)]
-pub struct Controller {
+pub struct Daemon {
     node: Arc<Node>,
     caller: JoinHandle<()>,
     operator: JoinHandle<()>,
@@ -90,7 +90,7 @@
     background: TaskTracker,
 }
 
-impl Controller {
+impl Daemon {
     /// Starts a daemon.
     ///
     /// # Errors
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -37,13 +37,13 @@
 
 /// A running daemon.
 #[derive(Debug)]
-pub struct GatewayController {
+pub struct GatewayDaemon {
     gw: Arc<Gateway>,
     caller_task: JoinHandle<()>,
     background: TaskTracker,
 }
 
-impl GatewayController {
+impl GatewayDaemon {
     /// Starts a daemon.
     ///
     /// # Errors
