--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -122,7 +122,7 @@
         number += 1;
         let now = gw.now();
         let all = gw.peers.all(gw.settings.load_address, now);
-        update_slot_share(gw, now);
+        update_rate_limit_share(gw, now);
         let peers = recipients(gw, &all);
         let load = gw.fleet().own_report(now);
         send_report(gw, load_report(gw, number, None, load), &peers).await;
@@ -132,7 +132,7 @@
 }
 
 /// Updates this daemon's share of rate-limit slots from the registered daemons.
-fn update_slot_share(gw: &Gateway, now: Time) {
+fn update_rate_limit_share(gw: &Gateway, now: Time) {
     let rank = gw.peers.rank(&registration_key(gw, &gw.settings.vm));
     let time_of_day = Time(wall_millis() * MICROS_PER_MILLI);
     let mut fleet = gw.fleet();
