--- a/crates/daemon/src/gateway/quota/credit.rs
+++ b/crates/daemon/src/gateway/quota/credit.rs
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(in crate::gateway) struct CreditReply {
     number: u64,
-    outcome: Outcome,
+    outcome: CreditOutcome,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Outcome {
+enum CreditOutcome {
     /// The units were taken; this many are left.
     Granted(u64),
     /// Only this many units are available.
@@ -75,7 +75,7 @@
         let now = gw.now();
         let mut client = lock(&gw.quotas.client);
         match outcome {
-            Some(Outcome::Granted(left)) => {
+            Some(CreditOutcome::Granted(left)) => {
                 client.record_level(&team.name, shard, left as f64, &terms, now);
                 let credit = Credit::requested_at(asked_at);
                 if credit.is_usable(now) {
@@ -83,8 +83,8 @@
                     return Ok(credit);
                 }
             }
-            Some(Outcome::Denied(left)) => client.record_level(&team.name, shard, left as f64, &terms, now),
-            Some(Outcome::NotOwner) | None => client.mark_unavailable(shard, now),
+            Some(CreditOutcome::Denied(left)) => client.record_level(&team.name, shard, left as f64, &terms, now),
+            Some(CreditOutcome::NotOwner) | None => client.mark_unavailable(shard, now),
         }
     }
 }
@@ -103,7 +103,7 @@
 }
 
 /// Asks the owner of a shard; `None` without a reply.
-async fn ask(gw: &Gateway, shard: u8, team: &str, units: u64) -> Option<Outcome> {
+async fn ask(gw: &Gateway, shard: u8, team: &str, units: u64) -> Option<CreditOutcome> {
     let owner = gw.quotas.owner(shard)?;
     if owner.run == gw.run_id {
         return Some(grant(gw, shard, team, units));
@@ -132,18 +132,18 @@
     }
 }
 
-fn grant(gw: &Gateway, shard: u8, team: &str, units: u64) -> Outcome {
+fn grant(gw: &Gateway, shard: u8, team: &str, units: u64) -> CreditOutcome {
     let Some(terms) = terms_of(gw, team) else {
-        return Outcome::NotOwner;
+        return CreditOutcome::NotOwner;
     };
     let mut owned = lock(&gw.quotas.owned);
     let now = gw.now();
     let Some(owned) = owned.get_mut(&shard).filter(|owned| owned.authority.holds(now)) else {
-        return Outcome::NotOwner;
+        return CreditOutcome::NotOwner;
     };
     match owned.buckets.take(team, &terms, units, now) {
-        CreditDecision::Granted { left } => Outcome::Granted(left as u64),
-        CreditDecision::Denied { left } => Outcome::Denied(left as u64),
+        CreditDecision::Granted { left } => CreditOutcome::Granted(left as u64),
+        CreditDecision::Denied { left } => CreditOutcome::Denied(left as u64),
     }
 }
 
