--- a/crates/border/src/dialect.rs
+++ b/crates/border/src/dialect.rs
@@ -120,9 +120,9 @@
 pub struct RoleOrder {
     /// The new role.
     pub role: Role,
-    /// Name of the daemon that sends the order.
-    pub holder: String,
-    /// Fencing number of that daemon.
+    /// Name of the leader, which sends the order.
+    pub leader: String,
+    /// Fencing number of the leader.
     pub fence: u64,
     /// Number of orders that the engine must have accepted before; it rejects this one if the number differs.
     pub expected_orders: u64,
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
     /// Name of the daemon.
-    pub holder: String,
+    pub name: String,
     /// Fencing number of that daemon.
     pub fence: u64,
 }
@@ -282,7 +282,7 @@
     fn report_usage(
         &self,
         address: SocketAddr,
-        holder: &Leader,
+        leader: &Leader,
         report: &Report,
     ) -> Result<Request<Full<Bytes>>, FormatError>;
 
@@ -296,7 +296,7 @@
     fn order_size(
         &self,
         address: SocketAddr,
-        holder: &Leader,
+        leader: &Leader,
         order: &SizeOrder,
     ) -> Result<Request<Full<Bytes>>, FormatError>;
 
--- a/crates/daemon/src/gateway/autoscaler.rs
+++ b/crates/daemon/src/gateway/autoscaler.rs
@@ -295,8 +295,8 @@
 async fn send_order(gw: &Gateway, address: SocketAddr, lease: &LeaderLease, key: &OrderKey, desired: u32) -> bool {
     let (service, hall, reclaimable) = key;
     let order = SizeOrder { service: service.to_string(), hall: hall.to_string(), reclaimable: *reclaimable, desired };
-    let holder = lease.holder(&gw.settings.vm);
-    let req = match gw.deps.dialect.order_size(address, &holder, &order) {
+    let leader = lease.leader(&gw.settings.vm);
+    let req = match gw.deps.dialect.order_size(address, &leader, &order) {
         Ok(req) => req,
         Err(e) => {
             emit!(error, SIZE_NOT_ORDERED, fence = lease.fence(), why = %e);
--- a/crates/daemon/src/gateway/leadership.rs
+++ b/crates/daemon/src/gateway/leadership.rs
@@ -59,9 +59,9 @@
         self.authority.epoch()
     }
 
-    /// The holder in whose name calls are made.
-    pub(super) fn holder(&self, vm: &str) -> Leader {
-        Leader { holder: vm.to_owned(), fence: self.fence() }
+    /// The leader on whose behalf calls are made: this daemon, whose name is `vm`.
+    pub(super) fn leader(&self, vm: &str) -> Leader {
+        Leader { name: vm.to_owned(), fence: self.fence() }
     }
 }
 
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -148,7 +148,7 @@
     }
     let order = RoleOrder {
         role: change.to,
-        holder: gw.settings.vm.clone(),
+        leader: gw.settings.vm.clone(),
         fence: lease.fence(),
         expected_orders: report.orders,
     };
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -259,8 +259,8 @@
     reporter: &mut Reporter,
     report: &Report,
 ) -> Result<(), CallError> {
-    let holder = lease.holder(&gw.settings.vm);
-    let req = gw.deps.dialect.report_usage(config.address, &holder, report);
+    let leader = lease.leader(&gw.settings.vm);
+    let req = gw.deps.dialect.report_usage(config.address, &leader, report);
     let req = req.map_err(|e| CallError::NotSent(e.to_string()))?;
     gw.confirm_leadership(lease).await?;
     let result = once::call(config.address, req, leadership::CALL_TIMEOUT).await;
