--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -201,11 +201,11 @@
     tasks.spawn(peers::run(Arc::clone(node)));
     tasks.spawn(peers::announce_config(Arc::clone(node)));
     tasks.spawn(configure::run(Arc::clone(node)));
-    tasks.spawn(duties::watch_vm_list(Arc::clone(node)));
+    tasks.spawn(duties::poll_vm_list(Arc::clone(node)));
     tasks.spawn(observe::run(Arc::clone(node)));
     tasks.spawn(control::run(Arc::clone(node)));
     tasks.spawn(tick(Arc::clone(node)));
-    tasks.spawn(watch_standing(Arc::clone(node)));
+    tasks.spawn(log_standing_changes(Arc::clone(node)));
     let finished = node.stop.finished.clone();
     let claims = claims::run(Arc::clone(node));
     tasks.spawn(async move {
@@ -225,7 +225,7 @@
     }
 }
 
-async fn watch_standing(node: Arc<Node>) {
+async fn log_standing_changes(node: Arc<Node>) {
     let mut last = None;
     while !node.stop.finished.is_cancelled() {
         let standing = (node.is_ready(), node.standing());
--- a/crates/daemon/src/endpoint/duties.rs
+++ b/crates/daemon/src/endpoint/duties.rs
@@ -126,7 +126,7 @@
 }
 
 /// Polls the platform's VM list until the daemon stops.
-pub async fn watch_vm_list(node: Arc<Node>) {
+pub async fn poll_vm_list(node: Arc<Node>) {
     let interval = Duration::from_millis(node.settings.timing.list_ms);
     while !node.stop.finished.is_cancelled() {
         let requested_at = node.now();
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -22,12 +22,12 @@
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.finished.clone();
     tokio::select! {
-        () = watch(&gw) => {}
+        () = detect(&gw) => {}
         () = stop.cancelled() => {}
     }
 }
 
-async fn watch(gw: &Gateway) {
+async fn detect(gw: &Gateway) {
     let mut known = gw.suspended_time();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
