--- a/crates/core/src/custody.rs
+++ b/crates/core/src/custody.rs
@@ -124,7 +124,7 @@
 
 /// A step of the custody protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum CustodyStep {
     /// Wait, for this reason.
     Wait(WaitReason),
     /// Write this record by compare-and-swap, then call [`next_step`] again.
@@ -137,13 +137,13 @@
 
 /// Returns the next step for an engine.
 #[must_use]
-pub fn next_step(record: &EngineRecord, inputs: &StepInputs<'_>) -> Step {
+pub fn next_step(record: &EngineRecord, inputs: &StepInputs<'_>) -> CustodyStep {
     let Some(epoch) = inputs.epoch else {
-        return Step::Wait(WaitReason::NoAuthority);
+        return CustodyStep::Wait(WaitReason::NoAuthority);
     };
     // A process may be paused between its lease check and this step, and resume with an outdated number.
     if epoch < record.epoch {
-        return Step::Wait(WaitReason::NoAuthority);
+        return CustodyStep::Wait(WaitReason::NoAuthority);
     }
     if record.custodian.as_ref() != Some(inputs.me) {
         return take_custody(record, inputs, epoch);
@@ -152,16 +152,16 @@
         // The lease was lost and regained: continue under the new number.
         let mut record = record.clone();
         record.epoch = epoch;
-        return Step::Write(record);
+        return CustodyStep::Write(record);
     }
     match (&record.intent, inputs.wanted) {
         (Some(intent), _) => settle_intent(record, intent, inputs, epoch),
         (None, Some(wanted)) => write_intent(record, wanted, inputs, epoch),
-        (None, None) => Step::Done,
+        (None, None) => CustodyStep::Done,
     }
 }
 
-fn take_custody(record: &EngineRecord, inputs: &StepInputs<'_>, epoch: u64) -> Step {
+fn take_custody(record: &EngineRecord, inputs: &StepInputs<'_>, epoch: u64) -> CustodyStep {
     let free = record.custodian.is_none();
     let fenced = inputs.fencing == Fencing::Checks && epoch > record.epoch;
     let mut record = record.clone();
@@ -169,28 +169,28 @@
         record.custodian = Some(inputs.me.clone());
         record.epoch = epoch;
         record.wanted_by = None;
-        return Step::Write(record);
+        return CustodyStep::Write(record);
     }
     if record.wanted_by.as_ref() != Some(inputs.me) {
         record.wanted_by = Some(inputs.me.clone());
-        return Step::Write(record);
+        return CustodyStep::Write(record);
     }
-    Step::Wait(WaitReason::FormerCustodian)
+    CustodyStep::Wait(WaitReason::FormerCustodian)
 }
 
-fn settle_intent(record: &EngineRecord, intent: &Order, inputs: &StepInputs<'_>, epoch: u64) -> Step {
+fn settle_intent(record: &EngineRecord, intent: &Order, inputs: &StepInputs<'_>, epoch: u64) -> CustodyStep {
     let Some(status) = inputs.status else {
-        return Step::Wait(WaitReason::NoStatus);
+        return CustodyStep::Wait(WaitReason::NoStatus);
     };
     if status.changing {
-        return Step::Wait(WaitReason::Changing);
+        return CustodyStep::Wait(WaitReason::Changing);
     }
     let taken = (status.epoch, status.sequence) == (intent.epoch, intent.sequence);
     if taken || status.boot != intent.boot {
-        return Step::Write(without_intent(record));
+        return CustodyStep::Write(without_intent(record));
     }
     if intent.by == *inputs.me && intent.epoch == epoch {
-        return Step::Send(intent.clone());
+        return CustodyStep::Send(intent.clone());
     }
     if inputs.fencing == Fencing::Checks && status.epoch < epoch {
         // The order of the former holder may still be in flight: the engine must learn the new number first.
@@ -201,9 +201,9 @@
             kind: OrderKind::Fence,
             by: inputs.me.clone(),
         };
-        return Step::Send(fence);
+        return CustodyStep::Send(fence);
     }
-    Step::Write(without_intent(record))
+    CustodyStep::Write(without_intent(record))
 }
 
 fn without_intent(record: &EngineRecord) -> EngineRecord {
@@ -215,19 +215,19 @@
     }
 }
 
-fn write_intent(record: &EngineRecord, wanted: &OrderKind, inputs: &StepInputs<'_>, epoch: u64) -> Step {
+fn write_intent(record: &EngineRecord, wanted: &OrderKind, inputs: &StepInputs<'_>, epoch: u64) -> CustodyStep {
     let Some(status) = inputs.status else {
-        return Step::Wait(WaitReason::NoStatus);
+        return CustodyStep::Wait(WaitReason::NoStatus);
     };
     if status.changing {
-        return Step::Wait(WaitReason::Changing);
+        return CustodyStep::Wait(WaitReason::Changing);
     }
     if is_satisfied(wanted, status) {
-        return Step::Done;
+        return CustodyStep::Done;
     }
     let sequence = record.sequence + 1;
     let intent = Order { epoch, sequence, boot: status.boot, kind: wanted.clone(), by: inputs.me.clone() };
-    Step::Write(EngineRecord { sequence, intent: Some(intent), ..record.clone() })
+    CustodyStep::Write(EngineRecord { sequence, intent: Some(intent), ..record.clone() })
 }
 
 /// Whether `status` shows that `wanted` has been carried out.
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -168,7 +168,7 @@
 
 /// The next step of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ReportStep {
     /// Read the stored report.
     Read,
     /// Store the report of this window if the stored one is unchanged.
@@ -216,13 +216,13 @@
 
     /// Returns the next step. `is_complete` tells whether all daemons have reported final counts for a window.
     /// After `max_wait_ms` past its end a window is reported without the missing ones.
-    pub fn next_step(&mut self, unix_ms: u64, max_wait_ms: u64, is_complete: impl Fn(u64) -> bool) -> Step {
+    pub fn next_step(&mut self, unix_ms: u64, max_wait_ms: u64, is_complete: impl Fn(u64) -> bool) -> ReportStep {
         let is_overdue = |window: u64| self.windows.due_at_ms(window) <= unix_ms;
         let (window, expect) = match &self.stored {
-            Stored::Unknown => return Step::Read,
+            Stored::Unknown => return ReportStep::Read,
             Stored::Nothing => (self.first, 0),
             Stored::Report { report, is_done: false, .. } if !is_overdue(report.window) => {
-                return Step::Send(report.clone());
+                return ReportStep::Send(report.clone());
             }
             Stored::Report { revision, report, .. } => (report.window + 1, *revision),
         };
@@ -231,7 +231,7 @@
         let window = window.max(self.windows.window_at(unix_ms.saturating_sub(self.windows.due_ms)));
         let end_ms = self.windows.end_ms(window);
         let is_ready = end_ms <= unix_ms && (is_complete(window) || end_ms + max_wait_ms <= unix_ms);
-        if is_ready { Step::Store { window, expect } } else { Step::Wait }
+        if is_ready { ReportStep::Store { window, expect } } else { ReportStep::Wait }
     }
 
     /// Sets the stored report and its revision, as read or written by this leader.
--- a/crates/core/tests/custody.rs
+++ b/crates/core/tests/custody.rs
@@ -2,7 +2,7 @@
 //! answers are lost, orders that arrive late, and engines that crash during a change.
 
 use dahliaseam_core::{
-    custody::{EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, StepInputs, next_step, release},
+    custody::{CustodyStep, EngineRecord, EngineStatus, Fencing, Order, OrderKind, StepInputs, next_step, release},
     endpoint::Role,
     lease::Fence,
     member::Incarnation,
@@ -238,7 +238,7 @@
             wanted: Some(wanted),
         };
         match next_step(&record, &view) {
-            Step::Write(record) => {
+            CustodyStep::Write(record) => {
                 let applied = revision == self.revision;
                 if applied {
                     self.record_settled(&record);
@@ -250,12 +250,12 @@
                 holder.record = known.then(|| (self.record.clone(), self.revision));
                 holder.status = None;
             }
-            Step::Send(order) => self.holders[n].pending_order = Some(order),
-            Step::Wait(_) => {
+            CustodyStep::Send(order) => self.holders[n].pending_order = Some(order),
+            CustodyStep::Wait(_) => {
                 self.holders[n].record = None;
                 self.holders[n].status = None;
             }
-            Step::Done => {}
+            CustodyStep::Done => {}
         }
     }
 
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use dahliaseam_core::usage::{Counter, Ledger, Report, Reporter, Step, WindowSchedule};
+use dahliaseam_core::usage::{Counter, Ledger, Report, ReportStep, Reporter, WindowSchedule};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
 const WINDOWS: WindowSchedule = WindowSchedule { length_ms: 5_000, due_ms: 10_000 };
@@ -82,11 +82,11 @@
 
 impl Environment {
     /// Carries out a step of a leader; `lost` loses the answer.
-    fn perform(&mut self, seed: u64, reporter: &mut Reporter, step: Step, counts: u64, lost: bool) {
+    fn perform(&mut self, seed: u64, reporter: &mut Reporter, step: ReportStep, counts: u64, lost: bool) {
         match step {
-            Step::Wait => {}
-            Step::Read => reporter.set_stored(self.stored.clone()),
-            Step::Store { window, expect } => {
+            ReportStep::Wait => {}
+            ReportStep::Read => reporter.set_stored(self.stored.clone()),
+            ReportStep::Store { window, expect } => {
                 reporter.forget_stored();
                 let present = self.stored.as_ref().map_or(0, |(revision, _)| *revision);
                 if present == expect {
@@ -98,7 +98,7 @@
                     }
                 }
             }
-            Step::Send(report) => {
+            ReportStep::Send(report) => {
                 let before = self.accepted.insert(report.window, report.counts.clone());
                 assert!(before.is_none_or(|before| before == report.counts), "seed {seed}: two reports differ");
                 if !lost {
@@ -135,12 +135,12 @@
     let mut reporter = Reporter::new(WINDOWS, 100);
     reporter.set_stored(None);
     let end_ms = WINDOWS.end_ms(100);
-    assert_eq!(reporter.next_step(end_ms - 1, MAX_WAIT_MS, |_| true), Step::Wait);
-    assert_eq!(reporter.next_step(end_ms, MAX_WAIT_MS, |_| false), Step::Wait);
-    assert_eq!(reporter.next_step(end_ms, MAX_WAIT_MS, |_| true), Step::Store { window: 100, expect: 0 });
+    assert_eq!(reporter.next_step(end_ms - 1, MAX_WAIT_MS, |_| true), ReportStep::Wait);
+    assert_eq!(reporter.next_step(end_ms, MAX_WAIT_MS, |_| false), ReportStep::Wait);
+    assert_eq!(reporter.next_step(end_ms, MAX_WAIT_MS, |_| true), ReportStep::Store { window: 100, expect: 0 });
     assert_eq!(
         reporter.next_step(end_ms + MAX_WAIT_MS, MAX_WAIT_MS, |_| false),
-        Step::Store { window: 100, expect: 0 }
+        ReportStep::Store { window: 100, expect: 0 }
     );
 }
 
@@ -149,5 +149,5 @@
     let mut reporter = Reporter::new(WINDOWS, 100);
     reporter.set_stored(Some((5, Report { window: 100, counts: BTreeMap::new() })));
     let now_ms = WINDOWS.due_at_ms(103);
-    assert_eq!(reporter.next_step(now_ms, MAX_WAIT_MS, |_| true), Step::Store { window: 104, expect: 5 });
+    assert_eq!(reporter.next_step(now_ms, MAX_WAIT_MS, |_| true), ReportStep::Store { window: 104, expect: 5 });
 }
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -8,7 +8,7 @@
     kv::{Swap, Swapped},
 };
 use dahliaseam_core::{
-    custody::{self, EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, StepInputs, WaitReason},
+    custody::{self, CustodyStep, EngineRecord, EngineStatus, Fencing, Order, OrderKind, StepInputs, WaitReason},
     time::{Span, Time},
 };
 use dahliaseam_wire::{
@@ -96,20 +96,20 @@
                 wanted,
             };
             match custody::next_step(record, &view) {
-                Step::Done => return ReconcileResult::Done,
-                Step::Wait(wait) => {
+                CustodyStep::Done => return ReconcileResult::Done,
+                CustodyStep::Wait(wait) => {
                     // A release by the former custodian shows only in the stored record, so read it again next time.
                     if wait == WaitReason::FormerCustodian {
                         self.record = None;
                     }
                     return ReconcileResult::Waiting(wait);
                 }
-                Step::Write(next) => {
+                CustodyStep::Write(next) => {
                     if !self.write_record(node, next).await {
                         return ReconcileResult::Incomplete;
                     }
                 }
-                Step::Send(order) => {
+                CustodyStep::Send(order) => {
                     if !self.no_send_until.is_past(node.now()) {
                         return ReconcileResult::Incomplete;
                     }
--- a/crates/daemon/src/gateway/usage.rs
+++ b/crates/daemon/src/gateway/usage.rs
@@ -14,7 +14,7 @@
 };
 use dahliaseam_core::{
     team::Team,
-    usage::{Counter, Ledger, Report, Reporter, Step, WindowCounts, WindowSchedule},
+    usage::{Counter, Ledger, Report, ReportStep, Reporter, WindowCounts, WindowSchedule},
 };
 
 use crate::{
@@ -197,7 +197,7 @@
     }
 }
 
-fn next_step(gw: &Gateway, config: ReportConfig, reporter: &mut Reporter) -> Step {
+fn next_step(gw: &Gateway, config: ReportConfig, reporter: &mut Reporter) -> ReportStep {
     let now_ms = wall_millis();
     let latest_ms = (config.windows.due_ms as f64 * MAX_WAIT_SHARE) as u64;
     let vms = gw.peers.registered_vms(&peers::registration_prefix(gw));
@@ -211,18 +211,18 @@
     config: ReportConfig,
     lease: &LeaderLease,
     reporter: &mut Reporter,
-    step: Step,
+    step: ReportStep,
 ) -> Result<(), CallError> {
     match step {
-        Step::Wait => Ok(()),
-        Step::Read => {
+        ReportStep::Wait => Ok(()),
+        ReportStep::Read => {
             gw.metrics.store_call(StoreCall::Usage);
             let entry = gw.deps.kv.read(&key(gw)).await?;
             reporter.set_stored(entry.as_ref().map(parse).transpose()?);
             Ok(())
         }
-        Step::Store { window, expect } => store(gw, reporter, window, expect).await,
-        Step::Send(report) => send(gw, config, lease, reporter, &report).await,
+        ReportStep::Store { window, expect } => store(gw, reporter, window, expect).await,
+        ReportStep::Send(report) => send(gw, config, lease, reporter, &report).await,
     }
 }
 
