--- a/crates/core/src/quota/shard.rs
+++ b/crates/core/src/quota/shard.rs
@@ -28,14 +28,14 @@
 
 /// Buckets of one shard since this daemon took it over.
 #[derive(Debug)]
-pub struct Shard {
+pub struct ShardBuckets {
     taken_over_at: Time,
     buckets: HashMap<Arc<str>, TokenBucket>,
     prune_at: usize,
 }
 
-impl Shard {
-    /// Creates a shard that was taken over at the given time. Its buckets are empty then.
+impl ShardBuckets {
+    /// Creates the buckets of a shard that was taken over at the given time; they are empty then.
     #[must_use]
     pub fn taken_over(taken_over_at: Time) -> Self {
         Self { taken_over_at, buckets: HashMap::new(), prune_at: MIN_PRUNE_SIZE }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -7,7 +7,7 @@
     quota::{
         Credit, Quota, Unit,
         client::{CreditNeed, CreditStep, QuotaClient},
-        shard::{CreditDecision, Shard},
+        shard::{CreditDecision, ShardBuckets},
         terms::{ShardTerms, Tolerance},
     },
     time::{Span, Time},
@@ -39,7 +39,7 @@
     authority: Authority,
     /// When the lease ends in the store.
     lease_ends: Time,
-    shard: Shard,
+    shard: ShardBuckets,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -263,7 +263,7 @@
             daemon,
             authority: Authority::granted(self.number, self.now, LEASE),
             lease_ends: self.now + LEASE,
-            shard: Shard::taken_over(since),
+            shard: ShardBuckets::taken_over(since),
         };
         self.owners.push((shard, owner));
         self.push(Span::millis(500), Event::Renew { shard });
@@ -292,7 +292,7 @@
         self.clients[daemon] = QuotaClient::default();
         for (_, owner) in self.owners.iter_mut().filter(|(_, owner)| owner.daemon == daemon) {
             let since = if mutation == Mutation::FullAtTakeover { Time(0) } else { now };
-            owner.shard = Shard::taken_over(since);
+            owner.shard = ShardBuckets::taken_over(since);
         }
     }
 
@@ -348,7 +348,7 @@
 #[test]
 fn credit_received_after_suspension_is_not_spent() {
     let terms = ShardTerms::split(&QUOTA, &TOLERANCE);
-    let mut shard = Shard::taken_over(Time(0));
+    let mut shard = ShardBuckets::taken_over(Time(0));
     let resumed = Time(10_000_000);
     let waiting: Vec<Time> = (0..1_000)
         .map(|n| Time(5_000_000) + Span::millis(5 * n))
@@ -409,7 +409,7 @@
 fn lowered_limit_caps_existing_tokens() {
     let terms = ShardTerms { rate: 100.0, depth: 1_000.0, count: 1 };
     let lower = ShardTerms { rate: 10.0, depth: 100.0, count: 1 };
-    let mut shard = Shard::taken_over(Time(0));
+    let mut shard = ShardBuckets::taken_over(Time(0));
     let now = Time(20_000_000);
     assert!(matches!(shard.take(TEAM, &terms, 1, now), CreditDecision::Granted { .. }));
     assert_eq!(shard.take(TEAM, &lower, 101, now), CreditDecision::Denied { left: 100.0 });
@@ -420,7 +420,7 @@
 #[test]
 fn full_buckets_of_many_teams_are_dropped() {
     let terms = ShardTerms { rate: 100.0, depth: 100.0, count: 1 };
-    let mut shard = Shard::taken_over(Time(0));
+    let mut shard = ShardBuckets::taken_over(Time(0));
     for team in 0..10_000_u64 {
         let now = Time(10_000_000 + team * 10_000);
         assert!(matches!(shard.take(&format!("team-{team}"), &terms, 50, now), CreditDecision::Granted { .. }));
--- a/crates/daemon/src/gateway/quota/mod.rs
+++ b/crates/daemon/src/gateway/quota/mod.rs
@@ -18,7 +18,7 @@
     quota::{
         SHARDS,
         client::QuotaClient,
-        shard::Shard,
+        shard::ShardBuckets,
         terms::{ShardTerms, Tolerance},
     },
     team::Team,
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct OwnedShard {
     authority: Authority,
-    buckets: Shard,
+    buckets: ShardBuckets,
 }
 
 /// Quota state of this daemon.
--- a/crates/daemon/src/gateway/quota/ownership.rs
+++ b/crates/daemon/src/gateway/quota/ownership.rs
@@ -13,7 +13,7 @@
 use dahliaseam_core::{
     hash,
     lease::Authority,
-    quota::{SHARDS, shard::Shard},
+    quota::{SHARDS, shard::ShardBuckets},
     time::{Span, Time},
 };
 
@@ -155,7 +155,7 @@
     for ((shard, _), swapped) in due.into_iter().zip(swapped) {
         if let Swapped::Done(revision) = swapped {
             emit!(info, QUOTA_SHARD_TAKEN, shard, revision);
-            let taken = OwnedShard { authority: held.authority, buckets: Shard::taken_over(now) };
+            let taken = OwnedShard { authority: held.authority, buckets: ShardBuckets::taken_over(now) };
             lock(&gw.quotas.owned).insert(shard, taken);
         }
     }
--- a/experiments/benches/scale.rs
+++ b/experiments/benches/scale.rs
@@ -21,7 +21,7 @@
     quota::{
         Quota, Unit,
         client::{CreditNeed, CreditStep, QuotaClient},
-        shard::{CreditDecision, Shard},
+        shard::{CreditDecision, ShardBuckets},
         terms::{ShardTerms, Tolerance},
     },
     request::{KindTraits, RequestSpec},
@@ -137,7 +137,7 @@
     let tolerance = Tolerance { window: Span::millis(8_000), excess_share: 0.1, slack: 140_000.0 };
     let quota = Quota { unit: Unit::Tokens { default_cost: 200 }, rate: 1e9, burst: 1e9 };
     let mut client = QuotaClient::default();
-    let mut owned_shard = Shard::taken_over(Time(0));
+    let mut owned_shard = ShardBuckets::taken_over(Time(0));
     let mut n = 0;
     c.bench_function("quota of a request", |b| {
         b.iter(|| {
--- a/experiments/examples/quota.rs
+++ b/experiments/examples/quota.rs
@@ -11,7 +11,7 @@
     quota::{
         Quota, Unit,
         client::{CreditNeed, CreditStep, QuotaClient},
-        shard::{CreditDecision, Shard},
+        shard::{CreditDecision, ShardBuckets},
         terms::{ShardTerms, Tolerance},
     },
     time::{Span, Time},
@@ -81,7 +81,7 @@
 /// The owners of shards grant credit for each request.
 struct ShardedCredit {
     terms: ShardTerms,
-    shards: Vec<(u8, Shard)>,
+    shards: Vec<(u8, ShardBuckets)>,
     clients: Vec<QuotaClient>,
     messages: u64,
 }
@@ -132,7 +132,11 @@
             let terms = ShardTerms::split(&QUOTA, &TOLERANCE);
             Box::new(ShardedCredit {
                 terms,
-                shards: terms.shards_of(TEAM).into_iter().map(|shard| (shard, Shard::taken_over(Time(0)))).collect(),
+                shards: terms
+                    .shards_of(TEAM)
+                    .into_iter()
+                    .map(|shard| (shard, ShardBuckets::taken_over(Time(0))))
+                    .collect(),
                 clients: (0..daemons).map(|_| QuotaClient::default()).collect(),
                 messages: 0,
             })
