--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -24,7 +24,7 @@
         distance::HallLatencies,
         endings::{CrashTracker, Treatment},
         engine::{EngineModel, hand_over::KvTransfer, read_time::PrefillWork},
-        peers::{PeerState, Source},
+        peers::{LastReport, Source},
         plan::{Plan, RouteRequest},
         policy::FleetPolicy,
         rate_limit::RateLimitShare,
@@ -179,7 +179,7 @@
     by_id: HashMap<Arc<str>, ReplicaKey>,
     by_start_id: HashMap<u32, ReplicaKey>,
     services: HashMap<Arc<str>, ServiceState>,
-    peers: HashMap<Source, PeerState>,
+    peers: HashMap<Source, LastReport>,
     prompt_notes: Vec<peers::PromptNote>,
     /// Hash of this daemon's hall.
     hall_hash: u32,
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -163,7 +163,7 @@
 
 /// The last load report of a daemon or a hall.
 #[derive(Clone, Debug)]
-pub struct PeerState {
+pub struct LastReport {
     id: ReportId,
     heard_at: Time,
     loads: HashMap<ReplicaKey, Load>,
@@ -202,8 +202,8 @@
 
     /// Returns the current summary of all daemons of this hall for other halls, and the number of these daemons.
     pub fn hall_summary(&mut self, now: Time) -> (LoadReport, u32) {
-        let hall_peers: Vec<&PeerState> =
-            self.peers.values().filter(|peer| peer.is_hall_peer(self.hall_hash)).collect();
+        let hall_peers: Vec<&LastReport> =
+            self.peers.values().filter(|peer| peer.is_from_hall_peer(self.hall_hash)).collect();
         let mut demands: HashMap<u32, Demand> = HashMap::new();
         let own = self.services.iter().map(|(name, state)| (short_id(name), state.demand_meter.demand(now)));
         for (service, demand) in own.chain(hall_peers.iter().flat_map(|peer| peer.demands.clone())) {
@@ -344,7 +344,7 @@
             return;
         };
         let covered: Vec<Source> =
-            self.peers.values().filter(|peer| peer.is_hall_peer(hall)).map(|peer| peer.id.source).collect();
+            self.peers.values().filter(|peer| peer.is_from_hall_peer(hall)).map(|peer| peer.id.source).collect();
         for source in covered {
             self.remove_peer(source, now);
         }
@@ -454,7 +454,7 @@
         }
         self.peers.insert(
             id.source,
-            PeerState { id, heard_at: now, loads: loads_by_key, unreachable, demands: HashMap::new() },
+            LastReport { id, heard_at: now, loads: loads_by_key, unreachable, demands: HashMap::new() },
         );
     }
 }
@@ -466,9 +466,9 @@
     }
 }
 
-impl PeerState {
-    /// Whether this is a single daemon of the given hall.
-    const fn is_hall_peer(&self, hall: u32) -> bool {
+impl LastReport {
+    /// Whether a single daemon of the given hall sent it.
+    const fn is_from_hall_peer(&self, hall: u32) -> bool {
         matches!(self.id.source, Source::Daemon(_)) && self.id.hall == hall
     }
 }
