--- a/crates/core/src/fleet/candidates.rs
+++ b/crates/core/src/fleet/candidates.rs
@@ -21,16 +21,16 @@
 const SAMPLE_IN_HALL: usize = 64;
 /// Number of replicas sampled from all halls.
 const SAMPLE_ANYWHERE: usize = 32;
-/// Maximum number of replicas recorded as holders of a part; the most recent ones are kept.
-const MAX_HOLDERS: usize = 8;
-/// Maximum number of parts with recorded holders; the most recently added ones are kept.
+/// Maximum number of replicas recorded for a part; the most recent ones are kept.
+const MAX_REPLICAS_PER_PART: usize = 8;
+/// Maximum number of recorded parts; the most recently added ones are kept.
 const MAX_PARTS: usize = 32_768;
 
-/// The replicas of each service, and the holders of prompt parts.
+/// The replicas of each service, and those that hold a prompt part in their KV cache.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Candidates {
     services: HashMap<Arc<str>, ServiceReplicas>,
-    holders: HashMap<u64, VecDeque<ReplicaKey>>,
+    replicas_by_part: HashMap<u64, VecDeque<ReplicaKey>>,
     /// Parts in the order in which they were added.
     parts: VecDeque<u64>,
 }
@@ -62,19 +62,19 @@
     /// Records that a replica prefills these parts and so will hold them.
     pub(super) fn record_prompt(&mut self, key: ReplicaKey, parts: &[Part]) {
         for part in parts {
-            let holders = self.holders.entry(part.prefix_hash).or_default();
-            if holders.is_empty() {
+            let replicas = self.replicas_by_part.entry(part.prefix_hash).or_default();
+            if replicas.is_empty() {
                 self.parts.push_back(part.prefix_hash);
             }
-            holders.retain(|other| *other != key);
-            holders.push_back(key);
-            if holders.len() > MAX_HOLDERS {
-                holders.pop_front();
+            replicas.retain(|other| *other != key);
+            replicas.push_back(key);
+            if replicas.len() > MAX_REPLICAS_PER_PART {
+                replicas.pop_front();
             }
         }
         while self.parts.len() > MAX_PARTS {
             if let Some(oldest) = self.parts.pop_front() {
-                self.holders.remove(&oldest);
+                self.replicas_by_part.remove(&oldest);
             }
         }
     }
@@ -96,7 +96,7 @@
         sample.extend(sample_keys(&replicas.in_hall, SAMPLE_IN_HALL, draw));
         sample.extend(sample_keys(&replicas.all, SAMPLE_ANYWHERE, !draw));
         let parts = prompt.into_iter().flat_map(|prompt| &prompt.parts);
-        sample.extend(parts.filter_map(|part| self.holders.get(&part.prefix_hash)).flatten());
+        sample.extend(parts.filter_map(|part| self.replicas_by_part.get(&part.prefix_hash)).flatten());
         sample.sort_unstable();
         sample.dedup();
         sample
--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -69,7 +69,7 @@
     /// Learned model of the service's engines.
     engine: EngineModel,
     /// The engine that holds most of the prompt in its KV cache, and the number of tokens it holds.
-    holder: Option<(ReplicaKey, u32)>,
+    copy_source: Option<(ReplicaKey, u32)>,
     /// Whether the request can no longer be in time.
     late: bool,
     /// Whether its answer will occupy a slot for seconds.
@@ -221,7 +221,7 @@
         PrefillInput {
             prompt,
             engine: self.fleet.engine(self.req.service),
-            holder: self.holder(prompt),
+            copy_source: self.copy_source(prompt),
             late: false,
             long: self.fleet.is_long(self.req.service, prompt.max_output),
         }
@@ -284,7 +284,7 @@
     }
 
     /// The engine whose KV cache holds most of a prompt, and the number of tokens it holds.
-    fn holder(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
+    fn copy_source(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
         let present = self.eligible.iter().filter(|(_, replica)| !replica.may_be_gone(self.now));
         let held = present.map(|(key, replica)| (*key, replica.cache.held_tokens(prompt)));
         held.max_by_key(|(_, tokens)| *tokens)
@@ -311,18 +311,18 @@
     }
 
     fn estimate_prefill(&self, (key, replica): (ReplicaKey, &Replica), input: &PrefillInput<'_>) -> Step {
-        let PrefillInput { prompt, engine, holder, late, .. } = input;
-        let (holder, late) = (*holder, *late);
+        let PrefillInput { prompt, engine, copy_source, late, .. } = input;
+        let (copy_source, late) = (*copy_source, *late);
         let held = replica.cache.held_tokens(prompt);
-        let (copy_from, copy_tokens) = match holder {
+        let (copy_from, copy_tokens) = match copy_source {
             Some((other, more)) if other != key && more >= held + MIN_COPY_TOKENS => (Some(other), more - held),
             _ => (None, 0),
         };
         let held = held + copy_tokens;
         let prefill = PrefillWork { uncached: prompt.tokens.saturating_sub(held).max(1), cached: held };
-        let copy_ms = copy_from.map_or(0.0, |holder| {
-            let holder = self.fleet.replicas.get(holder);
-            let cross_hall = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
+        let copy_ms = copy_from.map_or(0.0, |source| {
+            let source = self.fleet.replicas.get(source);
+            let cross_hall = source.is_none_or(|source| source.facts.hall != replica.facts.hall);
             engine.kv_transfer.duration_ms(KvTransfer { tokens: copy_tokens, cross_hall })
         });
         let decode_factor = if replica.facts.role == Role::Decode { engine.prefill.decode_factor() } else { 1.0 };
--- a/crates/core/tests/fleet/many_replicas.rs
+++ b/crates/core/tests/fleet/many_replicas.rs
@@ -57,7 +57,7 @@
     assert!(busiest <= 4, "{busiest} of 1,000 requests at one of 1,000 replicas");
 }
 
-/// A removed replica is not a candidate, even if it is recorded as a holder of the prompt.
+/// A removed replica is not a candidate, even if it is recorded for a part of the prompt.
 #[test]
 fn removed_replicas_are_not_chosen() {
     let mut fleet = large_fleet(Role::Decode);
