--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -251,7 +251,7 @@
     /// [`SHORT_PREFILL_MS`].
     fn single_step(&self, input: &PrefillInput<'_>, protect_short: bool) -> Option<Step> {
         let max_burst_ms = self.fleet.max_prefill_burst_ms(self.req.service, &input.engine);
-        let placement = self.fleet.placement(self.req, input.long, self.now);
+        let placement = self.fleet.placement_input(self.req, input.long, self.now);
         cheapest(self.decode_engines().filter_map(|(key, replica)| {
             let step = self.estimate_prefill((key, replica), input);
             let queue_ms = slot_wait_ms(replica, input.long);
@@ -294,7 +294,7 @@
         let prompt = self.req.prompt?;
         let engine = self.fleet.engine(self.req.service);
         let prefill = self.fleet.replicas.get(prefill.key);
-        let placement = self.fleet.placement(self.req, long, self.now);
+        let placement = self.fleet.placement_input(self.req, long, self.now);
         cheapest(self.decode_engines().map(|(key, replica)| {
             let wait_ms = slot_wait_ms(replica, long) + replica.prefill_ms(self.now) * 0.5;
             let cross_hall = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
--- a/crates/core/src/fleet/packing.rs
+++ b/crates/core/src/fleet/packing.rs
@@ -19,7 +19,7 @@
 
 /// Inputs for the placement of one long answer, which are the same for all engines of its service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Placement<'a> {
+pub(super) struct PlacementInput<'a> {
     /// The pace of answers; `None` while it is not known.
     pace: Option<&'a AnswerPace>,
     /// Longest interval in milliseconds between two events with which the answer ends in time.
@@ -28,7 +28,7 @@
     packed_share: f64,
 }
 
-impl Placement<'_> {
+impl PlacementInput<'_> {
     /// Cost in milliseconds of placing the answer on a replica.
     ///
     /// While the pace is not known, engines are filled one after the other.
@@ -52,12 +52,12 @@
 impl Fleet {
     /// Inputs for the placement of an answer; `None` if it is not long or this daemon does not know its peers' load
     /// yet.
-    pub(super) fn placement(&self, req: &RouteRequest<'_>, long: bool, now: Time) -> Option<Placement<'_>> {
+    pub(super) fn placement_input(&self, req: &RouteRequest<'_>, long: bool, now: Time) -> Option<PlacementInput<'_>> {
         if !long || self.is_warming_up(now) {
             return None;
         }
         let packed_share = self.policy.packed_share;
-        let without_pace = Placement { pace: None, max_interval_ms: f64::INFINITY, packed_share };
+        let without_pace = PlacementInput { pace: None, max_interval_ms: f64::INFINITY, packed_share };
         let Some(state) = self.services.get(req.service).filter(|state| state.engine.answer_pace.is_known()) else {
             return Some(without_pace);
         };
@@ -71,7 +71,7 @@
             None => pace.interval_ms(0.0),
         };
         let max_interval_ms = max_interval_ms.max(f64::MIN_POSITIVE);
-        Some(Placement { pace: Some(pace), max_interval_ms, packed_share })
+        Some(PlacementInput { pace: Some(pace), max_interval_ms, packed_share })
     }
 
     /// Mean interval in milliseconds between events up to which few single intervals exceed the accepted pause.
