--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -43,7 +43,7 @@
 
 /// State of the changes in one shard.
 #[derive(Debug)]
-pub(super) struct Changes {
+pub(super) struct ShardChanges {
     pool: String,
     client: HttpClient,
     custodians: BTreeMap<String, Custodian>,
@@ -63,7 +63,7 @@
 /// The engines of the shard with their status, if they answered.
 type Engines = BTreeMap<String, (EndpointSpec, Option<EngineStatus>)>;
 
-impl Changes {
+impl ShardChanges {
     pub(super) fn new(node: &Node, pool: &str) -> Self {
         let per_second = node.settings.loads_per_minute / SECONDS_PER_MINUTE;
         Self {
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -15,7 +15,7 @@
 use dahliaseam_wire::resource::EndpointClass;
 
 use crate::node::Node;
-use changes::Changes;
+use changes::ShardChanges;
 use shard::Shard;
 
 /// Number of daemons that compete for one shard's lease.
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct ManagedShard {
     shard: Shard,
-    changes: Changes,
+    changes: ShardChanges,
 }
 
 /// Runs control until the daemon stops, then hands over what it holds.
@@ -41,7 +41,7 @@
         for pool in engine_pools(&node) {
             let managed = shards.entry(pool.clone()).or_insert_with(|| ManagedShard {
                 shard: Shard::new(&node, &pool),
-                changes: Changes::new(&node, &pool),
+                changes: ShardChanges::new(&node, &pool),
             });
             run_round(&node, managed, is_candidate(&node, &pool)).await;
         }
