--- a/crates/daemon/src/gateway/blamed.rs
+++ b/crates/daemon/src/gateway/blamed.rs
@@ -182,7 +182,7 @@
 
 /// A pending change of the store.
 #[derive(Debug)]
-struct Change {
+struct EntryChange {
     key: String,
     /// Revision of the entry that it replaces; 0 if there must be none.
     expect: i64,
@@ -280,7 +280,7 @@
     }
 
     /// Makes a change if it is due.
-    async fn apply(&mut self, gw: &Gateway, change: Change, now: Time) {
+    async fn apply(&mut self, gw: &Gateway, change: EntryChange, now: Time) {
         let due = *self.due.entry(change.key.clone()).or_insert(change.not_before);
         if !due.is_past(now) {
             return;
@@ -296,7 +296,7 @@
 }
 
 /// The differences between the store and what this daemon knows.
-fn pending_changes(gw: &Gateway, known: &KnownRequests, stored_entries: &[StoredEntry], now: Time) -> Vec<Change> {
+fn pending_changes(gw: &Gateway, known: &KnownRequests, stored_entries: &[StoredEntry], now: Time) -> Vec<EntryChange> {
     let keyspace = &gw.settings.keyspace;
     let not_before = |own: bool, content: ContentHash| if own { now } else { takeover_at(gw, content, now) };
     let mut changes = Vec::new();
@@ -308,7 +308,7 @@
         let since_ms = wall_millis().saturating_sub(now.since(refused.since).as_millis());
         let until_ms = wall_millis() + refused.until.since(now).as_millis();
         let value = serde_json::to_string(&StoredRefusal { ends: refused.crashes, since_ms, until_ms }).ok();
-        changes.push(Change {
+        changes.push(EntryChange {
             key,
             expect: 0,
             value,
@@ -323,11 +323,11 @@
             .map_or((0, 0), |entry| (entry.revision, entry.crashes));
         if crashes < suspicion.crashes.len() {
             let value = serde_json::to_string(&StoredSuspicion::new(suspicion)).ok();
-            changes.push(Change { key, expect, value, not_before: not_before(suspicion.observed_here, content) });
+            changes.push(EntryChange { key, expect, value, not_before: not_before(suspicion.observed_here, content) });
         }
     }
     let stale = stored_entries.iter().filter(|entry| !known.contains(entry.kind, entry.content));
-    changes.extend(stale.map(|entry| Change {
+    changes.extend(stale.map(|entry| EntryChange {
         key: entry.key.clone(),
         expect: entry.revision,
         value: None,
