--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -125,17 +125,17 @@
             continue;
         }
         match choose_source(gw) {
-            Some(Source::Ahead(from)) if !update_from(gw, &client, from).await => {
+            Some(UpdateSource::Ahead(from)) if !update_from(gw, &client, from).await => {
                 // Other daemons ask the same peer, or it is gone; by now more peers may have the update.
                 gw.peer_ahead.notify_one();
                 tokio::time::sleep(duration(PEER_FALLBACK_DELAY) + duration(Span(gw.random() % PEER_FALLBACK_DELAY.0)))
                     .await;
             }
-            Some(Source::Seed(from)) => {
+            Some(UpdateSource::Seed(from)) => {
                 let _ = update_from(gw, &client, from).await;
                 tokio::time::sleep(SEED_RETRY_INTERVAL).await;
             }
-            Some(Source::Ahead(_)) => tokio::time::sleep(TRANSFER_INTERVAL).await,
+            Some(UpdateSource::Ahead(_)) => tokio::time::sleep(TRANSFER_INTERVAL).await,
             None => {}
         }
     }
@@ -143,7 +143,7 @@
 
 /// The peer to ask.
 #[derive(Clone, Copy, Debug)]
-enum Source {
+enum UpdateSource {
     /// A peer that has followed the store further.
     Ahead(SocketAddr),
     /// A seed from the settings, while no daemon is known to be ahead.
@@ -157,13 +157,13 @@
 }
 
 /// A peer that is ahead; a random seed while nothing is known at all.
-fn choose_source(gw: &Gateway) -> Option<Source> {
+fn choose_source(gw: &Gateway) -> Option<UpdateSource> {
     let (revision, is_complete) = {
         let cache = gw.store_cache();
         (cache.revision, cache.is_complete())
     };
     if let Some(ahead) = gw.peers.ahead_of(revision, gw.hall, gw.random(), gw.now()) {
-        return Some(Source::Ahead(ahead));
+        return Some(UpdateSource::Ahead(ahead));
     }
     if is_complete {
         return None;
@@ -171,7 +171,7 @@
     let own = gw.settings.peer_address;
     let seeds: Vec<SocketAddr> = gw.seeds().into_iter().filter(|seed| *seed != own).collect();
     let index = gw.random() as usize % seeds.len().max(1);
-    seeds.get(index).copied().map(Source::Seed)
+    seeds.get(index).copied().map(UpdateSource::Seed)
 }
 
 fn apply_update(gw: &Arc<Gateway>, update: CacheUpdate) {
