--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -41,7 +41,7 @@
     error::StartError,
     health, listener,
     membership::{
-        identity::Identity,
+        identity::RunIdentity,
         peer_server,
         peers::{self, PeerClients},
     },
@@ -178,7 +178,7 @@
     };
     Ok(Node {
         clock: deps.clock,
-        identity: Identity::new(me),
+        identity: RunIdentity::new(me),
         kv: deps.kv,
         vm_list: deps.vm_list,
         dispatcher: SharedDispatcher::new(settings.policy.policy(), seed, now),
--- a/crates/daemon/src/membership/identity.rs
+++ b/crates/daemon/src/membership/identity.rs
@@ -4,15 +4,15 @@
 
 use dahliaseam_core::member::Incarnation;
 
-/// Generates request identifiers and write tokens.
+/// Identity of one run of a daemon, which generates its request identifiers and write tokens.
 #[derive(Debug)]
-pub struct Identity {
+pub struct RunIdentity {
     me: Incarnation,
     next_number: AtomicU64,
 }
 
-impl Identity {
-    /// Creates the identity of one run of a daemon.
+impl RunIdentity {
+    /// Creates the identity of a run.
     #[must_use]
     pub const fn new(me: Incarnation) -> Self {
         Self { me, next_number: AtomicU64::new(1) }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -18,7 +18,7 @@
     control::board::ControlState,
     dispatch::{claims::Claims, desk::SharedDispatcher, records::Records},
     endpoint::duties::Availability,
-    membership::{identity::Identity, peers::PeerClients},
+    membership::{identity::RunIdentity, peers::PeerClients},
     metrics::Metrics,
 };
 
@@ -30,7 +30,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Identity of this run of the daemon.
-    pub identity: Identity,
+    pub identity: RunIdentity,
     /// The key-value service.
     pub kv: Arc<dyn KeyValue>,
     /// The platform's list of VMs.
