--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -46,7 +46,7 @@
 /// Minimum share of their time that prefill engines are assumed to have for late prompts. Under an overload that
 /// shows in the measured demand no late prompt is started, but no prediction becomes infinite.
 const MIN_FREE_SHARE: f64 = 0.05;
-/// Cost in milliseconds of a replica whose store entry lapsed or that a peer could not reach.
+/// Cost in milliseconds of a replica whose store entry lapsed or that a peer has ejected.
 const MAY_BE_GONE_COST_MS: f64 = 80.0;
 /// Upper bound in milliseconds of the random jitter, for each daemon.
 const JITTER_MS_PER_DAEMON: f64 = 0.15;
--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -26,8 +26,8 @@
 
 /// Time without a load report after which a peer expires and its load no longer counts.
 pub const PEER_TIMEOUT: Span = Span::millis(1_500);
-/// Time for which a peer's failure to reach a replica counts unless it is reported again.
-const UNREACHABLE_PERIOD: Span = Span::millis(600);
+/// Time for which the ejection of a replica by a peer counts unless it is reported again.
+const PEER_EJECTION_PERIOD: Span = Span::millis(600);
 /// Interval between reports of what was learned.
 const LEARNED_INTERVAL: Span = Span::millis(500);
 /// Maximum number of prompts in a report; further ones are not reported.
@@ -80,8 +80,9 @@
     /// Active requests with long answers.
     #[serde(rename = "streams")]
     pub long_answers: u32,
-    /// Whether the replica could not be reached recently.
-    pub unreachable: bool,
+    /// Whether one of the reporting daemons has ejected the replica, since it failed repeatedly or could not be reached.
+    #[serde(rename = "unreachable")]
+    pub ejected: bool,
 }
 
 /// The demand that a daemon observes for one service.
@@ -167,8 +168,8 @@
     id: ReportId,
     heard_at: Time,
     loads: HashMap<ReplicaKey, Load>,
-    /// Replicas that it could not reach.
-    unreachable: Vec<ReplicaKey>,
+    /// Replicas that it has ejected.
+    ejected: Vec<ReplicaKey>,
     /// Demand by the hash of the service's name.
     pub(super) demands: HashMap<u32, Demand>,
 }
@@ -220,12 +221,12 @@
             let sum = &mut loads_by_replica.entry(*key).or_default().0;
             *sum = sum.plus(*load);
         }
-        for key in hall_peers.iter().flat_map(|peer| &peer.unreachable) {
+        for key in hall_peers.iter().flat_map(|peer| &peer.ejected) {
             loads_by_replica.entry(*key).or_default().1 = true;
         }
-        let reported = loads_by_replica.into_iter().filter(|(_, (load, unreachable))| load.active > 0 || *unreachable);
-        let loads = reported
-            .filter_map(|(key, (load, unreachable))| Some(to_replica_load(self.replicas.get(key)?, load, unreachable)));
+        let reported = loads_by_replica.into_iter().filter(|(_, (load, ejected))| load.active > 0 || *ejected);
+        let loads =
+            reported.filter_map(|(key, (load, ejected))| Some(to_replica_load(self.replicas.get(key)?, load, ejected)));
         let loads = loads.collect();
         let daemons = hall_peers.len() as u32 + 1;
         let mut prompts = std::mem::take(&mut self.hall_prompt_notes);
@@ -432,7 +433,7 @@
             }
         }
         let mut loads_by_key = HashMap::with_capacity(loads.len());
-        let mut unreachable = Vec::new();
+        let mut ejected = Vec::new();
         for load in loads {
             let Some(key) = self.by_start_id.get(&load.replica).copied() else {
                 continue;
@@ -445,17 +446,15 @@
             };
             if let Some(replica) = self.replicas.get_mut(key) {
                 replica.peer_load = replica.peer_load.plus(replica_load);
-                if load.unreachable {
-                    replica.unreachable_until = now + UNREACHABLE_PERIOD;
-                    unreachable.push(key);
+                if load.ejected {
+                    replica.ejected_by_peer_until = now + PEER_EJECTION_PERIOD;
+                    ejected.push(key);
                 }
             }
             loads_by_key.insert(key, replica_load);
         }
-        self.peers.insert(
-            id.source,
-            LastReport { id, heard_at: now, loads: loads_by_key, unreachable, demands: HashMap::new() },
-        );
+        self.peers
+            .insert(id.source, LastReport { id, heard_at: now, loads: loads_by_key, ejected, demands: HashMap::new() });
     }
 }
 
@@ -512,13 +511,13 @@
     replica.health.ejected_until(now).is_some()
 }
 
-fn to_replica_load(replica: &Replica, load: Load, unreachable: bool) -> ReplicaLoad {
+fn to_replica_load(replica: &Replica, load: Load, ejected: bool) -> ReplicaLoad {
     ReplicaLoad {
         replica: replica.start_id,
         prefill_ms: load.prefill_ms as u32,
         late_ms: load.late_ms as u32,
         active: load.active,
         long_answers: load.long_answers,
-        unreachable,
+        ejected,
     }
 }
--- a/crates/core/src/fleet/replica.rs
+++ b/crates/core/src/fleet/replica.rs
@@ -128,8 +128,8 @@
     pub gone_at: Time,
     /// Its health as observed by this daemon.
     pub health: Health,
-    /// Time until which a peer's failure to reach it counts.
-    pub unreachable_until: Time,
+    /// Time until which its ejection by a peer counts.
+    pub ejected_by_peer_until: Time,
     /// Load from this daemon.
     pub own_load: Load,
     /// Load from other daemons, as they reported it.
@@ -167,7 +167,7 @@
             revision,
             gone_at: Time::NEVER,
             health: Health::default(),
-            unreachable_until: Time(0),
+            ejected_by_peer_until: Time(0),
             own_load: Load::default(),
             peer_load: Load::default(),
             cache: PrefixCache::new(kv_capacity_tokens),
@@ -213,10 +213,10 @@
         self.time_until_accepted(share, now) == Span(0)
     }
 
-    /// Whether it may be gone: its entry lapsed, or a peer could not reach it.
+    /// Whether it may be gone: its entry lapsed, or a peer has ejected it.
     #[must_use]
     pub fn may_be_gone(&self, now: Time) -> bool {
-        self.gone_at != Time::NEVER || !self.unreachable_until.is_past(now)
+        self.gone_at != Time::NEVER || !self.ejected_by_peer_until.is_past(now)
     }
 
     /// Known active requests of all daemons.
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -119,7 +119,7 @@
         late_ms: 0,
         active,
         long_answers: 0,
-        unreachable: active > 50,
+        ejected: active > 50,
     };
     LoadReport { loads: vec![load], ..LoadReport::default() }
 }
--- a/crates/core/tests/fleet/peers.rs
+++ b/crates/core/tests/fleet/peers.rs
@@ -63,7 +63,7 @@
 #[test]
 fn reported_load_of_unknown_replicas_is_ignored() {
     let mut fleet = fleet_with(&[("a", Role::Plain)]);
-    let unknown = ReplicaLoad { replica: 1, prefill_ms: 9, late_ms: 0, active: 9, long_answers: 0, unreachable: false };
+    let unknown = ReplicaLoad { replica: 1, prefill_ms: 9, late_ms: 0, active: 9, long_answers: 0, ejected: false };
     fleet.apply_report(report_id(1, 1), &LoadReport { loads: vec![unknown], ..LoadReport::default() }, now());
     fleet.apply_report(report_id(1, 2), &LoadReport::default(), now());
     assert_eq!(fleet.replicas().map(|(_, replica)| replica.active()).sum::<u32>(), 0);
@@ -77,7 +77,7 @@
     let key = relay.key("a").expect("the replica is known");
     relay.begin_step(key, &step(key, 0.0, false), None, now());
     let (report, daemons) = relay.hall_summary(now());
-    assert_eq!((report.loads[0].active, report.loads[0].unreachable, daemons), (63, true, 3));
+    assert_eq!((report.loads[0].active, report.loads[0].ejected, daemons), (63, true, 3));
 
     let mut far = fleet_in_hall("hall-2");
     far.apply_report(report_id(1, 1), &load_at_a(2), now());
