--- a/crates/border/src/feed.rs
+++ b/crates/border/src/feed.rs
@@ -12,7 +12,7 @@
 pub struct Snapshot {
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Revision from which to follow the changes, so that none is missed.
+    /// Revision after which to read the changes, so that none is missed.
     pub revision: i64,
 }
 
@@ -44,7 +44,7 @@
     HistoryGone,
 }
 
-/// Interface to a key-value service whose changes can be followed.
+/// Interface to a key-value service whose changes can be read in order.
 #[async_trait]
 pub trait ChangeFeed: Debug + Send + Sync {
     /// Reads all keys that begin with `prefix`.
--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,7 +1,7 @@
 //! Interfaces to external services, each with a trait.
 //!
 //! - [`kv`]: the key-value service; [`etcd`] implements it over the JSON gateway of etcd's v3 protocol.
-//! - [`feed`]: a key-value service whose changes can be followed.
+//! - [`feed`]: a key-value service whose changes can be read in order.
 //! - [`vms`]: the platform's VM list.
 //! - [`dialect`]: the formats of a platform for callers, endpoints and the stored configuration.
 //! - [`once`]: HTTP calls of which no data may arrive after their timeout.
--- a/crates/core/src/custody.rs
+++ b/crates/core/src/custody.rs
@@ -193,7 +193,8 @@
         return CustodyStep::Send(intent.clone());
     }
     if inputs.fencing == Fencing::Checks && status.epoch < epoch {
-        // The order of the former holder may still be in flight: the engine must learn the new number first.
+        // The intended order has an older number and may still be in flight: the engine must learn the new number
+        // first.
         let fence = Order {
             epoch,
             sequence: record.sequence + 1,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -460,8 +460,8 @@
     }
 
     fn may_retry(&mut self, end: AttemptEnd, now: Time) -> bool {
-        // Rejections and planned moves put no load on the endpoint and are not faults, so they use no retry
-        // budget.
+        // Requests that the endpoint did not run and planned moves put no load on it and are not faults, so they
+        // use no retry budget.
         let free = matches!(end, AttemptEnd::Refused | AttemptEnd::Cancelled);
         free || self.retries.take(1.0, now)
     }
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -28,7 +28,7 @@
 const MIN_ENGINES: usize = 4;
 /// Minimum number of decode engines: one may be lost at any time.
 const MIN_DECODE: usize = 2;
-/// Minimum share of decode engines. While the store is unavailable roles cannot be changed back, and without decode
+/// Minimum share of decode engines. While the store is unreachable roles cannot be changed back, and without decode
 /// engines nothing is answered; an idle one can still prefill.
 const MIN_DECODE_SHARE: f64 = 0.25;
 /// Target share of a decode engine's KV cache that active answers use; the rest holds parts of earlier prompts.
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -3,7 +3,7 @@
 //! A change is accepted only through a daemon that reaches more than half of the listed entry VMs. A daemon
 //! that can confirm its copies neither with the platform nor through a peer continues only while it reaches
 //! more than half itself. Any two such majorities share a VM, so a daemon that continues learns of an accepted
-//! change through that VM; a daemon that is cut off becomes not ready.
+//! change through that VM. A daemon that reaches no majority either is cut off and becomes not ready.
 
 use crate::time::{Span, Time};
 
@@ -24,7 +24,7 @@
     Confirmed,
     /// The platform seems unreachable for everyone; continue.
     GoOn,
-    /// This daemon is cut off; take no new work.
+    /// This daemon can neither confirm its copies nor reach a majority; take no new work.
     CutOff,
 }
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -26,7 +26,8 @@
     NotSent,
     /// The endpoint rejected the request and stated that it did not run it.
     Refused,
-    /// The endpoint responded with an error about the request itself; the request counts as run.
+    /// The endpoint responded with an error about the request itself. Unlike with [`Self::Refused`], the request
+    /// counts as run.
     Rejected,
     /// Bytes were sent; nothing else is known.
     Lost,
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -35,7 +35,7 @@
 /// Maximum bytes of a request head on these connections; the HTTP library requires at least this much.
 const MAX_PAGE_HEAD_BYTES: usize = 8 << 10;
 
-/// A running daemon.
+/// A running daemon that routes requests to discovered replicas.
 #[derive(Debug)]
 pub struct GatewayDaemon {
     gw: Arc<Gateway>,
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -33,7 +33,7 @@
 const REPORT_DELAY: Duration = Duration::from_millis(60);
 /// Time limit for an engine's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time after an unanswered order in which it may still take effect; engines may execute an order up to twelve seconds
+/// Time after an unanswered order in which it may still take effect; engines may carry out an order up to twelve seconds
 /// late.
 const LATE_ORDER_TIMEOUT: Span = Span::millis(13_000);
 /// Time after an order that the engine did not accept, or after the role change of an accepted one, until the engine
--- a/crates/daemon/src/gateway/peer_table.rs
+++ b/crates/daemon/src/gateway/peer_table.rs
@@ -36,7 +36,7 @@
     pub(super) sender: u64,
     /// Address at which its state can be read.
     pub(super) state_address: SocketAddr,
-    /// Revision up to which it has followed the store.
+    /// Revision up to which it has read the store.
     pub(super) revision: i64,
     /// Hash of its hall.
     pub(super) hall: u32,
@@ -67,18 +67,18 @@
 struct Aggregator {
     /// Address at which its state can be read.
     state_address: SocketAddr,
-    /// Revision up to which it has followed the store.
+    /// Revision up to which it has read the store.
     revision: i64,
     /// When it was last heard of.
     heard_at: Time,
 }
 
 impl Peers {
-    /// Address at which the state of a daemon can be read that has followed the store beyond `revision`.
+    /// Address at which the state of a daemon can be read that has read the store beyond `revision`.
     ///
     /// It is chosen at random among the peers of the hall, so that what a few know spreads to all in a few rounds
     /// instead of being requested from one. Another hall is asked only if no peer of the hall is ahead: both watchers
-    /// of a hall may be cut off at once.
+    /// of a hall may lose the store at once.
     pub(super) fn ahead_of(&self, revision: i64, hall: u32, random: u64, now: Time) -> Option<SocketAddr> {
         let heard = self.heard();
         let (hall_peers, others): (Vec<&PeerState>, Vec<&PeerState>) =
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -38,7 +38,7 @@
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
 /// Minimum interval between two reports for each of their recipients; limits the packet rate of a daemon.
 const SEND_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
-/// Maximum interval between two reports, so that silence is meaningful.
+/// Maximum interval between two reports, so that a daemon that sends none can be considered gone.
 const MAX_PUBLISH_INTERVAL: Duration = Duration::from_millis(400);
 /// Maximum number of daemons in a full mesh; with more, reports would be older than a prefill takes.
 const FULL_MESH_DAEMONS: usize = 24;
@@ -62,7 +62,7 @@
     number: u64,
     /// Address at which the sender's state can be read.
     state: SocketAddr,
-    /// Revision up to which the sender has followed the store.
+    /// Revision up to which the sender has read the store.
     revision: i64,
     /// Hash of the sender's hall.
     hall: u32,
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -1,7 +1,7 @@
 //! Updates of the store cache, fetched from peers.
 //!
-//! The store may be unavailable to some VMs while it serves others, and in large deployments only a few daemons watch
-//! it. Load reports tell up to which revision each daemon has followed the store; a daemon that is cut off, or leaves
+//! The store may be unreachable for some VMs while it serves others, and in large deployments only a few daemons watch
+//! it. Load reports tell up to which revision each daemon has read the store; a daemon that cannot reach it, or leaves
 //! watching to others, fetches the changes from a peer that is ahead. A peer whose link is busy says so, and the daemon
 //! asks another one: with each round more daemons have the update.
 //!
@@ -37,8 +37,8 @@
 pub(super) const STATE_PATH: &str = "/state";
 /// Interval between two checks whether an update is needed.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence of the store after which a peer is asked. Before that the store is preferred: it responds within
-/// milliseconds, and its data is newer.
+/// Time without an answer from the store after which a peer is asked. Before that the store is preferred: it responds
+/// within milliseconds, and its data is newer.
 const STORE_SILENCE_TIMEOUT: Span = Span::millis(600);
 /// Time limit for a peer's response. A large configuration takes some hundred milliseconds on a small link, and other
 /// daemons of the hall ask at the same time.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Fetches updates from peers while this daemon does not watch the store or the store is silent.
+/// Fetches updates from peers while this daemon does not watch the store or the store does not answer.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.finished.clone();
     tokio::select! {
@@ -144,7 +144,7 @@
 /// The peer to ask.
 #[derive(Clone, Copy, Debug)]
 enum UpdateSource {
-    /// A peer that has followed the store further.
+    /// A peer that has read the store further.
     Ahead(SocketAddr),
     /// A seed from the settings, while no daemon is known to be ahead.
     Seed(SocketAddr),
@@ -153,7 +153,7 @@
 fn is_needed(gw: &Gateway) -> bool {
     let now = gw.now();
     let cache = gw.store_cache();
-    !cache.watching || cache.unreachable_for(now).is_some_and(|silent| silent > STORE_SILENCE_TIMEOUT)
+    !cache.watching || cache.unreachable_for(now).is_some_and(|time| time > STORE_SILENCE_TIMEOUT)
 }
 
 /// A peer that is ahead; a random seed while nothing is known at all.
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -29,7 +29,7 @@
     },
 };
 
-/// External dependencies of a daemon, which tests can replace by fakes.
+/// External dependencies of a daemon, which tests can replace with fakes.
 #[derive(Clone, Debug)]
 pub struct Dependencies {
     /// The clock.
@@ -94,7 +94,7 @@
     pub(super) finished: CancellationToken,
     /// Requests in flight.
     pub(super) requests: TaskTracker,
-    /// When requests still in flight are cut off by the exit of the process, in microseconds; 0 before the shutdown.
+    /// When requests still in flight are interrupted by the exit of the process, in microseconds; 0 before the shutdown.
     exit_at: AtomicU64,
     /// When the daemon stops accepting requests with long answers, however short these have been, in microseconds.
     no_long_from: AtomicU64,
@@ -105,7 +105,7 @@
 const LONG_ANSWER_SHARE: f64 = 0.3;
 
 /// Multiple of the usual duration of a long answer that must be left to start one. One in ten takes twice as long, and
-/// an answer that the exit of the process cuts off is lost. A caller that is refused finds another VM within its
+/// an answer that the exit of the process interrupts is lost. A caller that is refused finds another VM within its
 /// latency objective or soon after.
 const LONG_ANSWER_FACTOR: f64 = 1.3;
 
--- a/crates/daemon/src/gateway/store_watch.rs
+++ b/crates/daemon/src/gateway/store_watch.rs
@@ -28,7 +28,7 @@
 /// within about two seconds; the rest is for transmission.
 const REREGISTRATION_GRACE: Span = Span::millis(2_200);
 /// Time after the store is reachable again in which entries may still lapse because of the outage. A later removal is
-/// intended by its replica, and a daemon that was the only one cut off must not mistake it for a lapse.
+/// intended by its replica, and the only daemon that could not reach the store must not mistake it for a lapse.
 const LAPSE_SETTLE_TIME: Span = Span::millis(300);
 /// Delay between two watch calls, so that one call returns changes that come together. It is small compared with the
 /// seconds within which a change must be in force.
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// Whether withdrawn keys must be refused in time on every VM, even on one that is cut off from the store.
+    /// Whether withdrawn keys must be refused in time on every VM, even on one that cannot reach the store.
     pub strict: bool,
     /// Milliseconds after its withdrawal from which a key must be refused.
     pub withdrawn_ms: u64,
@@ -168,7 +168,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayTiming {
-    /// Milliseconds after the store has recovered from a fault within which this daemon must follow its changes again.
+    /// Milliseconds after the store has recovered from a fault within which this daemon must watch it again.
     pub contact_ms: u64,
     /// Seconds after the stop signal within which the process must exit.
     pub stop_s: f64,
