--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -75,7 +75,7 @@
     REPLICA_UNREADABLE = 321, "A replica's entry cannot be parsed or lacks a field, so the replica is not used.";
     REPLICA_LEFT = 322, "A replica's entry was removed; the replica gets no new work after `grace_ms`.";
     REPLICA_FORGOTTEN = 323, "A replica that left has no requests in flight any more and was removed.";
-    REPLICA_LEFT_OUT = 324, "A replica failed repeatedly or could not be reached, and gets no work for a while.";
+    REPLICA_LEFT_OUT = 324, "A replica failed repeatedly or could not be reached; it is ejected and gets no requests from this daemon for a while.";
     REPLICA_LIMIT = 325, "The rate limit that a replica states for all daemons combined changed, or the replica no longer states one.";
     REPLICA_RETRY_AFTER = 326, "A replica stated in a response that it accepts no further requests from this daemon for `retry_after_ms`.";
     REPLICA_LEAVING = 327, "A replica stated in a response that it is leaving; it gets no new requests from this daemon.";
@@ -113,7 +113,7 @@
     QUOTA_SHARD_LOST = 541, "This daemon no longer owns these quota shards: its lease expired.";
     QUOTA_SHARD_NOT_TAKEN = 542, "Quota shards could not be acquired, renewed or released; it is tried again.";
     QUOTA_EXCEEDED = 543, "A request was refused because its team has used up its quota; `units` are available after `wait_ms`.";
-    QUOTA_UNAVAILABLE = 544, "A request was refused as not run because no owner of its team's quota answered.";
+    QUOTA_UNAVAILABLE = 544, "A request was refused as not run because no owner of its team's quota replied.";
 }
 
 /// Logs an event: `emit!(info, STARTED, field = value)`.
