--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -22,7 +22,7 @@
 use futures_util::future::join_all;
 
 use super::{
-    custodian::{Custodian, ReconcileResult, query_status},
+    custodian::{EngineCustody, ReconcileResult, query_status},
     shard::Shard,
 };
 use crate::{emit, endpoint::duties, node::Node};
@@ -46,7 +46,7 @@
 pub(super) struct ShardChanges {
     pool: String,
     client: HttpClient,
-    custodians: BTreeMap<String, Custodian>,
+    custody_by_engine: BTreeMap<String, EngineCustody>,
     targets: BTreeMap<String, Role>,
     /// Last status of each engine, and when it was requested.
     statuses: BTreeMap<String, (Time, EngineStatus)>,
@@ -69,7 +69,7 @@
         Self {
             pool: pool.to_owned(),
             client: HttpClient::new(Reuse::Fresh),
-            custodians: BTreeMap::new(),
+            custody_by_engine: BTreeMap::new(),
             targets: BTreeMap::new(),
             statuses: BTreeMap::new(),
             planner: Planner::default(),
@@ -107,12 +107,12 @@
     /// Releases every engine record that may name this process; returns whether none is left.
     pub(super) async fn release_all(&mut self, node: &Node) -> bool {
         let doc = node.document();
-        for (name, custodian) in &mut self.custodians {
-            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_own()) {
-                custodian.release(node, &self.client, &endpoint.spec).await;
+        for (name, custody) in &mut self.custody_by_engine {
+            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custody.may_be_own()) {
+                custody.release(node, &self.client, &endpoint.spec).await;
             }
         }
-        !self.custodians.values().any(Custodian::may_be_own)
+        !self.custody_by_engine.values().any(EngineCustody::may_be_own)
     }
 
     /// Status of each engine. Engines with something to do are asked in every round, the others at a longer interval.
@@ -139,7 +139,7 @@
     /// Whether an engine is in its desired state, according to its last status.
     fn is_as_desired(&self, doc: &Document, name: &str, spec: &EndpointSpec, status: &EngineStatus) -> bool {
         !self.targets.contains_key(name)
-            && !self.custodians.get(name).is_some_and(Custodian::may_have_open_order)
+            && !self.custody_by_engine.get(name).is_some_and(EngineCustody::may_have_open_order)
             && !status.changing
             && status.cordoned == spec.drained
             && desired_loads(doc, spec).all(|item| status.loaded.contains(&item))
@@ -254,12 +254,12 @@
     async fn reconcile(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
         for (name, (spec, status)) in engines {
             let order = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
-            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_own);
+            let may_be_own = self.custody_by_engine.get(name).is_some_and(EngineCustody::may_be_own);
             if order.is_none() && !may_be_own {
                 continue;
             }
-            let custodian = self.custodians.entry(name.clone()).or_insert_with(|| Custodian::new(node, name));
-            let result = custodian.reconcile(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
+            let custody = self.custody_by_engine.entry(name.clone()).or_insert_with(|| EngineCustody::new(node, name));
+            let result = custody.reconcile(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
             let wait_reason = match result {
                 ReconcileResult::Waiting(wait) => Some(wait),
                 ReconcileResult::Done | ReconcileResult::Incomplete => None,
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -26,9 +26,9 @@
 /// Maximum number of steps in one round.
 const MAX_STEPS_PER_ROUND: usize = 4;
 
-/// What this daemon knows of one engine's record.
+/// The custody of one engine: what this daemon knows of the engine's record.
 #[derive(Debug)]
-pub(super) struct Custodian {
+pub(super) struct EngineCustody {
     name: String,
     key: String,
     record: Option<(EngineRecord, i64)>,
@@ -50,7 +50,7 @@
     Waiting(WaitReason),
 }
 
-impl Custodian {
+impl EngineCustody {
     pub(super) fn new(node: &Node, name: &str) -> Self {
         Self {
             name: name.to_owned(),
