--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -248,7 +248,7 @@
     }
 
     /// Learns from a stream that was relayed up to its end.
-    pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
+    pub fn learn_finished_stream(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
         };
@@ -265,7 +265,7 @@
     }
 
     /// Learns from a part of a stream that was relayed and may continue.
-    pub fn learn_stream(&mut self, sent: &SentStep, part: &StreamPart) {
+    pub fn learn_stream_part(&mut self, sent: &SentStep, part: &StreamPart) {
         let (Some(replica), Some(interval)) = (self.replicas.get_mut(sent.key), part.interval()) else {
             return;
         };
--- a/crates/core/tests/fleet/choosing.rs
+++ b/crates/core/tests/fleet/choosing.rs
@@ -200,7 +200,7 @@
     }
     for total in 100..200 {
         for (sent, took) in &active_steps {
-            fleet.learn_stream(sent, &StreamPart { events: 10, total, took: *took, ..StreamPart::default() });
+            fleet.learn_stream_part(sent, &StreamPart { events: 10, total, took: *took, ..StreamPart::default() });
         }
     }
     let after = now() + Span::millis(15_000);
--- a/crates/core/tests/fleet/long_answers.rs
+++ b/crates/core/tests/fleet/long_answers.rs
@@ -171,7 +171,7 @@
                 let events = answer.events as u64;
                 let stream =
                     StreamPart { events, total: events, took: now.since(answer.sent.sent_at), ..StreamPart::default() };
-                self.fleet.learn_answer(&answer.sent, &stream, now);
+                self.fleet.learn_finished_stream(&answer.sent, &stream, now);
             }
             self.fleet.end_step(&answer.sent, StepEnd::Done, now);
             self.finished.push(FinishedAnswer { events: answer.events, served: answer.events_done >= answer.events });
@@ -193,7 +193,7 @@
         let (events_done, at) = self.last_report;
         let events = (self.events_done - events_done) as u64;
         if events > 0 {
-            fleet.learn_stream(
+            fleet.learn_stream_part(
                 &self.sent,
                 &StreamPart { events, total: self.events_done as u64, took: now.since(at), ..StreamPart::default() },
             );
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -134,11 +134,11 @@
         let sent = fleet.begin_step(key, &long, Some(&prompt), now()).expect("the replica is known");
         running.push(sent);
         let took = Span::seconds(70.0 * (41.0 + 0.9 * n as f64) / 1_000.0);
-        fleet.learn_stream(&sent, &StreamPart { events: 70, total: 70, took, ..StreamPart::default() });
+        fleet.learn_stream_part(&sent, &StreamPart { events: 70, total: 70, took, ..StreamPart::default() });
     }
     for sent in running {
         let stream = StreamPart { events: 70, total: 70, took: Span::millis(4_000), ..StreamPart::default() };
-        fleet.learn_answer(&sent, &stream, now() + Span::millis(9_000));
+        fleet.learn_finished_stream(&sent, &stream, now() + Span::millis(9_000));
         fleet.end_step(&sent, StepEnd::Done, now() + Span::millis(9_000));
     }
 }
@@ -179,7 +179,7 @@
         let longest_interval = Span::millis(60 * factor);
         let stream = StreamPart { events: 50, total: 50, took: Span::millis(3_000), longest_interval };
         for _ in 0..200 {
-            fleet.learn_answer(&sent, &stream, now() + Span::millis(9_000));
+            fleet.learn_finished_stream(&sent, &stream, now() + Span::millis(9_000));
         }
         let demand = Demand { prefill: 10.0, slots: 700.0, ..Demand::default() };
         fleet.next_role_change(SERVICE, demand, now() + Span::millis(20_000)).map(|change| change.to)
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -235,7 +235,7 @@
             if self.req.caller.prompt.is_some() {
                 fleet.record_answer(&self.req.service, self.resp.in_flight.age(), self.resp.in_flight.is_long());
             }
-            fleet.learn_answer(self.resp.in_flight.sent(), &self.log_entry.relayed(), self.req.gw.now());
+            fleet.learn_finished_stream(self.resp.in_flight.sent(), &self.log_entry.relayed(), self.req.gw.now());
         }
         self.log_entry.set_outcome("answered", self.resp.head.status.as_u16());
         Ok((!rest.is_empty()).then_some(rest))
@@ -287,7 +287,7 @@
         if let Some(part) = self.log_entry.record_event()
             && !self.resp.in_flight.was_suspended()
         {
-            self.req.gw.fleet().learn_stream(self.resp.in_flight.sent(), &part);
+            self.req.gw.fleet().learn_stream_part(self.resp.in_flight.sent(), &part);
         }
     }
 
