--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -125,7 +125,7 @@
         self.tokens.add(f64::from(tokens), now);
     }
 
-    fn record_answer(&mut self, took: Span) {
+    fn record_answer_time(&mut self, took: Span) {
         self.seconds.learn(took.as_seconds());
     }
 
@@ -194,9 +194,9 @@
     }
 
     /// Records the duration of an answer, and whether it was a long one.
-    pub fn record_answer(&mut self, took: Span, long: bool) {
+    pub fn record_answer_time(&mut self, took: Span, long: bool) {
         let meter = if long { &mut self.long } else { &mut self.short };
-        meter.record_answer(took);
+        meter.record_answer_time(took);
     }
 
     /// The current demand.
@@ -329,9 +329,9 @@
     }
 
     /// Records the duration of an answer, and whether it was a long one.
-    pub fn record_answer(&mut self, service: &str, took: Span, long: bool) {
+    pub fn record_answer_time(&mut self, service: &str, took: Span, long: bool) {
         if let Some(state) = self.services.get_mut(service) {
-            state.demand_meter.record_answer(took, long);
+            state.demand_meter.record_answer_time(took, long);
         }
     }
 
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -233,7 +233,7 @@
         if !self.resp.in_flight.was_suspended() {
             let mut fleet = self.req.gw.fleet();
             if self.req.caller.prompt.is_some() {
-                fleet.record_answer(&self.req.service, self.resp.in_flight.age(), self.resp.in_flight.is_long());
+                fleet.record_answer_time(&self.req.service, self.resp.in_flight.age(), self.resp.in_flight.is_long());
             }
             fleet.learn_finished_stream(self.resp.in_flight.sent(), &self.log_entry.relayed(), self.req.gw.now());
         }
