--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,7 +1,7 @@
 //! Request rate limits per team, split over the live daemons.
 //!
 //! Each daemon enforces its share. The load balancer spreads callers evenly, so the shares add up to the team's
-//! limit without any messages. When a daemon dies, the shares of the others grow as soon as membership reports
+//! limit without any messages. When a daemon terminates, the shares of the others grow as soon as membership reports
 //! it.
 
 use std::collections::HashMap;
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -10,7 +10,7 @@
 /// Body of any response.
 pub(super) type ResponseBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// Why the daemon itself responds to a request.
+/// Why the daemon refuses a request, or ends it without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
     /// No configuration is known yet.
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -132,7 +132,7 @@
 }
 
 impl ActiveRequest {
-    /// Executes a plan; returns once the head of the response has arrived.
+    /// Carries out a plan; returns once the head of the response has arrived.
     pub(super) async fn attempt(&self, plan: &Plan) -> Result<UpstreamResponse, AttemptFailure> {
         match plan {
             Plan::Single(step) => self
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -13,8 +13,8 @@
 //!
 //! Background tasks and shared parts:
 //!
-//! - [`store_watch`] reads the configuration and the replicas from the store, [`snapshot_transfer`] the same from
-//!   another daemon while the store is unreachable, and [`store_cache`] holds what was read.
+//! - [`store_watch`] reads the configuration and the replicas from the store, [`snapshot_transfer`] the same from a peer
+//!   while the store is unreachable or peers watch it, and [`store_cache`] holds what was read.
 //! - [`peers`] exchanges load reports with other daemons in [`packet`]s, with [`peer_table`].
 //! - [`keys`] authenticates callers' keys, and [`freshness_probe`] proves that the configuration is recent enough.
 //! - [`quota`] keeps teams within their quotas.
--- a/experiments/src/routing.rs
+++ b/experiments/src/routing.rs
@@ -16,13 +16,13 @@
 /// Command that a policy gives to the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Command {
-    /// Send a request to an engine, possibly after another has processed its prompt.
+    /// Send a request to an engine, possibly after another has prefilled its prompt.
     Send {
         /// Index of the request.
         request: usize,
         /// Index of the engine.
         engine: usize,
-        /// Index of the engine that processes the prompt first, if any.
+        /// Index of the engine that prefills the prompt, if it is another one.
         prefill: Option<usize>,
     },
     /// Refuse a request.
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -28,7 +28,7 @@
 const PLAN_INTERVAL: f64 = 1.0;
 /// Time that the run continues after the last arrival, in seconds.
 const DRAIN_TIME: f64 = 20.0;
-/// Bit in the id of a job that only processes the prompt of a request.
+/// Bit in the id of a job that only prefills the prompt of a request.
 const PREFILL_BIT: u64 = 1 << 40;
 
 /// Fault in a run.
--- a/proofs/src/cluster.rs
+++ b/proofs/src/cluster.rs
@@ -496,7 +496,7 @@
     /// generation.
     ///
     /// # Panics
-    /// If they are not accepted in time, or are rejected as invalid.
+    /// If they are not accepted in time, or are refused as invalid.
     pub async fn apply_until_accepted(&self, resources: &[Value]) -> u64 {
         let vm = self.daemons.keys().next().expect("the cluster has a daemon").clone();
         let body = json!({ "resources": resources });
