--- a/crates/core/src/fleet/peers.rs
+++ b/crates/core/src/fleet/peers.rs
@@ -18,7 +18,7 @@
         rate_limit::RateLimitNote,
         replica::{Load, Replica, ReplicaKey},
         short_id,
-        split::Demand,
+        split::EngineDemand,
     },
     prompt::{Part, Prompt},
     time::{Span, Time},
@@ -171,7 +171,7 @@
     /// Replicas that it has ejected.
     ejected: Vec<ReplicaKey>,
     /// Demand by the hash of the service's name.
-    pub(super) demands: HashMap<u32, Demand>,
+    pub(super) demands: HashMap<u32, EngineDemand>,
 }
 
 impl Fleet {
@@ -205,7 +205,7 @@
     pub fn hall_summary(&mut self, now: Time) -> (LoadReport, u32) {
         let hall_peers: Vec<&LastReport> =
             self.peers.values().filter(|peer| peer.is_from_hall_peer(self.hall_hash)).collect();
-        let mut demands: HashMap<u32, Demand> = HashMap::new();
+        let mut demands: HashMap<u32, EngineDemand> = HashMap::new();
         let own = self.services.iter().map(|(name, state)| (short_id(name), state.demand_meter.demand(now)));
         for (service, demand) in own.chain(hall_peers.iter().flat_map(|peer| peer.demands.clone())) {
             demands.entry(service).or_default().add(demand);
@@ -473,8 +473,8 @@
 }
 
 impl ServiceDemand {
-    const fn demand(&self) -> (u32, Demand) {
-        let demand = Demand {
+    const fn demand(&self) -> (u32, EngineDemand) {
+        let demand = EngineDemand {
             prefill: self.prefill as f64,
             urgent: self.urgent as f64,
             slots: self.slots as f64,
@@ -486,7 +486,7 @@
 }
 
 /// The reported form of a demand; `None` if there is none.
-fn to_service_demand((service, demand): (u32, Demand)) -> Option<ServiceDemand> {
+fn to_service_demand((service, demand): (u32, EngineDemand)) -> Option<ServiceDemand> {
     let reported = ServiceDemand {
         service,
         prefill: demand.prefill as f32,
--- a/crates/core/src/fleet/pool.rs
+++ b/crates/core/src/fleet/pool.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    fleet::{Fleet, policy::FleetPolicy, split::Demand},
+    fleet::{Fleet, policy::FleetPolicy, split::EngineDemand},
     time::{Span, Time},
 };
 
@@ -189,7 +189,7 @@
 
     /// Number of engines that a demand requires at the target utilization; `None` without engines to serve it.
     #[must_use]
-    pub fn needed_engines(&self, service: &str, demand: Demand, now: Time) -> Option<f64> {
+    pub fn needed_engines(&self, service: &str, demand: EngineDemand, now: Time) -> Option<f64> {
         let engines: Vec<_> = self.replicas.iter().filter(|(_, r)| &*r.facts.service == service).collect();
         let required = self.required_engines(service, &engines, demand, now)?;
         Some(required.prefill + required.decode)
--- a/crates/core/src/fleet/split.rs
+++ b/crates/core/src/fleet/split.rs
@@ -79,7 +79,7 @@
 
 /// The demand for the engines of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Demand {
+pub struct EngineDemand {
     /// Number of engines that prefill would keep busy.
     pub prefill: f64,
     /// The part of `prefill` that can be in time and is processed before the rest.
@@ -92,7 +92,7 @@
     pub transfer: f64,
 }
 
-impl Demand {
+impl EngineDemand {
     /// Adds another demand for the same service.
     pub fn add(&mut self, other: Self) {
         self.prefill += other.prefill;
@@ -201,8 +201,8 @@
 
     /// The current demand.
     #[must_use]
-    pub fn demand(&self, now: Time) -> Demand {
-        Demand {
+    pub fn demand(&self, now: Time) -> EngineDemand {
+        EngineDemand {
             prefill: self.prefill.rate(now),
             urgent: self.urgent.rate(now),
             slots: self.short.slots(now) + self.long.slots(now),
@@ -220,7 +220,7 @@
     /// Its new role.
     pub to: Role,
     /// The demand that is the reason for the change.
-    pub demand: Demand,
+    pub demand: EngineDemand,
     /// Numbers of prefill and decode engines before the change.
     pub counts_before: (usize, usize),
 }
@@ -228,7 +228,7 @@
 impl Fleet {
     /// The next worthwhile role change for a service, given the demand on all daemons.
     #[must_use]
-    pub fn next_role_change(&self, service: &str, demand: Demand, now: Time) -> Option<RoleChange> {
+    pub fn next_role_change(&self, service: &str, demand: EngineDemand, now: Time) -> Option<RoleChange> {
         let engines: Vec<(ReplicaKey, &Replica)> = self
             .replicas
             .iter()
@@ -240,7 +240,7 @@
             return None;
         }
         let change = |key, to| RoleChange { key, to, demand, counts_before: (prefill, decode) };
-        if demand == Demand::default() {
+        if demand == EngineDemand::default() {
             let wanted = ((prefill + decode) as f64 * self.policy.first_read_share) as usize;
             let lacks_prefill = prefill < wanted && decode > MIN_DECODE && !self.has_seen_demand(service);
             return least_loaded_engine(&engines, Role::Decode, now)
@@ -280,7 +280,7 @@
         &self,
         service: &str,
         engines: &[(ReplicaKey, &Replica)],
-        demand: Demand,
+        demand: EngineDemand,
         now: Time,
     ) -> Option<RequiredEngines> {
         let slots = f64::from(engines.iter().map(|(_, replica)| replica.facts.slots).min()?);
@@ -345,8 +345,8 @@
 
     /// The demand that this daemon and its peers observe for a service.
     #[must_use]
-    pub fn demand(&self, service: &str, now: Time) -> Demand {
-        let own = self.services.get(service).map_or_else(Demand::default, |state| state.demand_meter.demand(now));
+    pub fn demand(&self, service: &str, now: Time) -> EngineDemand {
+        let own = self.services.get(service).map_or_else(EngineDemand::default, |state| state.demand_meter.demand(now));
         let key = super::short_id(service);
         let mut sum = own;
         for demand in self.peers.values().filter_map(|peer| peer.demands.get(&key)) {
--- a/crates/core/src/mix.rs
+++ b/crates/core/src/mix.rs
@@ -11,14 +11,14 @@
 
 /// Demand in tokens per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Demand {
+pub struct TokenDemand {
     /// Prompt tokens per second that need prefill.
     pub prefill: f64,
     /// Output tokens per second.
     pub decode: f64,
 }
 
-impl Demand {
+impl TokenDemand {
     /// Sum of two demands.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
@@ -33,8 +33,8 @@
 /// Exponential averages of the demand for one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandAverages {
-    short: Demand,
-    long: Demand,
+    short: TokenDemand,
+    long: TokenDemand,
     updated_at: Time,
 }
 
@@ -42,7 +42,7 @@
     /// Adds the tokens of a request that arrived at `now`.
     pub fn add_request(&mut self, prefill: u32, decode: u32, now: Time) {
         self.decay(now);
-        let add = |avg: Demand, tau: Span| Demand {
+        let add = |avg: TokenDemand, tau: Span| TokenDemand {
             prefill: avg.prefill + f64::from(prefill) / tau.as_seconds(),
             decode: avg.decode + f64::from(decode) / tau.as_seconds(),
         };
@@ -52,13 +52,13 @@
 
     /// Short-term average at `now`.
     #[must_use]
-    pub fn short(&self, now: Time) -> Demand {
+    pub fn short(&self, now: Time) -> TokenDemand {
         self.short.decayed(factor(now.since(self.updated_at), SHORT_TIME_CONSTANT))
     }
 
     /// Long-term average at `now`.
     #[must_use]
-    pub fn long(&self, now: Time) -> Demand {
+    pub fn long(&self, now: Time) -> TokenDemand {
         self.long.decayed(factor(now.since(self.updated_at), LONG_TIME_CONSTANT))
     }
 
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     endpoint::Role,
-    mix::Demand,
+    mix::TokenDemand,
     time::{Span, Time},
 };
 
@@ -124,7 +124,7 @@
 
 /// Largest multiple of `demand` that `counts` engines can serve.
 #[must_use]
-pub fn headroom(counts: RoleCounts, rates: RoleRates, demand: Demand) -> f64 {
+pub fn headroom(counts: RoleCounts, rates: RoleRates, demand: TokenDemand) -> f64 {
     let prefill_need = demand.prefill / rates.prefill;
     let decode_need = demand.decode / rates.decode;
     if prefill_need + decode_need <= 0.0 {
@@ -154,9 +154,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AverageDemand {
     /// Short-term average.
-    pub short: Demand,
+    pub short: TokenDemand,
     /// Long-term average.
-    pub long: Demand,
+    pub long: TokenDemand,
 }
 
 impl Planner {
@@ -228,7 +228,7 @@
 }
 
 /// Work served per second out of `demand`, in seconds of one engine's work.
-fn served_work(counts: RoleCounts, rates: RoleRates, demand: Demand) -> f64 {
+fn served_work(counts: RoleCounts, rates: RoleRates, demand: TokenDemand) -> f64 {
     let need = demand.prefill / rates.prefill + demand.decode / rates.decode;
     need * headroom(counts, rates, demand).min(1.0)
 }
--- a/crates/core/tests/fleet/roles.rs
+++ b/crates/core/tests/fleet/roles.rs
@@ -8,7 +8,7 @@
         Fleet, StepEnd, StreamPart,
         plan::{Plan, RouteRequest},
         replica::ReplicaFacts,
-        split::Demand,
+        split::EngineDemand,
     },
     prompt::Prompt,
     time::Span,
@@ -23,7 +23,7 @@
     let roles: Vec<(&str, Role)> = roles.iter().map(|(id, role)| (id.as_str(), *role)).collect();
     let mut fleet = fleet_with(&roles);
     // Ten slots each: 25 short answers require more than three engines, and about twice as many are kept.
-    let demand = Demand { prefill: 9.0, slots: 25.0, ..Demand::default() };
+    let demand = EngineDemand { prefill: 9.0, slots: 25.0, ..EngineDemand::default() };
     let mut changed = 0;
     let mut at = now();
     while let Some(change) = fleet.next_role_change(SERVICE, demand, at) {
@@ -34,13 +34,13 @@
     }
     assert!((0..=1).contains(&changed), "{changed} decode engines changed their role");
     let mut fleet = fleet_with(&roles);
-    let demand = Demand { prefill: 9.0, slots: 5.0, ..Demand::default() };
+    let demand = EngineDemand { prefill: 9.0, slots: 5.0, ..EngineDemand::default() };
     let first = fleet.next_role_change(SERVICE, demand, now()).expect("decode engines can be spared");
     fleet.start_role_change(first.key, first.to, now() + Span::millis(3_000));
     let second = fleet.next_role_change(SERVICE, demand, now()).expect("two of twelve may change at once");
     fleet.start_role_change(second.key, second.to, now() + Span::millis(3_000));
     assert_eq!(fleet.next_role_change(SERVICE, demand, now()), None, "no more than two may change at once");
-    let transfer = Demand { transfer: 7.0, prefill: 0.1, ..Demand::default() };
+    let transfer = EngineDemand { transfer: 7.0, prefill: 0.1, ..EngineDemand::default() };
     assert_eq!(
         fleet_with(&roles).next_role_change(SERVICE, transfer, now()).map(|change| change.to),
         Some(Role::Decode)
@@ -58,7 +58,7 @@
         ("d4", Role::Decode),
     ];
     let mut fleet = fleet_with(&roles);
-    let prefill = Demand { prefill: 9.0, slots: 2.0, ..Demand::default() };
+    let prefill = EngineDemand { prefill: 9.0, slots: 2.0, ..EngineDemand::default() };
     let mut changed = 0;
     while let Some(change) = fleet.next_role_change(SERVICE, prefill, now()) {
         assert_eq!(change.to, Role::Prefill);
@@ -68,9 +68,9 @@
         changed += 1;
     }
     assert_eq!(changed, 2, "two decode engines are kept");
-    let low_demand = Demand { prefill: 0.1, slots: 2.0, ..Demand::default() };
+    let low_demand = EngineDemand { prefill: 0.1, slots: 2.0, ..EngineDemand::default() };
     assert_eq!(fleet_with(&roles).next_role_change(SERVICE, low_demand, now()), None);
-    let answers = Demand { prefill: 0.1, slots: 90.0, ..Demand::default() };
+    let answers = EngineDemand { prefill: 0.1, slots: 90.0, ..EngineDemand::default() };
     assert_eq!(fleet_with(&roles).next_role_change(SERVICE, answers, now()), None, "two prefill engines are kept");
 }
 
@@ -78,7 +78,7 @@
 fn an_engine_with_an_unconfirmed_order_gets_no_other() {
     let mut fleet =
         fleet_with(&[("p", Role::Prefill), ("d1", Role::Decode), ("d2", Role::Decode), ("d3", Role::Decode)]);
-    let prefill = Demand { prefill: 9.0, slots: 2.0, ..Demand::default() };
+    let prefill = EngineDemand { prefill: 9.0, slots: 2.0, ..EngineDemand::default() };
     let first = fleet.next_role_change(SERVICE, prefill, now()).expect("one role change is worthwhile");
     fleet.hold_orders_until(first.key, now() + Span::millis(13_000));
     let second = fleet.next_role_change(SERVICE, prefill, now()).expect("another engine can change its role");
@@ -93,7 +93,10 @@
         let key = fleet.key(id).expect("the replica is known");
         fleet.begin_step(key, &step(key, 0.0, true), None, now());
     }
-    assert_eq!(fleet.next_role_change(SERVICE, Demand { prefill: 9.0, slots: 2.0, ..Demand::default() }, now()), None);
+    assert_eq!(
+        fleet.next_role_change(SERVICE, EngineDemand { prefill: 9.0, slots: 2.0, ..EngineDemand::default() }, now()),
+        None
+    );
 }
 
 /// Guards against decode engines that are overloaded while prefill engines are idle. Few engines decode and many
@@ -109,7 +112,7 @@
         fleet.put(ReplicaFacts { slots: 64, ..facts(id, *role) }, 1);
     }
     learn_streams(&mut fleet, "e50");
-    let demand = Demand { prefill: 10.0, slots: 450.0, ..Demand::default() };
+    let demand = EngineDemand { prefill: 10.0, slots: 450.0, ..EngineDemand::default() };
     let mut at = now() + Span::millis(20_000);
     let mut decode_engines = 18;
     while let Some(change) = fleet.next_role_change(SERVICE, demand, at) {
@@ -181,7 +184,7 @@
         for _ in 0..200 {
             fleet.learn_finished_stream(&sent, &stream, now() + Span::millis(9_000));
         }
-        let demand = Demand { prefill: 10.0, slots: 700.0, ..Demand::default() };
+        let demand = EngineDemand { prefill: 10.0, slots: 700.0, ..EngineDemand::default() };
         fleet.next_role_change(SERVICE, demand, now() + Span::millis(20_000)).map(|change| change.to)
     };
     assert_eq!(next_role(1), None);
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -11,7 +11,7 @@
     bucket::TokenBucket,
     custody::{EngineStatus, Fencing, OrderKind, WaitReason},
     endpoint::Role,
-    mix::Demand,
+    mix::TokenDemand,
     planner::{AverageDemand, Planner, RoleCounts},
     time::{Span, Time},
 };
@@ -162,9 +162,9 @@
         let mut demands: Vec<_> = join_all(calls).await.into_iter().flatten().collect();
         demands.extend(node.dispatcher.demand(&self.pool, now));
         let scale = live as f64 / demands.len().max(1) as f64;
-        let sum = |pick: fn(&(Demand, Demand)) -> Demand| {
-            let sum = demands.iter().map(pick).fold(Demand::default(), Demand::plus);
-            Demand { prefill: sum.prefill * scale, decode: sum.decode * scale }
+        let sum = |pick: fn(&(TokenDemand, TokenDemand)) -> TokenDemand| {
+            let sum = demands.iter().map(pick).fold(TokenDemand::default(), TokenDemand::plus);
+            TokenDemand { prefill: sum.prefill * scale, decode: sum.decode * scale }
         };
         self.demand = AverageDemand { short: sum(|d| d.0), long: sum(|d| d.1) };
     }
--- a/crates/daemon/src/dispatch/desk.rs
+++ b/crates/daemon/src/dispatch/desk.rs
@@ -308,7 +308,7 @@
         &self,
         pool: &str,
         now: Time,
-    ) -> Option<(dahliaseam_core::mix::Demand, dahliaseam_core::mix::Demand)> {
+    ) -> Option<(dahliaseam_core::mix::TokenDemand, dahliaseam_core::mix::TokenDemand)> {
         let inner = self.lock();
         let mix = inner.dispatcher.demand(*inner.pools.get(pool)?)?;
         Some((mix.short(now), mix.long(now)))
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -132,9 +132,9 @@
     /// Name of the pool.
     pub pool: String,
     /// Short-term average.
-    pub short: dahliaseam_core::mix::Demand,
+    pub short: dahliaseam_core::mix::TokenDemand,
     /// Long-term average.
-    pub long: dahliaseam_core::mix::Demand,
+    pub long: dahliaseam_core::mix::TokenDemand,
 }
 
 /// Calls between daemons.
--- a/experiments/src/roles.rs
+++ b/experiments/src/roles.rs
@@ -2,7 +2,7 @@
 
 use dahliaseam_core::{
     endpoint::Role,
-    mix::Demand,
+    mix::TokenDemand,
     planner::{AverageDemand, Planner, PlannerSettings, RoleCounts, RoleRates},
     time::Time,
 };
@@ -45,7 +45,9 @@
         demands: &[AverageDemand],
         now: Time,
     ) -> Option<(usize, Role)> {
-        let sum = |part: fn(&AverageDemand) -> Demand| demands.iter().map(part).fold(Demand::default(), Demand::plus);
+        let sum = |part: fn(&AverageDemand) -> TokenDemand| {
+            demands.iter().map(part).fold(TokenDemand::default(), TokenDemand::plus)
+        };
         let demand = AverageDemand { short: sum(|d| d.short), long: sum(|d| d.long) };
         let mut counts = RoleCounts::default();
         for (engine, role) in roles.iter().enumerate() {
