--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -111,7 +111,7 @@
 
 /// A worthwhile role change.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct RoleChange {
+pub struct PlannedRoleChange {
     /// Current role of the engine.
     pub from: Role,
     /// New role of the engine.
@@ -169,7 +169,7 @@
         averages: AverageDemand,
         in_flight: usize,
         now: Time,
-    ) -> Option<RoleChange> {
+    ) -> Option<PlannedRoleChange> {
         if in_flight >= settings.changes_in_flight || !self.no_change_before.is_past(now) {
             return None;
         }
@@ -211,7 +211,7 @@
     averages: AverageDemand,
     from: Role,
     to: Role,
-) -> RoleChange {
+) -> PlannedRoleChange {
     let after = counts.with_change(from, to);
     let served = |counts, demand| served_work(counts, rates, demand);
     let short = served(after, averages.short) - served(counts, averages.short);
@@ -224,7 +224,7 @@
         _ => short,
     };
     let useful_seconds = (settings.horizon_seconds - settings.change_seconds).max(0.0);
-    RoleChange { from, to, gain: gain_rate * useful_seconds, loss: settings.change_seconds + settings.price }
+    PlannedRoleChange { from, to, gain: gain_rate * useful_seconds, loss: settings.change_seconds + settings.price }
 }
 
 /// Work served per second out of `demand`, in seconds of one engine's work.
