--- a/crates/core/src/fleet/choose.rs
+++ b/crates/core/src/fleet/choose.rs
@@ -46,7 +46,7 @@
 /// Minimum share of their time that prefill engines are assumed to have for late prompts. Under an overload that
 /// shows in the measured demand no late prompt is started, but no prediction becomes infinite.
 const MIN_FREE_SHARE: f64 = 0.05;
-/// Cost in milliseconds of a replica whose store entry lapsed or that a peer could not reach.
+/// Cost in milliseconds of a replica whose store entry lapsed or that a peer has ejected.
 const MAY_BE_GONE_COST_MS: f64 = 80.0;
 /// Upper bound in milliseconds of the random jitter, for each daemon.
 const JITTER_MS_PER_DAEMON: f64 = 0.15;
@@ -69,7 +69,7 @@
     /// Learned model of the service's engines.
     engine: EngineModel,
     /// The engine that holds most of the prompt in its KV cache, and the number of tokens it holds.
-    holder: Option<(ReplicaKey, u32)>,
+    copy_source: Option<(ReplicaKey, u32)>,
     /// Whether the request can no longer be in time.
     late: bool,
     /// Whether its answer will occupy a slot for seconds.
@@ -221,7 +221,7 @@
         PrefillInput {
             prompt,
             engine: self.fleet.engine(self.req.service),
-            holder: self.holder(prompt),
+            copy_source: self.copy_source(prompt),
             late: false,
             long: self.fleet.is_long(self.req.service, prompt.max_output),
         }
@@ -251,7 +251,7 @@
     /// [`SHORT_PREFILL_MS`].
     fn single_step(&self, input: &PrefillInput<'_>, protect_short: bool) -> Option<Step> {
         let max_burst_ms = self.fleet.max_prefill_burst_ms(self.req.service, &input.engine);
-        let placement = self.fleet.placement(self.req, input.long, self.now);
+        let placement = self.fleet.placement_input(self.req, input.long, self.now);
         cheapest(self.decode_engines().filter_map(|(key, replica)| {
             let step = self.estimate_prefill((key, replica), input);
             let queue_ms = slot_wait_ms(replica, input.long);
@@ -284,7 +284,7 @@
     }
 
     /// The engine whose KV cache holds most of a prompt, and the number of tokens it holds.
-    fn holder(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
+    fn copy_source(&self, prompt: &Prompt) -> Option<(ReplicaKey, u32)> {
         let present = self.eligible.iter().filter(|(_, replica)| !replica.may_be_gone(self.now));
         let held = present.map(|(key, replica)| (*key, replica.cache.held_tokens(prompt)));
         held.max_by_key(|(_, tokens)| *tokens)
@@ -294,7 +294,7 @@
         let prompt = self.req.prompt?;
         let engine = self.fleet.engine(self.req.service);
         let prefill = self.fleet.replicas.get(prefill.key);
-        let placement = self.fleet.placement(self.req, long, self.now);
+        let placement = self.fleet.placement_input(self.req, long, self.now);
         cheapest(self.decode_engines().map(|(key, replica)| {
             let wait_ms = slot_wait_ms(replica, long) + replica.prefill_ms(self.now) * 0.5;
             let cross_hall = prefill.is_none_or(|prefill| prefill.facts.hall != replica.facts.hall);
@@ -311,18 +311,18 @@
     }
 
     fn estimate_prefill(&self, (key, replica): (ReplicaKey, &Replica), input: &PrefillInput<'_>) -> Step {
-        let PrefillInput { prompt, engine, holder, late, .. } = input;
-        let (holder, late) = (*holder, *late);
+        let PrefillInput { prompt, engine, copy_source, late, .. } = input;
+        let (copy_source, late) = (*copy_source, *late);
         let held = replica.cache.held_tokens(prompt);
-        let (copy_from, copy_tokens) = match holder {
+        let (copy_from, copy_tokens) = match copy_source {
             Some((other, more)) if other != key && more >= held + MIN_COPY_TOKENS => (Some(other), more - held),
             _ => (None, 0),
         };
         let held = held + copy_tokens;
         let prefill = PrefillWork { uncached: prompt.tokens.saturating_sub(held).max(1), cached: held };
-        let copy_ms = copy_from.map_or(0.0, |holder| {
-            let holder = self.fleet.replicas.get(holder);
-            let cross_hall = holder.is_none_or(|holder| holder.facts.hall != replica.facts.hall);
+        let copy_ms = copy_from.map_or(0.0, |source| {
+            let source = self.fleet.replicas.get(source);
+            let cross_hall = source.is_none_or(|source| source.facts.hall != replica.facts.hall);
             engine.kv_transfer.duration_ms(KvTransfer { tokens: copy_tokens, cross_hall })
         });
         let decode_factor = if replica.facts.role == Role::Decode { engine.prefill.decode_factor() } else { 1.0 };
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -24,7 +24,7 @@
         distance::HallLatencies,
         endings::{CrashTracker, Treatment},
         engine::{EngineModel, hand_over::KvTransfer, read_time::PrefillWork},
-        peers::{PeerState, Source},
+        peers::{LastReport, Source},
         plan::{Plan, RouteRequest},
         policy::FleetPolicy,
         rate_limit::RateLimitShare,
@@ -179,7 +179,7 @@
     by_id: HashMap<Arc<str>, ReplicaKey>,
     by_start_id: HashMap<u32, ReplicaKey>,
     services: HashMap<Arc<str>, ServiceState>,
-    peers: HashMap<Source, PeerState>,
+    peers: HashMap<Source, LastReport>,
     prompt_notes: Vec<peers::PromptNote>,
     /// Hash of this daemon's hall.
     hall_hash: u32,
@@ -248,7 +248,7 @@
     }
 
     /// Learns from a stream that was relayed up to its end.
-    pub fn learn_answer(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
+    pub fn learn_finished_stream(&mut self, sent: &SentStep, stream: &StreamPart, now: Time) {
         let Some(replica) = self.replicas.get(sent.key) else {
             return;
         };
@@ -265,7 +265,7 @@
     }
 
     /// Learns from a part of a stream that was relayed and may continue.
-    pub fn learn_stream(&mut self, sent: &SentStep, part: &StreamPart) {
+    pub fn learn_stream_part(&mut self, sent: &SentStep, part: &StreamPart) {
         let (Some(replica), Some(interval)) = (self.replicas.get_mut(sent.key), part.interval()) else {
             return;
         };
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     endpoint::Role,
-    mix::Demand,
+    mix::TokenDemand,
     time::{Span, Time},
 };
 
@@ -111,7 +111,7 @@
 
 /// A worthwhile role change.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct RoleChange {
+pub struct PlannedRoleChange {
     /// Current role of the engine.
     pub from: Role,
     /// New role of the engine.
@@ -124,7 +124,7 @@
 
 /// Largest multiple of `demand` that `counts` engines can serve.
 #[must_use]
-pub fn headroom(counts: RoleCounts, rates: RoleRates, demand: Demand) -> f64 {
+pub fn headroom(counts: RoleCounts, rates: RoleRates, demand: TokenDemand) -> f64 {
     let prefill_need = demand.prefill / rates.prefill;
     let decode_need = demand.decode / rates.decode;
     if prefill_need + decode_need <= 0.0 {
@@ -154,9 +154,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AverageDemand {
     /// Short-term average.
-    pub short: Demand,
+    pub short: TokenDemand,
     /// Long-term average.
-    pub long: Demand,
+    pub long: TokenDemand,
 }
 
 impl Planner {
@@ -169,7 +169,7 @@
         averages: AverageDemand,
         in_flight: usize,
         now: Time,
-    ) -> Option<RoleChange> {
+    ) -> Option<PlannedRoleChange> {
         if in_flight >= settings.changes_in_flight || !self.no_change_before.is_past(now) {
             return None;
         }
@@ -211,7 +211,7 @@
     averages: AverageDemand,
     from: Role,
     to: Role,
-) -> RoleChange {
+) -> PlannedRoleChange {
     let after = counts.with_change(from, to);
     let served = |counts, demand| served_work(counts, rates, demand);
     let short = served(after, averages.short) - served(counts, averages.short);
@@ -224,11 +224,11 @@
         _ => short,
     };
     let useful_seconds = (settings.horizon_seconds - settings.change_seconds).max(0.0);
-    RoleChange { from, to, gain: gain_rate * useful_seconds, loss: settings.change_seconds + settings.price }
+    PlannedRoleChange { from, to, gain: gain_rate * useful_seconds, loss: settings.change_seconds + settings.price }
 }
 
 /// Work served per second out of `demand`, in seconds of one engine's work.
-fn served_work(counts: RoleCounts, rates: RoleRates, demand: Demand) -> f64 {
+fn served_work(counts: RoleCounts, rates: RoleRates, demand: TokenDemand) -> f64 {
     let need = demand.prefill / rates.prefill + demand.decode / rates.decode;
     need * headroom(counts, rates, demand).min(1.0)
 }
--- a/crates/daemon/src/control/changes.rs
+++ b/crates/daemon/src/control/changes.rs
@@ -11,7 +11,7 @@
     bucket::TokenBucket,
     custody::{EngineStatus, Fencing, OrderKind, WaitReason},
     endpoint::Role,
-    mix::Demand,
+    mix::TokenDemand,
     planner::{AverageDemand, Planner, RoleCounts},
     time::{Span, Time},
 };
@@ -22,7 +22,7 @@
 use futures_util::future::join_all;
 
 use super::{
-    custodian::{Custodian, ReconcileResult, query_status},
+    custodian::{EngineCustody, ReconcileResult, query_status},
     shard::Shard,
 };
 use crate::{emit, endpoint::duties, node::Node};
@@ -43,10 +43,10 @@
 
 /// State of the changes in one shard.
 #[derive(Debug)]
-pub(super) struct Changes {
+pub(super) struct ShardChanges {
     pool: String,
     client: HttpClient,
-    custodians: BTreeMap<String, Custodian>,
+    custody_by_engine: BTreeMap<String, EngineCustody>,
     targets: BTreeMap<String, Role>,
     /// Last status of each engine, and when it was requested.
     statuses: BTreeMap<String, (Time, EngineStatus)>,
@@ -63,13 +63,13 @@
 /// The engines of the shard with their status, if they answered.
 type Engines = BTreeMap<String, (EndpointSpec, Option<EngineStatus>)>;
 
-impl Changes {
+impl ShardChanges {
     pub(super) fn new(node: &Node, pool: &str) -> Self {
         let per_second = node.settings.loads_per_minute / SECONDS_PER_MINUTE;
         Self {
             pool: pool.to_owned(),
             client: HttpClient::new(Reuse::Fresh),
-            custodians: BTreeMap::new(),
+            custody_by_engine: BTreeMap::new(),
             targets: BTreeMap::new(),
             statuses: BTreeMap::new(),
             planner: Planner::default(),
@@ -107,12 +107,12 @@
     /// Releases every engine record that may name this process; returns whether none is left.
     pub(super) async fn release_all(&mut self, node: &Node) -> bool {
         let doc = node.document();
-        for (name, custodian) in &mut self.custodians {
-            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custodian.may_be_own()) {
-                custodian.release(node, &self.client, &endpoint.spec).await;
+        for (name, custody) in &mut self.custody_by_engine {
+            if let Some(endpoint) = doc.endpoints.get(name).filter(|_| custody.may_be_own()) {
+                custody.release(node, &self.client, &endpoint.spec).await;
             }
         }
-        !self.custodians.values().any(Custodian::may_be_own)
+        !self.custody_by_engine.values().any(EngineCustody::may_be_own)
     }
 
     /// Status of each engine. Engines with something to do are asked in every round, the others at a longer interval.
@@ -139,7 +139,7 @@
     /// Whether an engine is in its desired state, according to its last status.
     fn is_as_desired(&self, doc: &Document, name: &str, spec: &EndpointSpec, status: &EngineStatus) -> bool {
         !self.targets.contains_key(name)
-            && !self.custodians.get(name).is_some_and(Custodian::may_have_open_order)
+            && !self.custody_by_engine.get(name).is_some_and(EngineCustody::may_have_open_order)
             && !status.changing
             && status.cordoned == spec.drained
             && desired_loads(doc, spec).all(|item| status.loaded.contains(&item))
@@ -162,9 +162,9 @@
         let mut demands: Vec<_> = join_all(calls).await.into_iter().flatten().collect();
         demands.extend(node.dispatcher.demand(&self.pool, now));
         let scale = live as f64 / demands.len().max(1) as f64;
-        let sum = |pick: fn(&(Demand, Demand)) -> Demand| {
-            let sum = demands.iter().map(pick).fold(Demand::default(), Demand::plus);
-            Demand { prefill: sum.prefill * scale, decode: sum.decode * scale }
+        let sum = |pick: fn(&(TokenDemand, TokenDemand)) -> TokenDemand| {
+            let sum = demands.iter().map(pick).fold(TokenDemand::default(), TokenDemand::plus);
+            TokenDemand { prefill: sum.prefill * scale, decode: sum.decode * scale }
         };
         self.demand = AverageDemand { short: sum(|d| d.0), long: sum(|d| d.1) };
     }
@@ -254,12 +254,12 @@
     async fn reconcile(&mut self, node: &Arc<Node>, shard: &Shard, doc: &Document, engines: &Engines) {
         for (name, (spec, status)) in engines {
             let order = status.as_ref().and_then(|s| self.next_order(node, doc, name, spec, s));
-            let may_be_own = self.custodians.get(name).is_some_and(Custodian::may_be_own);
+            let may_be_own = self.custody_by_engine.get(name).is_some_and(EngineCustody::may_be_own);
             if order.is_none() && !may_be_own {
                 continue;
             }
-            let custodian = self.custodians.entry(name.clone()).or_insert_with(|| Custodian::new(node, name));
-            let result = custodian.reconcile(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
+            let custody = self.custody_by_engine.entry(name.clone()).or_insert_with(|| EngineCustody::new(node, name));
+            let result = custody.reconcile(node, &self.client, shard, spec, order.as_ref(), status.clone()).await;
             let wait_reason = match result {
                 ReconcileResult::Waiting(wait) => Some(wait),
                 ReconcileResult::Done | ReconcileResult::Incomplete => None,
--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -8,7 +8,7 @@
     kv::{Swap, Swapped},
 };
 use dahliaseam_core::{
-    custody::{self, EngineRecord, EngineStatus, Fencing, Order, OrderKind, Step, StepInputs, WaitReason},
+    custody::{self, CustodyStep, EngineRecord, EngineStatus, Fencing, Order, OrderKind, StepInputs, WaitReason},
     time::{Span, Time},
 };
 use dahliaseam_wire::{
@@ -26,9 +26,9 @@
 /// Maximum number of steps in one round.
 const MAX_STEPS_PER_ROUND: usize = 4;
 
-/// What this daemon knows of one engine's record.
+/// The custody of one engine: what this daemon knows of the engine's record.
 #[derive(Debug)]
-pub(super) struct Custodian {
+pub(super) struct EngineCustody {
     name: String,
     key: String,
     record: Option<(EngineRecord, i64)>,
@@ -50,7 +50,7 @@
     Waiting(WaitReason),
 }
 
-impl Custodian {
+impl EngineCustody {
     pub(super) fn new(node: &Node, name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -96,20 +96,20 @@
                 wanted,
             };
             match custody::next_step(record, &view) {
-                Step::Done => return ReconcileResult::Done,
-                Step::Wait(wait) => {
+                CustodyStep::Done => return ReconcileResult::Done,
+                CustodyStep::Wait(wait) => {
                     // A release by the former custodian shows only in the stored record, so read it again next time.
                     if wait == WaitReason::FormerCustodian {
                         self.record = None;
                     }
                     return ReconcileResult::Waiting(wait);
                 }
-                Step::Write(next) => {
+                CustodyStep::Write(next) => {
                     if !self.write_record(node, next).await {
                         return ReconcileResult::Incomplete;
                     }
                 }
-                Step::Send(order) => {
+                CustodyStep::Send(order) => {
                     if !self.no_send_until.is_past(node.now()) {
                         return ReconcileResult::Incomplete;
                     }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -41,7 +41,7 @@
     error::StartError,
     health, listener,
     membership::{
-        identity::Identity,
+        identity::RunIdentity,
         peer_server,
         peers::{self, PeerClients},
     },
@@ -59,7 +59,7 @@
 
 /// External dependencies of a daemon, which tests can replace with fakes.
 #[derive(Debug)]
-pub struct Outside {
+pub struct Dependencies {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The key-value service.
@@ -68,7 +68,7 @@
     pub vm_list: Arc<dyn VmList>,
 }
 
-impl Outside {
+impl Dependencies {
     /// The real dependencies, with the addresses from the settings.
     #[must_use]
     pub fn real(settings: &Settings) -> Self {
@@ -82,7 +82,7 @@
 
 /// A running daemon.
 #[derive(Debug)]
-pub struct Controller {
+pub struct Daemon {
     node: Arc<Node>,
     caller: JoinHandle<()>,
     operator: JoinHandle<()>,
@@ -90,16 +90,16 @@
     background: TaskTracker,
 }
 
-impl Controller {
+impl Daemon {
     /// Starts a daemon.
     ///
     /// # Errors
     /// Why the daemon cannot start.
-    pub async fn start(settings: Settings, outside: Outside) -> Result<Self, StartError> {
+    pub async fn start(settings: Settings, deps: Dependencies) -> Result<Self, StartError> {
         settings.check()?;
         let caller_listener = bind("caller_address", &settings.caller_address).await?;
         let operator_listener = bind("operator_address", &settings.operator_address).await?;
-        let node = Arc::new(new_node(settings, outside)?);
+        let node = Arc::new(new_node(settings, deps)?);
         let peer = peer_server::start(Arc::clone(&node)).await?;
         let limits = node.settings.limits;
         let (begun, closing, finished) =
@@ -160,8 +160,8 @@
     TcpListener::bind(address).await.map_err(|e| StartError::Bind(what, address.to_owned(), e))
 }
 
-fn new_node(settings: Settings, outside: Outside) -> Result<Node, StartError> {
-    let now = outside.clock.now();
+fn new_node(settings: Settings, deps: Dependencies) -> Result<Node, StartError> {
+    let now = deps.clock.now();
     // The wall clock orders the runs of a VM that is replaced under the same name.
     let start = wall_millis();
     let me = Incarnation { vm: settings.vm.clone(), start };
@@ -177,10 +177,10 @@
         ..MemberSettings::default()
     };
     Ok(Node {
-        clock: outside.clock,
-        identity: Identity::new(me),
-        kv: outside.kv,
-        vm_list: outside.vm_list,
+        clock: deps.clock,
+        identity: RunIdentity::new(me),
+        kv: deps.kv,
+        vm_list: deps.vm_list,
         dispatcher: SharedDispatcher::new(settings.policy.policy(), seed, now),
         members: Mutex::new(Members::new(members, contact, start, seed)),
         peers: PeerClients::default(),
@@ -201,11 +201,11 @@
     tasks.spawn(peers::run(Arc::clone(node)));
     tasks.spawn(peers::announce_config(Arc::clone(node)));
     tasks.spawn(configure::run(Arc::clone(node)));
-    tasks.spawn(duties::watch_vm_list(Arc::clone(node)));
+    tasks.spawn(duties::poll_vm_list(Arc::clone(node)));
     tasks.spawn(observe::run(Arc::clone(node)));
     tasks.spawn(control::run(Arc::clone(node)));
     tasks.spawn(tick(Arc::clone(node)));
-    tasks.spawn(watch_standing(Arc::clone(node)));
+    tasks.spawn(log_standing_changes(Arc::clone(node)));
     let finished = node.stop.finished.clone();
     let claims = claims::run(Arc::clone(node));
     tasks.spawn(async move {
@@ -225,7 +225,7 @@
     }
 }
 
-async fn watch_standing(node: Arc<Node>) {
+async fn log_standing_changes(node: Arc<Node>) {
     let mut last = None;
     while !node.stop.finished.is_cancelled() {
         let standing = (node.is_ready(), node.standing());
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -38,7 +38,7 @@
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
 /// Minimum interval between two reports for each of their recipients; limits the packet rate of a daemon.
 const SEND_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
-/// Maximum interval between two reports, so that silence is meaningful.
+/// Maximum interval between two reports, so that a daemon that sends none can be considered gone.
 const MAX_PUBLISH_INTERVAL: Duration = Duration::from_millis(400);
 /// Maximum number of daemons in a full mesh; with more, reports would be older than a prefill takes.
 const FULL_MESH_DAEMONS: usize = 24;
@@ -62,7 +62,7 @@
     number: u64,
     /// Address at which the sender's state can be read.
     state: SocketAddr,
-    /// Revision up to which the sender has followed the store.
+    /// Revision up to which the sender has read the store.
     revision: i64,
     /// Hash of the sender's hall.
     hall: u32,
@@ -122,7 +122,7 @@
         number += 1;
         let now = gw.now();
         let all = gw.peers.all(gw.settings.load_address, now);
-        update_slot_share(gw, now);
+        update_rate_limit_share(gw, now);
         let peers = recipients(gw, &all);
         let load = gw.fleet().own_report(now);
         send_report(gw, load_report(gw, number, None, load), &peers).await;
@@ -132,7 +132,7 @@
 }
 
 /// Updates this daemon's share of rate-limit slots from the registered daemons.
-fn update_slot_share(gw: &Gateway, now: Time) {
+fn update_rate_limit_share(gw: &Gateway, now: Time) {
     let rank = gw.peers.rank(&registration_key(gw, &gw.settings.vm));
     let time_of_day = Time(wall_millis() * MICROS_PER_MILLI);
     let mut fleet = gw.fleet();
--- a/crates/daemon/src/gateway/snapshot_transfer.rs
+++ b/crates/daemon/src/gateway/snapshot_transfer.rs
@@ -1,7 +1,7 @@
 //! Updates of the store cache, fetched from peers.
 //!
-//! The store may be unavailable to some VMs while it serves others, and in large deployments only a few daemons watch
-//! it. Load reports tell up to which revision each daemon has followed the store; a daemon that is cut off, or leaves
+//! The store may be unreachable for some VMs while it serves others, and in large deployments only a few daemons watch
+//! it. Load reports tell up to which revision each daemon has read the store; a daemon that cannot reach it, or leaves
 //! watching to others, fetches the changes from a peer that is ahead. A peer whose link is busy says so, and the daemon
 //! asks another one: with each round more daemons have the update.
 //!
@@ -37,8 +37,8 @@
 pub(super) const STATE_PATH: &str = "/state";
 /// Interval between two checks whether an update is needed.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence of the store after which a peer is asked. Before that the store is preferred: it responds within
-/// milliseconds, and its data is newer.
+/// Time without an answer from the store after which a peer is asked. Before that the store is preferred: it responds
+/// within milliseconds, and its data is newer.
 const STORE_SILENCE_TIMEOUT: Span = Span::millis(600);
 /// Time limit for a peer's response. A large configuration takes some hundred milliseconds on a small link, and other
 /// daemons of the hall ask at the same time.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Fetches updates from peers while this daemon does not watch the store or the store is silent.
+/// Fetches updates from peers while this daemon does not watch the store or the store does not answer.
 pub(super) async fn run(gw: Arc<Gateway>) {
     let stop = gw.stop.finished.clone();
     tokio::select! {
@@ -125,17 +125,17 @@
             continue;
         }
         match choose_source(gw) {
-            Some(Source::Ahead(from)) if !update_from(gw, &client, from).await => {
+            Some(UpdateSource::Ahead(from)) if !update_from(gw, &client, from).await => {
                 // Other daemons ask the same peer, or it is gone; by now more peers may have the update.
                 gw.peer_ahead.notify_one();
                 tokio::time::sleep(duration(PEER_FALLBACK_DELAY) + duration(Span(gw.random() % PEER_FALLBACK_DELAY.0)))
                     .await;
             }
-            Some(Source::Seed(from)) => {
+            Some(UpdateSource::Seed(from)) => {
                 let _ = update_from(gw, &client, from).await;
                 tokio::time::sleep(SEED_RETRY_INTERVAL).await;
             }
-            Some(Source::Ahead(_)) => tokio::time::sleep(TRANSFER_INTERVAL).await,
+            Some(UpdateSource::Ahead(_)) => tokio::time::sleep(TRANSFER_INTERVAL).await,
             None => {}
         }
     }
@@ -143,8 +143,8 @@
 
 /// The peer to ask.
 #[derive(Clone, Copy, Debug)]
-enum Source {
-    /// A peer that has followed the store further.
+enum UpdateSource {
+    /// A peer that has read the store further.
     Ahead(SocketAddr),
     /// A seed from the settings, while no daemon is known to be ahead.
     Seed(SocketAddr),
@@ -153,17 +153,17 @@
 fn is_needed(gw: &Gateway) -> bool {
     let now = gw.now();
     let cache = gw.store_cache();
-    !cache.watching || cache.unreachable_for(now).is_some_and(|silent| silent > STORE_SILENCE_TIMEOUT)
+    !cache.watching || cache.unreachable_for(now).is_some_and(|time| time > STORE_SILENCE_TIMEOUT)
 }
 
 /// A peer that is ahead; a random seed while nothing is known at all.
-fn choose_source(gw: &Gateway) -> Option<Source> {
+fn choose_source(gw: &Gateway) -> Option<UpdateSource> {
     let (revision, is_complete) = {
         let cache = gw.store_cache();
         (cache.revision, cache.is_complete())
     };
     if let Some(ahead) = gw.peers.ahead_of(revision, gw.hall, gw.random(), gw.now()) {
-        return Some(Source::Ahead(ahead));
+        return Some(UpdateSource::Ahead(ahead));
     }
     if is_complete {
         return None;
@@ -171,7 +171,7 @@
     let own = gw.settings.peer_address;
     let seeds: Vec<SocketAddr> = gw.seeds().into_iter().filter(|seed| *seed != own).collect();
     let index = gw.random() as usize % seeds.len().max(1);
-    seeds.get(index).copied().map(Source::Seed)
+    seeds.get(index).copied().map(UpdateSource::Seed)
 }
 
 fn apply_update(gw: &Arc<Gateway>, update: CacheUpdate) {
