--- a/crates/daemon/examples/quickstart.rs
+++ b/crates/daemon/examples/quickstart.rs
@@ -15,7 +15,7 @@
 use dahliaseam_wire::resource::{Change, ResourceKind};
 use dahliaseamd::{
     configuration::configure,
-    controller::{Daemon, Dependencies},
+    controller::{Controller, Dependencies},
 };
 use futures_util::future::join_all;
 use serde_json::{Value, json};
@@ -78,7 +78,7 @@
         explain(&daemons, answer.request.as_deref().unwrap_or_default());
     }
     let started = Instant::now();
-    join_all(daemons.into_iter().map(Daemon::stop)).await;
+    join_all(daemons.into_iter().map(Controller::stop)).await;
     println!("\nall daemons stopped gracefully in {:.1} s", started.elapsed().as_secs_f64());
     Ok(())
 }
@@ -105,7 +105,7 @@
     })
 }
 
-async fn start_daemons(stand_ins: &StandIns) -> Result<Vec<Daemon>, BoxError> {
+async fn start_daemons(stand_ins: &StandIns) -> Result<Vec<Controller>, BoxError> {
     let mut daemons = Vec::new();
     let mut list = Vec::new();
     for n in 1..=DAEMONS {
@@ -120,7 +120,7 @@
             "timing": { "probe_ms": 100, "list_ms": 200, "observe_ms": 200, "stop_grace_ms": 500 },
         }))?;
         let deps = Dependencies::real(&settings);
-        daemons.push(Daemon::start(settings, deps).await?);
+        daemons.push(Controller::start(settings, deps).await?);
     }
     let endpoints = ENGINES.iter().map(|(name, _)| *name).chain(["till-1", "till-2"]);
     list.extend(endpoints.map(|name| json!({ "vm": name, "hall": "oslo-1", "part": "endpoint" })));
@@ -132,7 +132,7 @@
 }
 
 /// Creates Fjordkjede's resources, with these stand-ins as endpoints.
-async fn configure(daemons: &[Daemon], stand_ins: &StandIns) -> Result<(), BoxError> {
+async fn configure(daemons: &[Controller], stand_ins: &StandIns) -> Result<(), BoxError> {
     let file: Value = serde_json::from_str(include_str!("../../../deploy/fjordkjede/resources.json"))?;
     let mut resources = file["resources"].as_array().cloned().unwrap_or_default();
     let engines = ENGINES.iter().zip(&stand_ins.engines);
@@ -246,7 +246,7 @@
     }
 }
 
-fn explain(daemons: &[Daemon], request: &str) {
+fn explain(daemons: &[Controller], request: &str) {
     let record = daemons.iter().find_map(|d| d.node().records.get(request));
     let Some(record) = record else { return };
     println!("\nrouting of request {request}:");
--- a/crates/daemon/src/bin/dahliaseamd/main.rs
+++ b/crates/daemon/src/bin/dahliaseamd/main.rs
@@ -7,7 +7,7 @@
 
 use dahliaseam_settings::settings::Settings;
 use dahliaseamd::{
-    controller::{Daemon, Dependencies},
+    controller::{Controller, Dependencies},
     error::{StartError, report},
     telemetry::Telemetry,
 };
@@ -40,7 +40,7 @@
     let settings = Settings::load(&app.settings)?;
     let telemetry = Telemetry::start(&settings)?;
     let deps = Dependencies::real(&settings);
-    let daemon = Daemon::start(settings, deps).await?;
+    let daemon = Controller::start(settings, deps).await?;
     tokio::select! {
         _ = term.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
--- a/crates/daemon/src/bin/dahliaseamd/routes.rs
+++ b/crates/daemon/src/bin/dahliaseamd/routes.rs
@@ -12,7 +12,7 @@
     clock::BootClock,
     emit,
     error::StartError,
-    gateway::controller::{Dependencies, GatewayDaemon, Log},
+    gateway::controller::{Dependencies, GatewayController, Log},
 };
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -54,7 +54,7 @@
         dialect: Arc::new(PlatformDialect),
         dropped_lines: Some(log.dropped()),
     };
-    let daemon = GatewayDaemon::start(settings, deps).await?;
+    let daemon = GatewayController::start(settings, deps).await?;
     let mut loaded_version = FileVersion::of(&app.settings);
     loop {
         tokio::select! {
@@ -86,7 +86,7 @@
 }
 
 /// Reads the settings again. A file that cannot be used changes nothing.
-fn reload(app: &App, daemon: &GatewayDaemon) {
+fn reload(app: &App, daemon: &GatewayController) {
     match GatewaySettings::load(&app.settings) {
         Ok(settings) => daemon.reload(settings),
         Err(e) => emit!(error, SETTINGS_REJECTED, why = %e),
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -82,7 +82,7 @@
 
 /// A running daemon.
 #[derive(Debug)]
-pub struct Daemon {
+pub struct Controller {
     node: Arc<Node>,
     caller: JoinHandle<()>,
     operator: JoinHandle<()>,
@@ -90,7 +90,7 @@
     background: TaskTracker,
 }
 
-impl Daemon {
+impl Controller {
     /// Starts a daemon.
     ///
     /// # Errors
--- a/crates/daemon/src/gateway/controller.rs
+++ b/crates/daemon/src/gateway/controller.rs
@@ -37,13 +37,13 @@
 
 /// A running daemon that routes requests to discovered replicas.
 #[derive(Debug)]
-pub struct GatewayDaemon {
+pub struct GatewayController {
     gw: Arc<Gateway>,
     caller_task: JoinHandle<()>,
     background: TaskTracker,
 }
 
-impl GatewayDaemon {
+impl GatewayController {
     /// Starts a daemon.
     ///
     /// # Errors
--- a/crates/daemon/tests/catch_up.rs
+++ b/crates/daemon/tests/catch_up.rs
@@ -20,7 +20,7 @@
 };
 use dahliaseamd::{
     configuration::configure,
-    controller::{Daemon, Dependencies},
+    controller::{Controller, Dependencies},
 };
 use jsonrpsee::{
     core::{RpcResult, async_trait},
@@ -131,7 +131,7 @@
     }))
     .expect("the settings are valid");
     let deps = Dependencies::real(&settings);
-    let daemon = Daemon::start(settings, deps).await.expect("the daemon starts");
+    let daemon = Controller::start(settings, deps).await.expect("the daemon starts");
     let entries = json!([
         { "vm": "entry-1", "hall": "h", "address": peer_address, "part": "entry" },
         { "vm": "entry-2", "hall": "h", "address": stand_in_address, "part": "entry" },
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -7,7 +7,7 @@
 use dahliaseam_wire::resource::{Change, ResourceKind};
 use dahliaseamd::{
     configuration::configure,
-    controller::{Daemon, Dependencies},
+    controller::{Controller, Dependencies},
 };
 use serde_json::{Value, json};
 use stand_ins::{
@@ -27,7 +27,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Deployment {
-    daemon: Daemon,
+    daemon: Controller,
     address: String,
     engine: EngineStandIn,
     _kv: Kv,
@@ -62,7 +62,7 @@
     }))
     .expect("the settings are valid");
     let deps = Dependencies::real(&settings);
-    let daemon = Daemon::start(settings, deps).await.expect("the daemon starts");
+    let daemon = Controller::start(settings, deps).await.expect("the daemon starts");
     set_vm_list(&vms, &peer).await;
     let changes = [
         change(ResourceKind::Version, "v", json!({ "model": "m", "artifact": "a" })),
