--- a/crates/daemon/src/control/custodian.rs
+++ b/crates/daemon/src/control/custodian.rs
@@ -87,7 +87,7 @@
             }
             let Some((record, _)) = &self.record else { return ReconcileResult::Incomplete };
             let former = record.custodian.as_ref().filter(|c| *c != node.identity.me());
-            let view = StepInputs {
+            let inputs = StepInputs {
                 me: node.identity.me(),
                 epoch: shard.authority(node.now()).map(|a| a.epoch()),
                 fencing: spec.fencing,
@@ -95,7 +95,7 @@
                 status: status.as_ref(),
                 wanted,
             };
-            match custody::next_step(record, &view) {
+            match custody::next_step(record, &inputs) {
                 CustodyStep::Done => return ReconcileResult::Done,
                 CustodyStep::Wait(wait) => {
                     // A release by the former custodian shows only in the stored record, so read it again next time.
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -50,7 +50,7 @@
             Authentication::Allowed(Identity::Team(_)) => Err(Refusal::KeyUncertain),
             Authentication::Allowed(identity) => Ok(identity),
             Authentication::NoKey => Err(Refusal::NoKey),
-            Authentication::UnknownKey if self.is_surely_unknown(arrived) => Err(Refusal::UnknownKey),
+            Authentication::UnknownKey if self.is_certainly_unknown(arrived) => Err(Refusal::UnknownKey),
             Authentication::UnknownKey => Err(Refusal::KeyUncertain),
         }
     }
@@ -62,7 +62,7 @@
     }
 
     /// Whether a key that is not in the configuration has certainly not been added since.
-    fn is_surely_unknown(&self, arrived: Time) -> bool {
+    fn is_certainly_unknown(&self, arrived: Time) -> bool {
         let bound = self.settings.map(|settings| Span(settings.addition_limit().0 / UNKNOWN_KEY_DIVISOR));
         bound.is_none_or(|bound| self.proofs().is_fresh(bound, arrived))
     }
