--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -91,7 +91,6 @@
         self.proofs().age(now)
     }
 
-    /// That age in milliseconds, for logs.
     pub(super) fn proof_age_ms(&self, now: Time) -> Option<u64> {
         self.proof_age(now).map(Span::as_millis)
     }
--- a/crates/daemon/src/gateway/reading.rs
+++ b/crates/daemon/src/gateway/reading.rs
@@ -1,4 +1,4 @@
-//! Prefill: an engine processes a prompt for another engine and keeps the resulting KV cache until that engine takes it
+//! Prefill: an engine prefills a prompt for another engine and keeps the resulting KV cache until that engine takes it
 //! over.
 
 use std::{sync::Arc, time::Duration};
@@ -26,12 +26,12 @@
 /// Multiple of its predicted duration after which a prefill is overdue and its engine is asked whether it still
 /// responds. The prefill is not aborted then: prefills that start again from the beginning slow the others.
 const PREFILL_OVERDUE_FACTOR: f64 = 2.0;
-/// Added to that time, for the round trip and for predictions that are far too low.
+/// Added to the time after which a prefill is overdue, for the round trip and for predictions that are far too low.
 const PREFILL_OVERDUE_MARGIN: Span = Span::millis(150);
 /// Interval between two status requests to an engine whose prefill is overdue.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
-/// Added to that time for each daemon: the more daemons there are, the later this one learns what they have sent to the
-/// engine in the meantime.
+/// Added, for each daemon, to the time after which a prefill is overdue: the more daemons there are, the later this one
+/// learns what they have sent to the engine in the meantime.
 const MARGIN_PER_DAEMON: Span = Span::millis(3);
 /// Time limit for freeing a KV cache at an engine.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
